--- /dev/null
+++ b/src/test/java/quartzspan/common/SettingsCompatibilityTest.java
@@ -0,0 +1,52 @@
+package quartzspan.common;
+
+import java.util.TreeMap;
+import org.junit.jupiter.api.Test;
+import quartzspan.compatibility.GoldenFile;
+
+/** A settings file of each role, as the pages show it, and every field that is read from it. */
+class SettingsCompatibilityTest {
+    @Test
+    void theFileOfAFrontendMachineIsReadAsByEarlierVersions() {
+        GoldenFile.assertText("settings/frontend.txt", read("settings/frontend.yaml"));
+    }
+
+    @Test
+    void theFileOfACoreMachineIsReadAsByEarlierVersions() {
+        GoldenFile.assertText("settings/core.txt", read("settings/core.yaml"));
+    }
+
+    private static String read(String file) {
+        Settings settings = Settings.parse(GoldenFile.text(file));
+        Settings.Bounds bounds = settings.bounds();
+        return String.join(
+                "\n",
+                "node_name " + settings.nodeName(),
+                "ip_address " + settings.ip(),
+                "zone " + settings.zone(),
+                "zones " + new TreeMap<>(settings.zones()),
+                "listen_addresses " + new TreeMap<>(settings.listen()),
+                "internal_ports " + settings.internalPort() + " " + settings.internal(),
+                "seed_nodes " + settings.seeds(),
+                "bootstrap " + settings.bootstrap(),
+                "quorum_member " + settings.voter(),
+                "memory_mb " + settings.memoryMb(),
+                "file_descriptors " + settings.descriptors(),
+                "data_directory " + settings.dataDirectory(),
+                "heartbeat_ms " + settings.heartbeatMs(),
+                "fault_tolerance.machines " + settings.losses(),
+                "drain_timeout_ms " + bounds.drainTimeoutMs(),
+                "grace_period_s " + bounds.gracePeriodS(),
+                "config_apply_ms " + bounds.configApplyMs(),
+                "strict_revocation " + bounds.strictRevocation(),
+                "revocation_ms " + bounds.revocationMs(),
+                "retry_budget_ratio " + bounds.retryBudgetRatio(),
+                "retry_window_s " + bounds.retryWindowS(),
+                "retry_allowance " + bounds.retryAllowance(),
+                "transit_ms " + bounds.transitMs(),
+                "ack_timeout_ms " + bounds.ackTimeoutMs(),
+                "lease_ms " + bounds.leaseMs(),
+                "version_apply_ms " + bounds.versionApplyMs(),
+                "");
+    }
+}
--- /dev/null
+++ b/src/test/java/quartzspan/controlplane/ApiCompatibilityTest.java
@@ -0,0 +1,146 @@
+package quartzspan.controlplane;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import quartzspan.compatibility.GoldenFile;
+
+/** Each answer that operators and servers may get of core machines, and each field of the status, as by an earlier version. */
+class ApiCompatibilityTest {
+    private static final String REPLACE = "POST /quartzspan/Configuration.Replace";
+    private static final String UPDATE = "POST /quartzspan/Configuration.Update";
+    private static final String DESCRIBE = "GET /quartzspan/Configuration.Describe";
+    private static final String WEIGHTS = "POST /quartzspan/version-put";
+    private static final String HEARTBEAT = "POST /quartzspan/Instances.Heartbeat/i-1";
+    private static final String DEREGISTER = "POST /quartzspan/Instances.Deregister/i-1";
+    private static final String STATUS = "GET /quartzspan/status";
+    private static final String BASE_0 = "X-Base-Version: 0\r\n";
+    private static final String BASE_2 = "X-Base-Version: 2\r\n";
+    private static final String CONFIGURATION =
+            "{\"version\":2,\"routes\":[{\"name\":\"r\",\"hostname\":\"h\",\"path_prefix\":\"/a/\","
+                    + "\"route_type\":\"read_only\",\"timeout_ms\":1000,\"service\":\"s\"}],"
+                    + "\"services\":[{\"name\":\"s\",\"max_connections\":60}]}";
+
+    private static final int GRACE_PERIOD_S = 1;
+
+    @TempDir
+    Path folder;
+
+    private final StringBuilder answers = new StringBuilder();
+    private CoreCluster cluster;
+
+    @Test
+    void answersAreThoseOfEarlierVersions() throws Exception {
+        try (CoreCluster started = new CoreCluster(folder, GRACE_PERIOD_S)) {
+            cluster = started;
+            cluster.startAll();
+            String primary = cluster.primary(CoreCluster.HOSTS);
+            operators(primary);
+            servers(primary);
+            redirects(primary);
+            status(primary);
+        }
+        GoldenFile.assertText("api/answers.txt", answers.toString());
+    }
+
+    @Test
+    void refusalsOfAMachineThatHearsNobodyAreThoseOfEarlierVersions() throws Exception {
+        try (CoreCluster started = new CoreCluster(folder, GRACE_PERIOD_S)) {
+            cluster = started;
+            String alone = CoreCluster.HOSTS.get(0);
+            cluster.start(alone, false);
+            note(alone, DESCRIBE, "", "");
+            note(alone, REPLACE, BASE_0, CONFIGURATION);
+            note(alone, HEARTBEAT, "", heartbeat(1, "ready"));
+            note(alone, DEREGISTER, "", "{}");
+            status(alone);
+        }
+        GoldenFile.assertText("api/refusals.txt", answers.toString());
+    }
+
+    private void operators(String primary) throws IOException {
+        note(primary, DESCRIBE, "", "");
+        note(primary, REPLACE, "", CONFIGURATION);
+        note(primary, REPLACE, BASE_0, "{");
+        note(primary, REPLACE, BASE_0, "{}");
+        note(primary, REPLACE, BASE_0, CONFIGURATION.replace("\"/a/\"", "\"a\""));
+        note(primary, REPLACE, BASE_0, CONFIGURATION);
+        note(primary, REPLACE, BASE_0, CONFIGURATION);
+        note(primary, REPLACE, BASE_0, CONFIGURATION.replace("1000", "1001"));
+        note(primary, UPDATE, BASE_2, "{\"version\":2}");
+        note(primary, UPDATE, BASE_2, "{\"version\":3,\"remove\":{\"services\":[\"s\"]}}");
+        note(primary, UPDATE, BASE_2, "{\"version\":4,\"upsert\":{\"services\":[{\"name\":\"t\"}]}}");
+        note(primary, DESCRIBE, "", "");
+        note(primary, WEIGHTS, "", "{\"model\":\"m\",\"version\":7}");
+        note(primary, WEIGHTS, "", "{\"model\":\"m\",\"version\":6}");
+        note(primary, WEIGHTS, "", "{\"version\":6}");
+        note(primary, "GET /quartzspan/nothing", "", "");
+        note(primary, "GET /quartzspan/Configuration.Replace", "", "");
+    }
+
+    private void servers(String primary) throws IOException {
+        note(primary, HEARTBEAT, "", heartbeat(1, "ready"));
+        note(primary, HEARTBEAT, "", "[]");
+        note(primary, HEARTBEAT, "", "{\"address\":\"a\\tb\"}");
+        note(primary, HEARTBEAT, "", heartbeat(2, "draining"));
+        note(primary, DEREGISTER, "", "{}");
+        note(primary, DEREGISTER, "", "{}");
+    }
+
+    private static String heartbeat(long count, String state) {
+        return "{\"service\":\"s\",\"address\":\"10.0.0.9:80\",\"zone\":\"z\",\"state\":\"" + state
+                + "\",\"models\":[{\"name\":\"m\",\"version\":3}],\"call_count\":" + count + "}";
+    }
+
+    private void redirects(String primary) throws IOException {
+        String backup = CoreCluster.HOSTS.stream()
+                .filter(host -> !host.equals(primary))
+                .findFirst()
+                .orElseThrow();
+        for (long end = System.nanoTime() + CoreCluster.PATIENCE_NANOS; cluster.describe(backup) != 307; ) {
+            assertTrue(System.nanoTime() < end, "a backup learns who is primary");
+        }
+        note(backup, DESCRIBE, "", "");
+        note(backup, REPLACE, BASE_2, CONFIGURATION);
+    }
+
+    private void status(String host) throws IOException {
+        note(host, STATUS, "", "");
+    }
+
+    private void note(String host, String call, String headers, String body) throws IOException {
+        String answer = cluster.call(host, call, headers, body);
+        String[] parts = answer.split("\r\n\r\n", 2);
+        List<String> head = new ArrayList<>(Arrays.asList(parts[0].split("\r\n")));
+        answers.append("== ")
+                .append(call)
+                .append(' ')
+                .append(headers.strip())
+                .append(' ')
+                .append(body)
+                .append('\n');
+        head.forEach(line -> answers.append(same(host, line)).append('\n'));
+        answers.append('\n').append(same(host, parts[1])).append("\n\n");
+    }
+
+    /** An answer without what differs from run to run (ports, hosts, ages, attempts), and without texts for people. */
+    private String same(String host, String text) {
+        return text.replace(":" + cluster.controlPort(), ":CONTROL")
+                .replace(":" + cluster.internalPort(), ":INTERNAL")
+                .replaceAll("\"fresh_ms\":-?[0-9]+", "\"fresh_ms\":N")
+                .replaceAll("/-?[0-9]{5,}", "/ATTEMPT")
+                .replaceAll("\"promised\":[0-9]+,\"copy_epoch\":[0-9]+", "\"promised\":N,\"copy_epoch\":N")
+                .replaceAll("\"duty\":\"[^\"]*\"", "\"duty\":\"HOLDER\"")
+                .replaceAll("\"copy_index\":[0-9]+", "\"copy_index\":N")
+                .replaceAll("\"view\":\"[^\"]*\"", "\"view\":\"VIEW\"")
+                .replaceAll("(?i)content-length: [0-9]+", "content-length: N")
+                .replaceAll("\"(reason|remedy)\":\"[^\"]*\"", "\"$1\":\"TEXT\"")
+                .replaceAll("127\\.0\\.0\\.[123]", "HOST");
+    }
+}
--- /dev/null
+++ b/src/test/java/quartzspan/controlplane/CoreCluster.java
@@ -0,0 +1,137 @@
+package quartzspan.controlplane;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.concurrent.TimeUnit;
+import quartzspan.common.Settings;
+
+/** Core machines in this process, on the loopback addresses of {@link #HOSTS}. */
+final class CoreCluster implements AutoCloseable {
+    static final List<String> HOSTS = List.of("127.0.0.1", "127.0.0.2", "127.0.0.3");
+    static final long PATIENCE_NANOS = TimeUnit.SECONDS.toNanos(30);
+    private static final int ANSWER_MS = 1_000;
+    private static final int MOST_TRIES = 20;
+
+    private final Path folder;
+    private final Map<String, ControlPlane> machines = new TreeMap<>();
+    private final int gracePeriodS;
+    private final int controlPort;
+    private final int internalPort;
+
+    CoreCluster(Path folder, int gracePeriodS) throws IOException {
+        this.folder = folder;
+        this.gracePeriodS = gracePeriodS;
+        this.controlPort = freePort();
+        this.internalPort = freePort();
+    }
+
+    /** A port that is free at all addresses. */
+    private static int freePort() throws IOException {
+        for (int tries = 0; ; tries++) {
+            List<ServerSocket> reserved = new ArrayList<>();
+            try {
+                reserved.add(new ServerSocket(0, 1, InetAddress.getByName(HOSTS.get(0))));
+                int port = reserved.get(0).getLocalPort();
+                for (String host : HOSTS.subList(1, HOSTS.size())) {
+                    reserved.add(new ServerSocket(port, 1, InetAddress.getByName(host)));
+                }
+                return port;
+            } catch (IOException taken) {
+                if (tries > MOST_TRIES) {
+                    throw taken;
+                }
+            } finally {
+                for (ServerSocket socket : reserved) {
+                    socket.close();
+                }
+            }
+        }
+    }
+
+    int controlPort() {
+        return controlPort;
+    }
+
+    int internalPort() {
+        return internalPort;
+    }
+
+    void start(String host, boolean bootstrap) throws Exception {
+        StringBuilder seeds = new StringBuilder();
+        HOSTS.forEach(h ->
+                seeds.append("  - \"").append(h).append(':').append(controlPort).append("\"\n"));
+        machines.put(
+                host,
+                ControlPlane.start(Settings.parse("node_name: \"core-" + host + "\"\nip_address: \"" + host
+                        + "\"\nzone: \"z\"\nzones:\n  z: \"r\"\nlisten_addresses:\n  control_plane: \"" + host + ':'
+                        + controlPort + "\"\ninternal_ports:\n  - " + internalPort + "\n  - " + internalPort
+                        + "\nseed_nodes:\n" + seeds + "bootstrap: " + bootstrap
+                        + "\nquorum_member: true\nlimits:\n  memory_mb: 256\n"
+                        + "  file_descriptors: 1024\ndata_directory: \"" + folder.resolve(host)
+                        + "\"\nheartbeat_ms: 1200\nfault_tolerance:\n  machines: 1\nbounds:\n"
+                        + "  strict_revocation: true\n  grace_period_s: " + gracePeriodS + "\n")));
+    }
+
+    void startAll() throws Exception {
+        for (String host : HOSTS) {
+            start(host, true);
+        }
+    }
+
+    void stop(String host) {
+        machines.remove(host).stop();
+    }
+
+    @Override
+    public void close() {
+        machines.values().forEach(ControlPlane::stop);
+        machines.clear();
+    }
+
+    /** The whole answer, of which a caller waits a second for each byte. */
+    String call(String host, String what, String headers, String body) throws IOException {
+        try (Socket socket = new Socket()) {
+            socket.connect(new InetSocketAddress(host, controlPort), ANSWER_MS);
+            socket.setSoTimeout(ANSWER_MS);
+            socket.getOutputStream()
+                    .write((what + " HTTP/1.1\r\nHost: c\r\nConnection: close\r\n" + headers + "Content-Length: "
+                                    + body.length() + "\r\n\r\n" + body)
+                            .getBytes(StandardCharsets.ISO_8859_1));
+            return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
+        }
+    }
+
+    int status(String host, String what, String headers, String body) throws IOException {
+        String answer = call(host, what, headers, body);
+        assertTrue(answer.startsWith("HTTP/1.1 "), "an answer within a second: " + answer);
+        return Integer.parseInt(answer.substring(9, 12));
+    }
+
+    int describe(String host) throws IOException {
+        return status(host, "GET /quartzspan/Configuration.Describe", "", "");
+    }
+
+    /** Who answers of itself, once somebody does. */
+    String primary(Collection<String> hosts) throws IOException {
+        for (long end = System.nanoTime() + PATIENCE_NANOS; System.nanoTime() < end; ) {
+            for (String host : hosts) {
+                if (describe(host) == 200) {
+                    return host;
+                }
+            }
+        }
+        throw new AssertionError("nobody leads");
+    }
+}
--- /dev/null
+++ b/src/test/java/quartzspan/replication/StoredStateCompatibilityTest.java
@@ -0,0 +1,147 @@
+package quartzspan.replication;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import quartzspan.common.FleetException;
+import quartzspan.compatibility.GoldenFile;
+import quartzspan.replication.RecordedCluster.Machine;
+import quartzspan.store.FileDisk;
+import quartzspan.store.SlotStore;
+
+/** What earlier versions have written to disks and sent is read, and written again byte for byte. */
+class StoredStateCompatibilityTest {
+    private static final String A = "10.0.0.1:7640";
+    private static final String B = "10.0.0.2:7640";
+    private static final String C = "10.0.0.3:7640";
+    private static final String D = "10.0.0.4:7640";
+    private static final String FIRST = "{\"version\":2,\"routes\":[],\"services\":[{\"name\":\"s\"}]}";
+    private static final String PATCH = "{\"version\":5,\"upsert\":{\"services\":[{\"name\":\"t\"}]}}";
+    private static final List<String> MOMENTS = List.of("founding", "changes", "joint-view", "lost-disk", "restart");
+
+    @TempDir
+    Path folder;
+
+    private static Change change(Change.Kind kind, long base, String body) {
+        return new Change(kind, base, body.getBytes(StandardCharsets.UTF_8));
+    }
+
+    /** A history with a change of each kind, a change of voters and a lost disk: each byte sent and written is the same. */
+    @Test
+    void theSameHistoryIsSentAndWrittenByteForByte() {
+        Path disks = folder.resolve("disks");
+        RecordedCluster cluster = new RecordedCluster(disks, List.of(A, B, C));
+        for (String name : List.of(A, B, C)) {
+            cluster.add(name).start(true);
+        }
+        cluster.run(100);
+        compare("founding", disks);
+        cluster.run(3_000);
+        cluster.change(change(Change.Kind.REPLACE, 0, FIRST));
+        cluster.change(change(Change.Kind.REPLACE, 0, FIRST.replace("2", "3")));
+        cluster.change(change(Change.Kind.UPDATE, 2, PATCH));
+        cluster.change(change(Change.Kind.UPDATE, 5, "{"));
+        cluster.change(change(Change.Kind.WEIGHTS, 0, "{\"model\":\"m\",\"version\":7}"));
+        cluster.change(change(Change.Kind.DUTY, 0, A));
+        cluster.read();
+        compare("changes", disks);
+        Machine added = cluster.add(D);
+        added.start(false);
+        assertTrue(cluster.runUntil(cluster.now() + 10_000, cluster::changesVoters));
+        compare("joint-view", disks);
+        cluster.run(3_000);
+        Machine primary = cluster.primary();
+        primary.kill();
+        primary.loseDisk();
+        cluster.run(100);
+        primary.start(false);
+        cluster.run(4_000);
+        compare("lost-disk", disks);
+        added.kill();
+        added.start(false);
+        cluster.run(4_000);
+        cluster.change(change(Change.Kind.WEIGHTS, 0, "{\"model\":\"m\",\"version\":8}"));
+        compare("restart", disks);
+        GoldenFile.assertText("replication/answers.txt", String.join("\n", cluster.answers()) + "\n");
+        GoldenFile.assertText("replication/trace.txt", cluster.trace());
+    }
+
+    private static void compare(String moment, Path disks) {
+        GoldenFile.assertFolder("replication/" + moment, disks);
+    }
+
+    /** Each store is opened as at a start; the state found there, written anew, has the same bytes. */
+    @Test
+    void storesOfEarlierVersionsAreReadAndTheirStateIsWrittenTheSame() {
+        StringBuilder found = new StringBuilder();
+        for (String moment : MOMENTS) {
+            GoldenFile.copy(GoldenFile.path("replication/" + moment), folder.resolve(moment));
+            for (String name : List.of(A, B, C, D)) {
+                Path disk = folder.resolve(moment).resolve(name.replace(':', '_'));
+                if (!GoldenFile.files(disk).isEmpty()) {
+                    found.append(moment)
+                            .append(' ')
+                            .append(describe(name, disk))
+                            .append('\n');
+                }
+            }
+        }
+        GoldenFile.assertText("replication/stores.txt", found.toString());
+    }
+
+    private String describe(String name, Path disk) {
+        List<byte[]> kept = new ReplicaStore(new SlotStore(new FileDisk(disk))).open();
+        Replica replica = new Replica(name, List.of(A, B, C), 1, false, kept, 1, 1, new IgnoredOutput());
+        byte[] state = replica.state().bytes();
+        assertArrayEquals(state, ControlState.parse(state).bytes());
+        View view = replica.view();
+        assertEquals(view, View.parse(view.text()));
+        return name + ": " + kept.size() + " records, " + replica.role() + ", promised "
+                + replica.promised().text() + ", view " + view.text() + ", copy "
+                + replica.copyBallot().text() + " at " + replica.copyIndex() + ", "
+                + new String(replica.state().configuration().bytes(), StandardCharsets.UTF_8) + " "
+                + replica.state().weights() + " " + replica.state().holder() + " "
+                + replica.state().fence();
+    }
+
+    /** The records of each store, kept one by one in an empty folder, make the same files again. */
+    @Test
+    void recordsOfEarlierVersionsAreKeptInTheSameFiles() {
+        for (String name : List.of(A, B, C)) {
+            Path golden = GoldenFile.path("replication/changes").resolve(name.replace(':', '_'));
+            Path copied = folder.resolve("copied " + name.hashCode());
+            GoldenFile.copy(golden, copied);
+            SlotStore.Contents contents = new SlotStore(new FileDisk(copied)).open();
+            Path written = folder.resolve("written " + name.hashCode());
+            SlotStore store = new SlotStore(new FileDisk(written));
+            store.open();
+            store.checkpoint(contents.state());
+            contents.records().forEach(store::append);
+            List<byte[]> again =
+                    new ArrayList<>(new SlotStore(new FileDisk(written)).open().records());
+            assertEquals(contents.records().size(), again.size());
+            GoldenFile.assertFolder("replication/changes/" + name.replace(':', '_'), written);
+        }
+    }
+
+    private static final class IgnoredOutput implements Replica.Out {
+        @Override
+        public void send(String to, ReplicaMessage message) {}
+
+        @Override
+        public void persist(long number, byte[] record) {}
+
+        @Override
+        public void done(long ticket, FleetException refusal, ControlState state) {}
+
+        @Override
+        public void committed(long index, ControlState state, ChangeHistory history) {}
+    }
+}
