--- a/src/main/java/mulleinfront/proxy/Frontend.java
+++ b/src/main/java/mulleinfront/proxy/Frontend.java
@@ -232,6 +232,11 @@
         clients.forEach(c -> c.pipeline().get(Client.class).lastCall());
     }
 
+    /** Closes the connections that were used before and have nothing in flight: a request that crosses that is not taken. */
+    public void closeIdle() {
+        quiet.stream().filter(Client::isIdle).toList().forEach(client -> client.channel.close());
+    }
+
     /** Requests taken and not yet answered, and those being read. */
     public boolean idle() {
         return busyClients == 0 && reading.isEmpty();
@@ -251,6 +256,7 @@
         private boolean lost;
 
         private boolean busy;
+        private boolean served;
         private boolean pumping;
         private boolean peeking;
         private boolean keepAlive;
@@ -409,6 +415,7 @@
 
         private void handle(Ahead next) {
             busy = true;
+            served = true;
             busyClients++;
             HttpRequest in = next.head();
             keepAlive = in != null && HttpUtil.isKeepAlive(in);
@@ -521,6 +528,10 @@
             }
         }
 
+        private boolean isIdle() {
+            return served && !busy && head == null && ahead.isEmpty();
+        }
+
         private void tooLong() {
             quiet.remove(this);
             if (head != null && !busy) {
--- a/src/main/java/quartzspan/frontend/FrontendProxy.java
+++ b/src/main/java/quartzspan/frontend/FrontendProxy.java
@@ -60,10 +60,6 @@
     private static final double COME_BACK = 0.3;
     /** A key's removal must be known this long before it counts: between our look and the server's start lies some time. */
     private static final long FRESH_MARGIN_MS = 700;
-    /** How long new connections may still come after readiness says no. */
-    private static final long LAST_CLIENTS_MS = 3_300;
-
-    private static final long KILL_MARGIN_MS = 700;
     /** Headers that only the system sets. */
     private static final List<String> OURS = List.of(
             "X-Expected-Instance", "X-Tenant", "Cache-Salt", "Kv-Fetch", "Kv-Save", "Expect-Version", "Priority");
@@ -91,13 +87,14 @@
     private Map<String, Service> services = Map.of();
 
     private final CountDownLatch ended = new CountDownLatch(1);
-    private long leavingAt = Long.MAX_VALUE;
+    private final ShutdownSchedule shutdown;
     private boolean ready;
 
     private FrontendProxy(Settings settings, List<String> seeds, EventLoopGroup group, EventLoop loop) {
         this.settings = settings;
         this.group = group;
         this.loop = loop;
+        this.shutdown = new ShutdownSchedule(gracePeriodMs(settings), ms());
         String self = text(settings.internal());
         this.upstream =
                 new Upstream(loop, DIAL_US, IDLE_US, Math.max(64, (settings.descriptors() - OWN_DESCRIPTORS) / 3));
@@ -194,35 +191,36 @@
 
     /** Serves to the end what came and still comes, without losing any of it; returns when the process may end. */
     void leave() {
-        long graceMs = (long) (settings.bounds().gracePeriodS() * 1000);
         loop.execute(() -> {
             LOG.info("told to end; {} requests are open", open.size());
-            leavingAt = ms();
+            shutdown.begin(ms());
             ready = false;
             frontend.leave();
-            loop.scheduleWithFixedDelay(
-                    () -> {
-                        long since = ms() - leavingAt;
-                        if (since > Math.min(LAST_CLIENTS_MS, graceMs - KILL_MARGIN_MS)
-                                        && open.isEmpty()
-                                        && frontend.idle()
-                                || since > graceMs - KILL_MARGIN_MS) {
-                            // From here to the process's end nothing more may be read: it would not be answered.
-                            frontend.close();
-                            ended.countDown();
-                        }
-                    },
-                    TICK_MS,
-                    TICK_MS,
-                    TimeUnit.MILLISECONDS);
+            loop.scheduleWithFixedDelay(this::continueShutdown, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
         });
         try {
-            ended.await(graceMs, TimeUnit.MILLISECONDS);
+            ended.await(gracePeriodMs(settings), TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
+    private void continueShutdown() {
+        long now = ms();
+        if (shutdown.closesIdleConnections(now)) {
+            frontend.closeIdle();
+        }
+        if (shutdown.isOver(now, open.isEmpty() && frontend.idle())) {
+            // From here to the process's end nothing more may be read: it would not be answered.
+            frontend.close();
+            ended.countDown();
+        }
+    }
+
+    private static long gracePeriodMs(Settings settings) {
+        return (long) (settings.bounds().gracePeriodS() * 1000);
+    }
+
     /** Ends at once. */
     public void stop() {
         group.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS).awaitUninterruptibly();
@@ -315,7 +313,7 @@
     }
 
     private boolean ready() {
-        return ready && fresh() && leavingAt == Long.MAX_VALUE;
+        return ready && fresh() && !shutdown.begun();
     }
 
     // ---- the fleet -----------------------------------------------------------------------------------
@@ -323,6 +321,7 @@
     private void tick() {
         try {
             long now = ms();
+            shutdown.onTick(now);
             gossip.onTick(now, null);
             registry.tidy(now);
             transport.tidy(10_000);
@@ -450,6 +449,13 @@
         }
         long deadlineMs = Framing.number(h.get("X-Deadline-Ms"));
         long endAt = at + 1000 * Math.min(deadlineMs < 1 ? route.timeoutMs() : deadlineMs, route.timeoutMs());
+        if (!shutdown.mayForward(ms(), endAt / 1000)) {
+            client.answer(
+                    HttpResponseStatus.SERVICE_UNAVAILABLE,
+                    new Upstream.Answer(new byte[0], null, null),
+                    comeBackUs(route));
+            return;
+        }
         placement.came(settings.bounds().retryBudgetRatio(), settings.bounds().retryAllowance(), proxies());
         ProxiedRequest request = new ProxiedRequest(
                 this,
--- a/src/test/java/mulleinfront/proxy/Peers.java
+++ b/src/test/java/mulleinfront/proxy/Peers.java
@@ -191,7 +191,11 @@
         private final InputStream in;
 
         public Client(int port) throws IOException {
-            socket = new Socket(InetAddress.getLoopbackAddress(), port);
+            this(InetAddress.getLoopbackAddress(), port);
+        }
+
+        public Client(InetAddress address, int port) throws IOException {
+            socket = new Socket(address, port);
             socket.setSoTimeout((int) PATIENCE_S * 1000);
             in = new BufferedInputStream(socket.getInputStream());
         }
--- a/src/test/java/quartzspan/frontend/FrontendRig.java
+++ b/src/test/java/quartzspan/frontend/FrontendRig.java
@@ -1,6 +1,7 @@
 package quartzspan.frontend;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -37,6 +38,7 @@
     private static ControlPlane core;
     private static FrontendProxy proxy;
     private static int controlPort;
+    private static int coreInternalPort;
     private static int frontPort;
     private static int services;
 
@@ -48,6 +50,7 @@
     static void startFleet() throws Exception {
         int[] ports = freePorts(5);
         controlPort = ports[0];
+        coreInternalPort = ports[1];
         frontPort = ports[2];
         Path disk = Files.createDirectory(folder.resolve("core"));
         core = ControlPlane.start(Settings.parse(settings(
@@ -78,14 +81,20 @@
     }
 
     private static String settings(String name, String listen, int internal, String disk) {
+        return settings(name, "127.0.0.1", listen, internal, disk, 1);
+    }
+
+    private static String settings(
+            String name, String address, String listen, int internal, String disk, int gracePeriodS) {
         return "node_name: \"" + name
-                + "\"\nip_address: \"127.0.0.1\"\nzone: \"z\"\nzones:\n  z: \"r\"\nlisten_addresses:\n  "
+                + "\"\nip_address: \"" + address + "\"\nzone: \"z\"\nzones:\n  z: \"r\"\nlisten_addresses:\n  "
                 + listen + "\ninternal_ports:\n  - " + internal + "\n  - " + internal
                 + "\nseed_nodes:\n  - \"127.0.0.1:"
                 + controlPort
                 + "\"\nbootstrap: true\nlimits:\n  memory_mb: 256\n  file_descriptors: 1024\ndata_directory: "
                 + disk
-                + "\nheartbeat_ms: 600000\nbounds:\n  retry_allowance: 1000\n  retry_budget_ratio: 100\n  grace_period_s: 1\n";
+                + "\nheartbeat_ms: 600000\nbounds:\n  retry_allowance: 1000\n  retry_budget_ratio: 100\n  grace_period_s: "
+                + gracePeriodS + "\n";
     }
 
     private static String configuration() {
@@ -107,6 +116,24 @@
                 + service + "\",\"max_attempts\":" + attempts + "}";
     }
 
+    /** A proxy in a process of its own, at another loopback address; returns once it is ready. */
+    ProxyProcess startProcess(int gracePeriodS) throws Exception {
+        int[] ports = freePorts(2);
+        String settings = settings(
+                "process",
+                ProxyProcess.HOST,
+                "frontend: \"" + ProxyProcess.HOST + ':' + ports[0] + "\"\n  readiness: \"" + ProxyProcess.HOST + ':'
+                        + ports[1] + '"',
+                coreInternalPort,
+                "null",
+                gracePeriodS);
+        Path file = Files.createTempFile(folder, "settings", ".yaml");
+        Files.writeString(file, settings);
+        ProxyProcess process = keep(new ProxyProcess(file, ports[0], ports[1]));
+        process.awaitReadiness(200);
+        return process;
+    }
+
     private static int[] freePorts(int count) throws IOException {
         List<ServerSocket> held = new ArrayList<>();
         int[] ports = new int[count];
@@ -155,7 +182,8 @@
             }
         }));
         listed(id, server.address());
-        while (server.seen.isEmpty()) {
+        for (int calls = 0; server.seen.isEmpty(); calls++) {
+            assertTrue(calls < MOST_CALLS, "the proxy forwards to " + id);
             call(frontPort, "POST /once" + service + "/warm", "X-Attempt-Id: warm\r\n", "");
         }
         server.seen.clear();
--- /dev/null
+++ b/src/test/java/quartzspan/frontend/GracefulShutdownTest.java
@@ -0,0 +1,93 @@
+package quartzspan.frontend;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.net.SocketTimeoutException;
+import java.util.concurrent.CountDownLatch;
+import mulleinfront.proxy.Peers.Client;
+import mulleinfront.proxy.Peers.Message;
+import mulleinfront.proxy.Peers.Server;
+import org.junit.jupiter.api.Test;
+
+/** A proxy that gets SIGTERM finishes what it has forwarded, and forwards nothing that it may not finish. */
+class GracefulShutdownTest extends FrontendRig {
+    private static final int GRACE_PERIOD_S = 8;
+    private static final int FREEZE_MS = 3_200;
+    private static final String STREAM_HEAD = "HTTP/1.1 200 OK\r\nX-Attempt-Id: stream\r\nX-Server-Seal: seal.1\r\n"
+            + "Transfer-Encoding: chunked\r\n\r\n3\r\n1st\r\n";
+
+    private final CountDownLatch streamMayEnd = new CountDownLatch(1);
+
+    /** A server whose answer to the request {@code stream} goes on until the test lets it end. */
+    private Server streamingServer(String name) throws Exception {
+        return server(name, seen -> {
+            if (!id(seen).equals("stream")) {
+                seen.write(answer(id(seen), "done"));
+                return;
+            }
+            seen.write(STREAM_HEAD);
+            try {
+                streamMayEnd.await();
+            } catch (InterruptedException e) {
+                Thread.currentThread().interrupt();
+            }
+            seen.write("3\r\n2nd\r\n0\r\n\r\n");
+        });
+    }
+
+    @Test
+    void aRequestThatMayNotEndInTimeIsRejectedAndNotForwarded() throws Exception {
+        Server server = streamingServer("streaming");
+        ProxyProcess proxy = startProcess(GRACE_PERIOD_S);
+        Client streaming = keep(proxy.client()).write(request("read", "stream"));
+        assertEquals(200, streaming.readHead().status());
+        Client idle = keep(proxy.client());
+        assertEquals("done", idle.write(request("read", "a1")).read().text());
+        proxy.signal("TERM");
+        assertTrue(idle.closed(), "idle connections are closed once clients have seen the readiness");
+        server.seen.clear();
+        assertRejected(keep(proxy.client()).write(request("read", "a2")).read());
+        assertEquals(0, server.seen.size(), "not forwarded");
+        Message inTime = keep(proxy.client())
+                .write(request("POST", "read", "a3", "", 1_000))
+                .read();
+        assertEquals("done", inTime.text(), "this one is sure to end in time");
+        streamMayEnd.countDown();
+        String rest = new String(streaming.socket.getInputStream().readAllBytes());
+        assertTrue(rest.endsWith("3\r\n2nd\r\n0\r\n\r\n"), "the stream that was forwarded before is complete: " + rest);
+        assertTrue(proxy.ends());
+    }
+
+    @Test
+    void theGracePeriodRunsWhileTheProcessIsFrozen() throws Exception {
+        Server server = streamingServer("streaming-on");
+        ProxyProcess proxy = startProcess(GRACE_PERIOD_S);
+        Client streaming = keep(proxy.client()).write(request("read", "stream"));
+        assertEquals(200, streaming.readHead().status());
+        proxy.signal("STOP");
+        proxy.signal("TERM");
+        assertSilent(keep(proxy.client()).write("GET /nowhere HTTP/1.1\r\nHost: h.example\r\n\r\n"));
+        proxy.signal("CONT");
+        proxy.awaitReadiness(503);
+        server.seen.clear();
+        assertRejected(keep(proxy.client()).write(request("read", "a2")).read());
+        assertEquals(0, server.seen.size(), "not forwarded");
+        streamMayEnd.countDown();
+        assertTrue(proxy.ends());
+    }
+
+    private static void assertSilent(Client client) throws IOException {
+        client.socket.setSoTimeout(FREEZE_MS);
+        assertThrows(SocketTimeoutException.class, client::read, "the process is frozen");
+    }
+
+    private static void assertRejected(Message answer) {
+        assertEquals(503, answer.status(), answer.first());
+        assertNotNull(answer.header("retry-after"), "when to come back");
+        assertEquals("close", answer.header("connection"));
+    }
+}
--- /dev/null
+++ b/src/test/java/quartzspan/frontend/ProxyProcess.java
@@ -0,0 +1,71 @@
+package quartzspan.frontend;
+
+import java.io.IOException;
+import java.net.InetAddress;
+import java.nio.file.Path;
+import java.util.concurrent.TimeUnit;
+import mulleinfront.proxy.Peers;
+import mulleinfront.proxy.Peers.Client;
+
+/** The frontend program as a process that gets signals, at a loopback address of its own. */
+final class ProxyProcess implements AutoCloseable {
+    static final String HOST = "127.0.0.2";
+
+    private final int frontendPort;
+    private final int readinessPort;
+    private final Process process;
+
+    ProxyProcess(Path settings, int frontendPort, int readinessPort) throws IOException {
+        this.frontendPort = frontendPort;
+        this.readinessPort = readinessPort;
+        ProcessBuilder builder = new ProcessBuilder(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:TieredStopAtLevel=1",
+                "-cp",
+                System.getProperty("java.class.path"),
+                Main.class.getName());
+        builder.environment().put("QUARTZSPAN_CONFIG", settings.toString());
+        this.process = builder.inheritIO().start();
+    }
+
+    Client client() throws IOException {
+        return new Client(InetAddress.getByName(HOST), frontendPort);
+    }
+
+    /** Asks until the readiness has a status; fails after some time. */
+    void awaitReadiness(int status) {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Peers.PATIENCE_S);
+        while (readiness() != status) {
+            if (System.nanoTime() > end) {
+                throw new AssertionError("the readiness is never " + status);
+            }
+            Thread.onSpinWait();
+        }
+    }
+
+    private int readiness() {
+        try (Client client = new Client(InetAddress.getByName(HOST), readinessPort)) {
+            return client.write("GET /quartzspan/readiness HTTP/1.1\r\nHost: h\r\n\r\n")
+                    .read()
+                    .status();
+        } catch (IOException notListeningYet) {
+            return 0;
+        }
+    }
+
+    void signal(String name) throws Exception {
+        new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
+                .start()
+                .waitFor();
+    }
+
+    /** Whether the process ends by itself in time. */
+    boolean ends() throws InterruptedException {
+        return process.waitFor(Peers.PATIENCE_S, TimeUnit.SECONDS);
+    }
+
+    @Override
+    public void close() throws InterruptedException {
+        process.destroyForcibly().waitFor();
+    }
+}
