--- a/src/main/java/mulleinfront/proxy/ClientProxy.java
+++ b/src/main/java/quartzspan/clientproxy/ClientProxy.java
@@ -1,4 +1,4 @@
-package mulleinfront.proxy;
+package quartzspan.clientproxy;
 
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
@@ -23,15 +23,20 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
-import mulleinfront.Balancer;
-import mulleinfront.Balancer.AttemptEnd;
-import mulleinfront.Balancer.DedupScope;
-import mulleinfront.Balancer.Effect;
-import mulleinfront.Balancer.Endpoint;
-import mulleinfront.Balancer.Outcome;
-import mulleinfront.Balancer.Request;
-import mulleinfront.Balancer.RequestClass;
-import mulleinfront.Balancer.Source;
+import quartzspan.http.Call;
+import quartzspan.http.Clock;
+import quartzspan.http.Framing;
+import quartzspan.http.Frontend;
+import quartzspan.http.Upstream;
+import quartzspan.loadbalancing.Balancer;
+import quartzspan.loadbalancing.Balancer.AttemptEnd;
+import quartzspan.loadbalancing.Balancer.DedupScope;
+import quartzspan.loadbalancing.Balancer.Effect;
+import quartzspan.loadbalancing.Balancer.Endpoint;
+import quartzspan.loadbalancing.Balancer.Outcome;
+import quartzspan.loadbalancing.Balancer.Request;
+import quartzspan.loadbalancing.Balancer.RequestClass;
+import quartzspan.loadbalancing.Balancer.Source;
 
 /**
  * A client proxy on sockets: turns what happens on them into the module's events and carries out what it
@@ -55,7 +60,6 @@
     /** Whatever is open is answered this long before SIGKILL may come. */
     private static final long KILL_MARGIN_US = 100_000;
 
-    static final Upstream.Answer NO_BODY = new Upstream.Answer(new byte[0], null, null);
     /** How often a bind is tried again while the address is still in use, and the wait between. */
     private static final int BIND_AGAIN = 40;
 
@@ -203,7 +207,7 @@
             }
             listening.accept(proxy);
             proxy.listen();
-            System.err.println("mulleinfront: listening on " + NetUtil.toSocketAddressString(config.listen()));
+            System.err.println("quartzspan: listening on " + NetUtil.toSocketAddressString(config.listen()));
             return proxy;
         } catch (Exception e) {
             proxy.told.set(true);
@@ -246,7 +250,7 @@
         if (!told.compareAndSet(false, true)) {
             return group.terminationFuture();
         }
-        System.err.println("mulleinfront: told to end; finishing what is open");
+        System.err.println("quartzspan: told to end; finishing what is open");
         long longestMs = config.settings().classes().stream()
                         .mapToLong(RequestClass::deadlineUs)
                         .max()
@@ -321,7 +325,7 @@
             task.run();
         } catch (RuntimeException | LinkageError e) {
             // Exceptions thrown often come without a trace.
-            System.err.println("mulleinfront: " + e
+            System.err.println("quartzspan: " + e
                     + Arrays.stream(e.getStackTrace())
                             .limit(1)
                             .map(at -> " at " + at)
@@ -368,7 +372,7 @@
         long patience = Math.min(deadlineUs - Math.min(MARGIN_US, deadlineUs / 4), killAt - KILL_MARGIN_US - at);
         long budget = patience - Math.min(LAST_WORD_US, deadlineUs / 8) - (now() - at);
         if (budget <= 0) {
-            client.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, NO_BODY, comeBackUs());
+            client.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, Upstream.Answer.EMPTY, comeBackUs());
             return;
         }
         String key = h.contains("X-Key") ? String.join(",", h.getAll("X-Key")) : null;
@@ -437,7 +441,7 @@
                     || x.type.effect() == Effect.DEDUP && x.type.scope() == DedupScope.ALL;
             x.client.answer(
                     harmless ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.GATEWAY_TIMEOUT,
-                    NO_BODY,
+                    Upstream.Answer.EMPTY,
                     harmless ? comeBackUs() : 0);
             tellGone(x);
         }
@@ -538,7 +542,7 @@
         Exchange x = open.get(requestId);
         if (x != null && !x.answered) {
             over(x);
-            x.client.answer(status, NO_BODY, retryAfterUs);
+            x.client.answer(status, Upstream.Answer.EMPTY, retryAfterUs);
             forget(x);
         }
     }
--- a/src/main/java/mulleinfront/proxy/Config.java
+++ b/src/main/java/quartzspan/clientproxy/Config.java
@@ -1,4 +1,4 @@
-package mulleinfront.proxy;
+package quartzspan.clientproxy;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -7,8 +7,8 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import mulleinfront.Balancer.Settings;
-import mulleinfront.benchlink.SettingsReader;
+import quartzspan.loadbalancing.Balancer.Settings;
+import quartzspan.simulator.SettingsReader;
 
 /**
  * What a client proxy is told at its start.
--- a/src/main/java/mulleinfront/proxy/Discovery.java
+++ b/src/main/java/quartzspan/clientproxy/Discovery.java
@@ -1,4 +1,4 @@
-package mulleinfront.proxy;
+package quartzspan.clientproxy;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -29,9 +29,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import mulleinfront.Balancer.Availability;
-import mulleinfront.Balancer.Endpoint;
-import mulleinfront.Balancer.Source;
+import quartzspan.http.Upstream;
+import quartzspan.loadbalancing.Balancer.Availability;
+import quartzspan.loadbalancing.Balancer.Endpoint;
+import quartzspan.loadbalancing.Balancer.Source;
 
 /**
  * Discovery's watch, and the hosts as last listed. A watch that ends, falls silent or talks nonsense has
@@ -166,10 +167,10 @@
                 continue;
             }
             Upstream.Host host = hosts.computeIfAbsent(e.id(), Upstream.Host::new);
-            boolean moved = host.address != null && !host.address.equals(e.address());
-            host.address = e.address();
-            host.ready = e.availability() == Availability.READY;
-            if (moved || !host.ready) {
+            boolean moved = host.address() != null && !host.address().equals(e.address());
+            boolean ready = e.availability() == Availability.READY;
+            host.listed(e.address(), ready, Upstream.Host.UNBOUNDED);
+            if (moved || !ready) {
                 upstream.hangUp(host);
             }
         }
@@ -179,8 +180,8 @@
 
     private void drop(Upstream.Host host) {
         if (host != null) {
-            host.ready = false;
-            hosts.remove(host.id);
+            host.drain();
+            hosts.remove(host.id());
             upstream.hangUp(host);
         }
     }
@@ -255,8 +256,8 @@
             if (watch == this) {
                 watch = null;
                 if (heard) {
-                    System.err.println("mulleinfront: the watch of " + NetUtil.toSocketAddressString(address)
-                            + " failed: " + cause);
+                    System.err.println(
+                            "quartzspan: the watch of " + NetUtil.toSocketAddressString(address) + " failed: " + cause);
                 }
                 listener.failed();
             }
--- a/src/main/java/mulleinfront/proxy/Listing.java
+++ b/src/main/java/quartzspan/clientproxy/Listing.java
@@ -1,4 +1,4 @@
-package mulleinfront.proxy;
+package quartzspan.clientproxy;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -9,7 +9,7 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import mulleinfront.Balancer.Availability;
+import quartzspan.loadbalancing.Balancer.Availability;
 
 /** A list of hosts in discovery's form: the whole one or, with {@code full} false, what has changed. */
 record Listing(long version, boolean full, List<Entry> entries) {
--- a/src/main/java/mulleinfront/Main.java
+++ b/src/main/java/quartzspan/clientproxy/Main.java
@@ -1,4 +1,4 @@
-package mulleinfront;
+package quartzspan.clientproxy;
 
 import io.netty.util.internal.logging.InternalLoggerFactory;
 import io.netty.util.internal.logging.JdkLoggerFactory;
@@ -12,13 +12,11 @@
 import java.util.logging.LogManager;
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
-import mulleinfront.benchlink.Adapter;
-import mulleinfront.proxy.ClientProxy;
-import mulleinfront.proxy.Config;
+import quartzspan.simulator.Adapter;
 import sun.misc.Signal;
 
 /**
- * Command line entry: {@code java -jar mulleinfront.jar serve}, or {@code benchlink} for the bench;
+ * Command line entry: {@code java -jar quartzspan.jar serve}, or {@code simulator} for the bench;
  * {@code warmup} is for the build.
  */
 public final class Main {
@@ -28,22 +26,22 @@
      * Starts the client proxy that {@code NODE_CONFIG} describes, or the bench adapter on standard input
      * and output.
      *
-     * @param args exactly one word, {@code serve}, {@code benchlink} or {@code warmup}
+     * @param args exactly one word, {@code serve}, {@code simulator} or {@code warmup}
      */
     public static void main(String[] args) {
         String mode = args.length == 1 ? args[0] : "";
         try {
             switch (mode) {
-                case "benchlink" -> Adapter.run(System.in, System.out);
+                case "simulator" -> Adapter.run(System.in, System.out);
                 case "serve" -> serve();
                 case "warmup" -> warmUp();
                 default -> {
-                    System.err.println("usage: java -jar mulleinfront.jar serve|benchlink|warmup");
+                    System.err.println("usage: java -jar quartzspan.jar serve|simulator|warmup");
                     System.exit(2);
                 }
             }
         } catch (Exception e) {
-            System.err.println("mulleinfront: " + Adapter.plain(e));
+            System.err.println("quartzspan: " + Adapter.plain(e));
             System.exit(1);
         }
     }
@@ -90,7 +88,7 @@
         try {
             proxy.reload(Config.load(file));
         } catch (IOException | RuntimeException e) {
-            System.err.println("mulleinfront: the configuration stays as it was: " + Adapter.plain(e));
+            System.err.println("quartzspan: the configuration stays as it was: " + Adapter.plain(e));
         }
     }
 
@@ -104,8 +102,8 @@
         Logger.getLogger("").addHandler(new Handler() {
             @Override
             public void publish(LogRecord line) {
-                System.err.println("mulleinfront: " + line.getMessage()
-                        + (line.getThrown() == null ? "" : ": " + line.getThrown()));
+                System.err.println(
+                        "quartzspan: " + line.getMessage() + (line.getThrown() == null ? "" : ": " + line.getThrown()));
             }
 
             @Override
--- a/src/main/java/mulleinfront/proxy/WarmUp.java
+++ b/src/main/java/quartzspan/clientproxy/WarmUp.java
@@ -1,4 +1,4 @@
-package mulleinfront.proxy;
+package quartzspan.clientproxy;
 
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
@@ -10,15 +10,18 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import mulleinfront.Balancer;
-import mulleinfront.Balancer.AttemptEnd;
-import mulleinfront.Balancer.Availability;
-import mulleinfront.Balancer.Effect;
-import mulleinfront.Balancer.Endpoint;
-import mulleinfront.Balancer.Outcome;
-import mulleinfront.Balancer.Request;
-import mulleinfront.Balancer.RequestClass;
-import mulleinfront.Balancer.Source;
+import quartzspan.http.Call;
+import quartzspan.http.Frontend;
+import quartzspan.http.Upstream;
+import quartzspan.loadbalancing.Balancer;
+import quartzspan.loadbalancing.Balancer.AttemptEnd;
+import quartzspan.loadbalancing.Balancer.Availability;
+import quartzspan.loadbalancing.Balancer.Effect;
+import quartzspan.loadbalancing.Balancer.Endpoint;
+import quartzspan.loadbalancing.Balancer.Outcome;
+import quartzspan.loadbalancing.Balancer.Request;
+import quartzspan.loadbalancing.Balancer.RequestClass;
+import quartzspan.loadbalancing.Balancer.Source;
 
 /**
  * Runs the code of a request's way some hundred times before the first one comes: what the JVM has not yet
--- a/src/main/java/quartzspan/controlplane/CallTable.java
+++ b/src/main/java/quartzspan/controlplane/CallTable.java
@@ -7,12 +7,12 @@
 import java.nio.charset.StandardCharsets;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import mulleinfront.proxy.Frontend.Client;
-import mulleinfront.proxy.Upstream.Answer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import quartzspan.common.FleetException;
 import quartzspan.common.JsonLines;
+import quartzspan.http.Frontend.Client;
+import quartzspan.http.Upstream.Answer;
 
 /** The calls that servers and operators make, each declared beside its handler. */
 final class CallTable {
--- a/src/main/java/quartzspan/controlplane/ServerCalls.java
+++ b/src/main/java/quartzspan/controlplane/ServerCalls.java
@@ -3,8 +3,8 @@
 import io.netty.handler.codec.http.HttpRequest;
 import java.util.function.IntSupplier;
 import java.util.function.LongSupplier;
-import mulleinfront.proxy.Frontend.Client;
 import quartzspan.common.FleetException;
+import quartzspan.http.Frontend.Client;
 import quartzspan.registry.RegistryEntry;
 
 /** The calls that servers make: heartbeats, and the word that they leave. */
--- a/src/main/java/quartzspan/controlplane/ServerClient.java
+++ b/src/main/java/quartzspan/controlplane/ServerClient.java
@@ -10,11 +10,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.function.Predicate;
-import mulleinfront.Balancer.Outcome;
-import mulleinfront.proxy.Call;
-import mulleinfront.proxy.Upstream;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import quartzspan.http.Call;
+import quartzspan.http.Upstream;
+import quartzspan.loadbalancing.Balancer.Outcome;
 import quartzspan.registry.Server;
 
 /** The core machine's own calls to servers, over connections that are kept: a new one costs a server as much as a small request. */
--- a/src/main/java/quartzspan/frontend/Prompt.java
+++ b/src/main/java/quartzspan/frontend/Prompt.java
@@ -1,7 +1,7 @@
 package quartzspan.frontend;
 
 import java.util.Arrays;
-import mulleinfront.proxy.Framing;
+import quartzspan.http.Framing;
 import quartzspan.promptindex.PromptIndex;
 
 /** The prompt of a request, by its parts; {@code wall} is what keeps apart what tenants may not share. */
--- a/src/main/java/quartzspan/frontend/ProxiedRequest.java
+++ b/src/main/java/quartzspan/frontend/ProxiedRequest.java
@@ -11,14 +11,14 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import mulleinfront.Balancer.Outcome;
-import mulleinfront.Placement.Job;
-import mulleinfront.proxy.Call;
-import mulleinfront.proxy.Frontend;
-import mulleinfront.proxy.Upstream;
-import mulleinfront.proxy.Upstream.Answer;
-import mulleinfront.proxy.Upstream.Match;
 import quartzspan.configuration.Configuration.Route;
+import quartzspan.http.Call;
+import quartzspan.http.Frontend;
+import quartzspan.http.Upstream;
+import quartzspan.http.Upstream.Answer;
+import quartzspan.http.Upstream.Match;
+import quartzspan.loadbalancing.Balancer.Outcome;
+import quartzspan.loadbalancing.Placement.Job;
 import quartzspan.promptindex.PromptIndex;
 
 /** One request on its way: from its client to a server, to another if it surely has not run, and the answer back. */
--- a/src/main/java/mulleinfront/proxy/Call.java
+++ b/src/main/java/quartzspan/http/Call.java
@@ -1,4 +1,4 @@
-package mulleinfront.proxy;
+package quartzspan.http;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -14,7 +14,7 @@
 
 /** A request as it goes on to a host: all that the client sent but what concerns its own connection. */
 public record Call(String method, String uri, HttpHeaders headers, byte[] body) {
-    static final AsciiString DEADLINE = AsciiString.cached("x-deadline-ms");
+    public static final AsciiString DEADLINE = AsciiString.cached("x-deadline-ms");
 
     /** Hop-by-hop headers (RFC 9110, 7.6.1), and those that are written anew for each attempt. */
     private static final List<AsciiString> OWN = List.of(
@@ -38,7 +38,7 @@
     }
 
     /** A probe. */
-    static Call health() {
+    public static Call health() {
         return new Call(
                 "GET", "/-/healthy", new DefaultHttpHeaders().set(HttpHeaderNames.HOST, "origin.svc"), new byte[0]);
     }
--- a/src/main/java/mulleinfront/proxy/Clock.java
+++ b/src/main/java/quartzspan/http/Clock.java
@@ -1,4 +1,4 @@
-package mulleinfront.proxy;
+package quartzspan.http;
 
 /**
  * The module's clock: microseconds since the epoch, so that a host's {@code started_ms} compares with it.
--- a/src/main/java/mulleinfront/proxy/Framing.java
+++ b/src/main/java/quartzspan/http/Framing.java
@@ -1,4 +1,4 @@
-package mulleinfront.proxy;
+package quartzspan.http;
 
 import io.netty.handler.codec.http.HttpDecoderConfig;
 import io.netty.handler.codec.http.HttpHeaderNames;
@@ -18,9 +18,9 @@
  * in the middle must not: what the two sides of it read differently hides a second request or a cut answer.
  */
 public final class Framing {
-    static final int MOST_BODY = 64 * 1024;
+    public static final int MOST_BODY = 64 * 1024;
     /** The codec's own bound of a head. */
-    static final int MOST_HEAD = 8 * 1024;
+    public static final int MOST_HEAD = 8 * 1024;
 
     private static HttpDecoderConfig strict(int mostHead) {
         return new HttpDecoderConfig()
--- a/src/main/java/mulleinfront/proxy/Frontend.java
+++ b/src/main/java/quartzspan/http/Frontend.java
@@ -1,4 +1,4 @@
-package mulleinfront.proxy;
+package quartzspan.http;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -432,7 +432,7 @@
         }
 
         public void answer(HttpResponseStatus status) {
-            answer(status, ClientProxy.NO_BODY, 0);
+            answer(status, Upstream.Answer.EMPTY, 0);
         }
 
         /** The final answer of the request at hand; the next has its turn when this one is written. */
--- a/src/main/java/mulleinfront/proxy/IdleLimit.java
+++ b/src/main/java/quartzspan/http/IdleLimit.java
@@ -1,4 +1,4 @@
-package mulleinfront.proxy;
+package quartzspan.http;
 
 /**
  * How long a connection to a server may have been idle and still be used. A server may forget idle connections sooner than
--- a/src/main/java/mulleinfront/proxy/Upstream.java
+++ b/src/main/java/quartzspan/http/Upstream.java
@@ -1,4 +1,4 @@
-package mulleinfront.proxy;
+package quartzspan.http;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -33,7 +33,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import mulleinfront.Balancer.Outcome;
+import quartzspan.loadbalancing.Balancer.Outcome;
 
 /**
  * Connections to hosts, one request at a time on each, and the attempts made on them. It resends nothing:
@@ -112,11 +112,14 @@
 
     /** A host as last listed; all fields are discovery's to set. */
     public static final class Host {
+        /** No bound of connections but that of all together. */
+        public static final int UNBOUNDED = Integer.MAX_VALUE;
+
         final String id;
         InetSocketAddress address;
         boolean ready;
         /** Connections it may have of us at once. */
-        private int most = Integer.MAX_VALUE;
+        private int most = UNBOUNDED;
 
         private int made;
         private final ArrayDeque<Connection> idle = new ArrayDeque<>();
@@ -125,6 +128,20 @@
             this.id = id;
         }
 
+        public String id() {
+            return id;
+        }
+
+        /** Where it is reached; null before it is listed. */
+        public InetSocketAddress address() {
+            return address;
+        }
+
+        /** From now on nothing more is sent to it. */
+        public void drain() {
+            ready = false;
+        }
+
         /** What was heard of it. */
         public void listed(InetSocketAddress at, boolean isReady, int mostConnections) {
             address = at;
@@ -144,7 +161,10 @@
     }
 
     /** A host's whole answer; {@code headers} where the reading asks for them, else null. */
-    public record Answer(byte[] body, String contentType, HttpHeaders headers) {}
+    public record Answer(byte[] body, String contentType, HttpHeaders headers) {
+        /** An answer without a body. */
+        public static final Answer EMPTY = new Answer(new byte[0], null, null);
+    }
 
     /** Told once how an attempt ended; {@code answer} is null unless there is one to pass on. */
     public interface End {
@@ -191,7 +211,7 @@
      *
      * @param wanted whether the request still waits for an answer
      */
-    Attempt attempt(Host host, Call call, long timeoutUs, BooleanSupplier wanted, End end) {
+    public Attempt attempt(Host host, Call call, long timeoutUs, BooleanSupplier wanted, End end) {
         return attempt(host, call, timeoutUs, wanted, OWN, end);
     }
 
--- a/src/main/java/mulleinfront/Balancer.java
+++ b/src/main/java/quartzspan/loadbalancing/Balancer.java
@@ -1,4 +1,4 @@
-package mulleinfront;
+package quartzspan.loadbalancing;
 
 import java.util.List;
 
--- a/src/main/java/mulleinfront/Logic.java
+++ b/src/main/java/quartzspan/loadbalancing/Logic.java
@@ -1,6 +1,6 @@
-package mulleinfront;
+package quartzspan.loadbalancing;
 
-import static mulleinfront.Ring.HASH;
+import static quartzspan.loadbalancing.Ring.HASH;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -9,12 +9,12 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
-import mulleinfront.State.Attempt;
-import mulleinfront.State.Node;
-import mulleinfront.State.Req;
+import quartzspan.loadbalancing.State.Attempt;
+import quartzspan.loadbalancing.State.Node;
+import quartzspan.loadbalancing.State.Req;
 
 /**
- * Every decision of mulleinfront; types, events and actions are in {@link Balancer} (Balancer.java).
+ * Every decision of the client proxy; types, events and actions are in {@link Balancer} (Balancer.java).
  *
  * <p>The path of a request. Where the whole fleet is late, only a share is admitted, by worth. It is given a
  * point on the ring: the hash of its key, or a random one. From there {@link #pick} walks the ring to the
--- a/src/main/java/mulleinfront/Placement.java
+++ b/src/main/java/quartzspan/loadbalancing/Placement.java
@@ -1,4 +1,4 @@
-package mulleinfront;
+package quartzspan.loadbalancing;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import mulleinfront.Balancer.Outcome;
+import quartzspan.loadbalancing.Balancer.Outcome;
 
 /**
  * Where a proxy of the fleet sends each request: ring hash as in gRPC A76, one ring for each service, for servers that run
--- a/src/main/java/mulleinfront/Ring.java
+++ b/src/main/java/quartzspan/loadbalancing/Ring.java
@@ -1,4 +1,4 @@
-package mulleinfront;
+package quartzspan.loadbalancing;
 
 import com.dynatrace.hash4j.hashing.Hasher64;
 import com.dynatrace.hash4j.hashing.Hashing;
--- a/src/main/java/mulleinfront/State.java
+++ b/src/main/java/quartzspan/loadbalancing/State.java
@@ -1,10 +1,10 @@
-package mulleinfront;
+package quartzspan.loadbalancing;
 
 import java.util.ArrayList;
 import java.util.List;
-import mulleinfront.Balancer.Outcome;
-import mulleinfront.Balancer.Request;
-import mulleinfront.Balancer.RequestClass;
+import quartzspan.loadbalancing.Balancer.Outcome;
+import quartzspan.loadbalancing.Balancer.Request;
+import quartzspan.loadbalancing.Balancer.RequestClass;
 
 /** What {@link Logic} remembers of endpoints, requests and attempts; it holds figures and decides nothing. */
 final class State {
--- a/src/main/java/quartzspan/localrun/Main.java
+++ b/src/main/java/quartzspan/localrun/Main.java
@@ -21,10 +21,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.Stream;
-import mulleinfront.proxy.Frontend;
-import mulleinfront.proxy.Upstream;
 import quartzspan.common.Settings;
 import quartzspan.configuration.Configuration;
+import quartzspan.http.Frontend;
+import quartzspan.http.Upstream;
 
 /**
  * For the build: starts a core machine, a proxy and a stand-in server on loopback in one process, carries a few requests and
--- a/src/main/java/mulleinfront/benchlink/Adapter.java
+++ b/src/main/java/quartzspan/simulator/Adapter.java
@@ -1,4 +1,4 @@
-package mulleinfront.benchlink;
+package quartzspan.simulator;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -11,13 +11,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
-import mulleinfront.Balancer;
-import mulleinfront.Balancer.Actions;
-import mulleinfront.Balancer.AttemptEnd;
-import mulleinfront.Balancer.Endpoint;
-import mulleinfront.Balancer.Outcome;
-import mulleinfront.Balancer.Request;
-import mulleinfront.Balancer.Source;
+import quartzspan.loadbalancing.Balancer;
+import quartzspan.loadbalancing.Balancer.Actions;
+import quartzspan.loadbalancing.Balancer.AttemptEnd;
+import quartzspan.loadbalancing.Balancer.Endpoint;
+import quartzspan.loadbalancing.Balancer.Outcome;
+import quartzspan.loadbalancing.Balancer.Request;
+import quartzspan.loadbalancing.Balancer.Source;
 
 /** Speaks the bench's wire and hosts one {@link Balancer} for each instance; decides nothing. */
 public final class Adapter {
--- a/src/main/java/mulleinfront/benchlink/EventReader.java
+++ b/src/main/java/quartzspan/simulator/EventReader.java
@@ -1,12 +1,12 @@
-package mulleinfront.benchlink;
+package quartzspan.simulator;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import mulleinfront.Balancer.Availability;
-import mulleinfront.Balancer.Endpoint;
+import quartzspan.loadbalancing.Balancer.Availability;
+import quartzspan.loadbalancing.Balancer.Endpoint;
 
 /** Reads the groups of a batch into events that are used again from batch to batch. */
 final class EventReader {
--- a/src/main/java/mulleinfront/benchlink/SettingsReader.java
+++ b/src/main/java/quartzspan/simulator/SettingsReader.java
@@ -1,4 +1,4 @@
-package mulleinfront.benchlink;
+package quartzspan.simulator;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -7,12 +7,12 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import mulleinfront.Balancer.Contract;
-import mulleinfront.Balancer.DedupScope;
-import mulleinfront.Balancer.Effect;
-import mulleinfront.Balancer.Limits;
-import mulleinfront.Balancer.RequestClass;
-import mulleinfront.Balancer.Settings;
+import quartzspan.loadbalancing.Balancer.Contract;
+import quartzspan.loadbalancing.Balancer.DedupScope;
+import quartzspan.loadbalancing.Balancer.Effect;
+import quartzspan.loadbalancing.Balancer.Limits;
+import quartzspan.loadbalancing.Balancer.RequestClass;
+import quartzspan.loadbalancing.Balancer.Settings;
 
 /**
  * The settings of a start, kept as read so that what is wrong with them can be said by name, and the
--- a/src/main/java/mulleinfront/benchlink/WireException.java
+++ b/src/main/java/quartzspan/simulator/WireException.java
@@ -1,4 +1,4 @@
-package mulleinfront.benchlink;
+package quartzspan.simulator;
 
 import java.io.IOException;
 
--- a/src/main/java/quartzspan/transport/TcpTransport.java
+++ b/src/main/java/quartzspan/transport/TcpTransport.java
@@ -22,10 +22,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import mulleinfront.proxy.Upstream;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import quartzspan.common.FleetException;
+import quartzspan.http.Upstream;
 import quartzspan.transport.MessageCodec.Hello;
 
 /**
--- a/src/test/java/example/EmbeddingTest.java
+++ b/src/test/java/example/EmbeddingTest.java
@@ -7,20 +7,20 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import mulleinfront.Balancer;
-import mulleinfront.Balancer.Actions;
-import mulleinfront.Balancer.AttemptEnd;
-import mulleinfront.Balancer.Availability;
-import mulleinfront.Balancer.Contract;
-import mulleinfront.Balancer.Effect;
-import mulleinfront.Balancer.Endpoint;
-import mulleinfront.Balancer.Limits;
-import mulleinfront.Balancer.Outcome;
-import mulleinfront.Balancer.Request;
-import mulleinfront.Balancer.RequestClass;
-import mulleinfront.Balancer.Settings;
-import mulleinfront.Balancer.Source;
 import org.junit.jupiter.api.Test;
+import quartzspan.loadbalancing.Balancer;
+import quartzspan.loadbalancing.Balancer.Actions;
+import quartzspan.loadbalancing.Balancer.AttemptEnd;
+import quartzspan.loadbalancing.Balancer.Availability;
+import quartzspan.loadbalancing.Balancer.Contract;
+import quartzspan.loadbalancing.Balancer.Effect;
+import quartzspan.loadbalancing.Balancer.Endpoint;
+import quartzspan.loadbalancing.Balancer.Limits;
+import quartzspan.loadbalancing.Balancer.Outcome;
+import quartzspan.loadbalancing.Balancer.Request;
+import quartzspan.loadbalancing.Balancer.RequestClass;
+import quartzspan.loadbalancing.Balancer.Settings;
+import quartzspan.loadbalancing.Balancer.Source;
 
 /** The README's example, from another package, with actions that write down what they are told. */
 class EmbeddingTest {
--- a/src/test/java/quartzspan/ArchitectureTest.java
+++ b/src/test/java/quartzspan/ArchitectureTest.java
@@ -1,5 +1,8 @@
 package quartzspan;
 
+import static com.tngtech.archunit.base.DescribedPredicate.not;
+import static com.tngtech.archunit.core.domain.JavaClass.Predicates.resideInAPackage;
+import static com.tngtech.archunit.core.domain.JavaClass.Predicates.resideInAnyPackage;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 
 import com.tngtech.archunit.core.domain.JavaClasses;
@@ -11,18 +14,17 @@
 class ArchitectureTest {
     private static final JavaClasses ALL = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
-            .importPackages("quartzspan", "mulleinfront");
+            .importPackages("quartzspan");
 
     @Test
     void theModuleKnowsNobody() {
         noClasses()
                 .that()
-                .resideInAPackage("mulleinfront")
-                .and()
-                .haveSimpleNameNotContaining("Main")
+                .resideInAPackage("quartzspan.loadbalancing")
                 .should()
-                .dependOnClassesThat()
-                .resideInAnyPackage("quartzspan..", "mulleinfront.proxy", "io.netty..", "java.net..")
+                .dependOnClassesThat(resideInAPackage("quartzspan..")
+                        .and(not(resideInAPackage("quartzspan.loadbalancing")))
+                        .or(resideInAnyPackage("io.netty..", "java.net..")))
                 .check(ALL);
     }
 
@@ -30,10 +32,14 @@
     void theOldProgramKnowsNothingOfTheFleet() {
         noClasses()
                 .that()
-                .resideInAPackage("mulleinfront..")
+                .resideInAnyPackage("quartzspan.clientproxy", "quartzspan.http", "quartzspan.simulator")
                 .should()
-                .dependOnClassesThat()
-                .resideInAPackage("quartzspan..")
+                .dependOnClassesThat(resideInAPackage("quartzspan..")
+                        .and(not(resideInAnyPackage(
+                                "quartzspan.clientproxy",
+                                "quartzspan.http",
+                                "quartzspan.simulator",
+                                "quartzspan.loadbalancing"))))
                 .check(ALL);
     }
 
--- a/src/test/java/mulleinfront/proxy/BadClientsTest.java
+++ b/src/test/java/quartzspan/clientproxy/BadClientsTest.java
@@ -1,4 +1,4 @@
-package mulleinfront.proxy;
+package quartzspan.clientproxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,13 +11,14 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import mulleinfront.Balancer.AttemptEnd;
-import mulleinfront.Balancer.Outcome;
-import mulleinfront.proxy.Peers.Client;
-import mulleinfront.proxy.Peers.Message;
-import mulleinfront.proxy.Peers.Seen;
-import mulleinfront.proxy.Peers.Server;
 import org.junit.jupiter.api.Test;
+import quartzspan.http.Peers;
+import quartzspan.http.Peers.Client;
+import quartzspan.http.Peers.Message;
+import quartzspan.http.Peers.Seen;
+import quartzspan.http.Peers.Server;
+import quartzspan.loadbalancing.Balancer.AttemptEnd;
+import quartzspan.loadbalancing.Balancer.Outcome;
 
 /** Clients that do what the protocol does not ask of them. */
 class BadClientsTest extends ProxyRig {
--- a/src/test/java/mulleinfront/proxy/BadHostsTest.java
+++ b/src/test/java/quartzspan/clientproxy/BadHostsTest.java
@@ -1,4 +1,4 @@
-package mulleinfront.proxy;
+package quartzspan.clientproxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,12 +14,13 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import mulleinfront.Balancer.Outcome;
-import mulleinfront.proxy.Peers.Client;
-import mulleinfront.proxy.Peers.Message;
-import mulleinfront.proxy.Peers.Seen;
-import mulleinfront.proxy.Peers.Server;
 import org.junit.jupiter.api.Test;
+import quartzspan.http.Peers;
+import quartzspan.http.Peers.Client;
+import quartzspan.http.Peers.Message;
+import quartzspan.http.Peers.Seen;
+import quartzspan.http.Peers.Server;
+import quartzspan.loadbalancing.Balancer.Outcome;
 
 /** Answers that are spoilt, late or none, and what they prove. */
 class BadHostsTest extends ProxyRig {
--- a/src/test/java/mulleinfront/proxy/DiscoveryTest.java
+++ b/src/test/java/quartzspan/clientproxy/DiscoveryTest.java
@@ -1,4 +1,4 @@
-package mulleinfront.proxy;
+package quartzspan.clientproxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -13,13 +13,15 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import mulleinfront.Balancer.Endpoint;
-import mulleinfront.Balancer.Source;
-import mulleinfront.proxy.Peers.Client;
-import mulleinfront.proxy.Peers.Discovery;
-import mulleinfront.proxy.Peers.Seen;
-import mulleinfront.proxy.Peers.Server;
 import org.junit.jupiter.api.Test;
+import quartzspan.http.Peers;
+import quartzspan.http.Peers.Client;
+import quartzspan.http.Peers.Discovery;
+import quartzspan.http.Peers.Seen;
+import quartzspan.http.Peers.Server;
+import quartzspan.http.Upstream;
+import quartzspan.loadbalancing.Balancer.Endpoint;
+import quartzspan.loadbalancing.Balancer.Source;
 
 /** Lists of hosts, watches that fail, and a move to another discovery. */
 class DiscoveryTest extends ProxyRig {
@@ -274,8 +276,8 @@
         keep(() -> group.shutdownGracefully(0, 0, TimeUnit.SECONDS));
         EventLoop loop = group.next();
         loop.submit(() -> {
-                    mulleinfront.proxy.Discovery stopped = new mulleinfront.proxy.Discovery(
-                            config, loop, new Upstream(loop, 1, 1, 1), new mulleinfront.proxy.Discovery.Listener() {
+                    quartzspan.clientproxy.Discovery stopped = new quartzspan.clientproxy.Discovery(
+                            config, loop, new Upstream(loop, 1, 1, 1), new quartzspan.clientproxy.Discovery.Listener() {
                                 @Override
                                 public void listed(Source source, List<Endpoint> endpoints) {}
 
--- a/src/test/java/mulleinfront/proxy/LeavingTest.java
+++ b/src/test/java/quartzspan/clientproxy/LeavingTest.java
@@ -1,4 +1,4 @@
-package mulleinfront.proxy;
+package quartzspan.clientproxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,14 +8,15 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import mulleinfront.Balancer.AttemptEnd;
-import mulleinfront.Balancer.Outcome;
-import mulleinfront.proxy.Peers.Client;
-import mulleinfront.proxy.Peers.Deaf;
-import mulleinfront.proxy.Peers.Discovery;
-import mulleinfront.proxy.Peers.Seen;
-import mulleinfront.proxy.Peers.Server;
 import org.junit.jupiter.api.Test;
+import quartzspan.http.Peers;
+import quartzspan.http.Peers.Client;
+import quartzspan.http.Peers.Deaf;
+import quartzspan.http.Peers.Discovery;
+import quartzspan.http.Peers.Seen;
+import quartzspan.http.Peers.Server;
+import quartzspan.loadbalancing.Balancer.AttemptEnd;
+import quartzspan.loadbalancing.Balancer.Outcome;
 
 /** Clients that leave while their request waits: it is not sent on, whatever it waits for. */
 class LeavingTest extends ProxyRig {
--- a/src/test/java/mulleinfront/proxy/ProxyRig.java
+++ b/src/test/java/quartzspan/clientproxy/ProxyRig.java
@@ -1,4 +1,4 @@
-package mulleinfront.proxy;
+package quartzspan.clientproxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,18 +11,19 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import mulleinfront.Balancer;
-import mulleinfront.Balancer.Actions;
-import mulleinfront.Balancer.AttemptEnd;
-import mulleinfront.Balancer.Endpoint;
-import mulleinfront.Balancer.Outcome;
-import mulleinfront.Balancer.Request;
-import mulleinfront.Balancer.Source;
-import mulleinfront.proxy.Peers.Client;
-import mulleinfront.proxy.Peers.Discovery;
-import mulleinfront.proxy.Peers.Seen;
-import mulleinfront.proxy.Peers.Server;
 import org.junit.jupiter.api.AfterEach;
+import quartzspan.http.Peers;
+import quartzspan.http.Peers.Client;
+import quartzspan.http.Peers.Discovery;
+import quartzspan.http.Peers.Seen;
+import quartzspan.http.Peers.Server;
+import quartzspan.loadbalancing.Balancer;
+import quartzspan.loadbalancing.Balancer.Actions;
+import quartzspan.loadbalancing.Balancer.AttemptEnd;
+import quartzspan.loadbalancing.Balancer.Endpoint;
+import quartzspan.loadbalancing.Balancer.Outcome;
+import quartzspan.loadbalancing.Balancer.Request;
+import quartzspan.loadbalancing.Balancer.Source;
 
 /** The sockets under a module that does what the test says, so that each outcome can be seen by itself. */
 abstract class ProxyRig {
--- a/src/test/java/mulleinfront/proxy/ProxyTest.java
+++ b/src/test/java/quartzspan/clientproxy/ProxyTest.java
@@ -1,4 +1,4 @@
-package mulleinfront.proxy;
+package quartzspan.clientproxy;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -16,15 +16,16 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import mulleinfront.Balancer.AttemptEnd;
-import mulleinfront.Balancer.Outcome;
-import mulleinfront.proxy.Peers.Client;
-import mulleinfront.proxy.Peers.Deaf;
-import mulleinfront.proxy.Peers.Discovery;
-import mulleinfront.proxy.Peers.Message;
-import mulleinfront.proxy.Peers.Seen;
-import mulleinfront.proxy.Peers.Server;
 import org.junit.jupiter.api.Test;
+import quartzspan.http.Peers;
+import quartzspan.http.Peers.Client;
+import quartzspan.http.Peers.Deaf;
+import quartzspan.http.Peers.Discovery;
+import quartzspan.http.Peers.Message;
+import quartzspan.http.Peers.Seen;
+import quartzspan.http.Peers.Server;
+import quartzspan.loadbalancing.Balancer.AttemptEnd;
+import quartzspan.loadbalancing.Balancer.Outcome;
 
 /** Requests and attempts: what goes on to hosts and what comes back, when all behave. */
 class ProxyTest extends ProxyRig {
--- a/src/test/java/mulleinfront/proxy/RaceTest.java
+++ b/src/test/java/quartzspan/clientproxy/RaceTest.java
@@ -1,4 +1,4 @@
-package mulleinfront.proxy;
+package quartzspan.clientproxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,13 +7,14 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
-import mulleinfront.Balancer.AttemptEnd;
-import mulleinfront.Balancer.Outcome;
-import mulleinfront.proxy.Peers.Client;
-import mulleinfront.proxy.Peers.Discovery;
-import mulleinfront.proxy.Peers.Seen;
-import mulleinfront.proxy.Peers.Server;
 import org.junit.jupiter.api.Test;
+import quartzspan.http.Peers;
+import quartzspan.http.Peers.Client;
+import quartzspan.http.Peers.Discovery;
+import quartzspan.http.Peers.Seen;
+import quartzspan.http.Peers.Server;
+import quartzspan.loadbalancing.Balancer.AttemptEnd;
+import quartzspan.loadbalancing.Balancer.Outcome;
 
 /** News that meets a request, an answer or a signal on its way, each forced where two could cross. */
 class RaceTest extends ProxyRig {
--- a/src/test/java/mulleinfront/proxy/ServeTest.java
+++ b/src/test/java/quartzspan/clientproxy/ServeTest.java
@@ -1,4 +1,4 @@
-package mulleinfront.proxy;
+package quartzspan.clientproxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -18,14 +18,15 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Consumer;
-import mulleinfront.proxy.Peers.Client;
-import mulleinfront.proxy.Peers.Discovery;
-import mulleinfront.proxy.Peers.Message;
-import mulleinfront.proxy.Peers.Seen;
-import mulleinfront.proxy.Peers.Server;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import quartzspan.http.Peers;
+import quartzspan.http.Peers.Client;
+import quartzspan.http.Peers.Discovery;
+import quartzspan.http.Peers.Message;
+import quartzspan.http.Peers.Seen;
+import quartzspan.http.Peers.Server;
 
 /** The whole program, started as it is deployed, with the real module. */
 class ServeTest {
@@ -84,7 +85,7 @@
                         "-XX:TieredStopAtLevel=1",
                         "-cp",
                         System.getProperty("java.class.path"),
-                        "mulleinfront.Main",
+                        "quartzspan.clientproxy.Main",
                         "serve")
                 .redirectError(errors);
         builder.environment().put("NODE_CONFIG", file.toString());
@@ -236,7 +237,7 @@
         launch(good.replace("\"effect\":\"retryable\"", "\"effect\":\"odd\""), ProcessBuilder.Redirect.to(errors));
         assertTrue(process.waitFor(Peers.PATIENCE_S, TimeUnit.SECONDS));
         assertEquals(1, process.exitValue());
-        assertEquals("mulleinfront: settings: safe: unknown effect odd\n", Files.readString(errors.toPath()));
+        assertEquals("quartzspan: settings: safe: unknown effect odd\n", Files.readString(errors.toPath()));
     }
 
     @Test
@@ -248,7 +249,7 @@
             assertFalse(process.exitValue() == 0);
             List<String> lines = Files.readAllLines(errors.toPath());
             assertEquals(1, lines.size(), lines.toString());
-            assertTrue(lines.get(0).startsWith("mulleinfront: can't listen on "), lines.get(0));
+            assertTrue(lines.get(0).startsWith("quartzspan: can't listen on "), lines.get(0));
         }
     }
 }
--- a/src/test/java/quartzspan/controlplane/ServerClientTest.java
+++ b/src/test/java/quartzspan/controlplane/ServerClientTest.java
@@ -19,10 +19,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.BooleanSupplier;
-import mulleinfront.proxy.Upstream;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import quartzspan.http.Upstream;
 import quartzspan.registry.RegistryEntry;
 import quartzspan.registry.Server;
 
--- a/src/test/java/quartzspan/frontend/AnswersTest.java
+++ b/src/test/java/quartzspan/frontend/AnswersTest.java
@@ -4,10 +4,10 @@
 
 import java.net.Socket;
 import java.util.concurrent.atomic.AtomicReference;
-import mulleinfront.proxy.Peers.Client;
-import mulleinfront.proxy.Peers.Message;
-import mulleinfront.proxy.Peers.Server;
 import org.junit.jupiter.api.Test;
+import quartzspan.http.Peers.Client;
+import quartzspan.http.Peers.Message;
+import quartzspan.http.Peers.Server;
 
 /** One answer belongs to one request: what servers send late, twice or without their marks is never another's. */
 class AnswersTest extends FrontendRig {
--- a/src/test/java/quartzspan/frontend/FrontendRig.java
+++ b/src/test/java/quartzspan/frontend/FrontendRig.java
@@ -11,17 +11,17 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import mulleinfront.proxy.Peers;
-import mulleinfront.proxy.Peers.Client;
-import mulleinfront.proxy.Peers.Message;
-import mulleinfront.proxy.Peers.Seen;
-import mulleinfront.proxy.Peers.Server;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.io.TempDir;
 import quartzspan.common.Settings;
 import quartzspan.controlplane.ControlPlane;
+import quartzspan.http.Peers;
+import quartzspan.http.Peers.Client;
+import quartzspan.http.Peers.Message;
+import quartzspan.http.Peers.Seen;
+import quartzspan.http.Peers.Server;
 
 /**
  * A core machine and a frontend proxy in this process, and model servers that are plain sockets under a test's script. Each
--- a/src/test/java/quartzspan/frontend/GracefulShutdownTest.java
+++ b/src/test/java/quartzspan/frontend/GracefulShutdownTest.java
@@ -8,10 +8,10 @@
 import java.io.IOException;
 import java.net.SocketTimeoutException;
 import java.util.concurrent.CountDownLatch;
-import mulleinfront.proxy.Peers.Client;
-import mulleinfront.proxy.Peers.Message;
-import mulleinfront.proxy.Peers.Server;
 import org.junit.jupiter.api.Test;
+import quartzspan.http.Peers.Client;
+import quartzspan.http.Peers.Message;
+import quartzspan.http.Peers.Server;
 
 /** A proxy that gets SIGTERM finishes what it has forwarded, and forwards nothing that it may not finish. */
 class GracefulShutdownTest extends FrontendRig {
--- a/src/test/java/quartzspan/frontend/ProxyProcess.java
+++ b/src/test/java/quartzspan/frontend/ProxyProcess.java
@@ -4,8 +4,8 @@
 import java.net.InetAddress;
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
-import mulleinfront.proxy.Peers;
-import mulleinfront.proxy.Peers.Client;
+import quartzspan.http.Peers;
+import quartzspan.http.Peers.Client;
 
 /** The frontend program as a process that gets signals, at a loopback address of its own. */
 final class ProxyProcess implements AutoCloseable {
--- a/src/test/java/quartzspan/frontend/ResendsTest.java
+++ b/src/test/java/quartzspan/frontend/ResendsTest.java
@@ -16,12 +16,12 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentLinkedQueue;
-import mulleinfront.proxy.Peers;
-import mulleinfront.proxy.Peers.Client;
-import mulleinfront.proxy.Peers.Message;
-import mulleinfront.proxy.Peers.Seen;
-import mulleinfront.proxy.Peers.Server;
 import org.junit.jupiter.api.Test;
+import quartzspan.http.Peers;
+import quartzspan.http.Peers.Client;
+import quartzspan.http.Peers.Message;
+import quartzspan.http.Peers.Seen;
+import quartzspan.http.Peers.Server;
 
 /** A request that may run once is written once, whatever becomes of its connection; and what its client is told then. */
 class ResendsTest extends FrontendRig {
--- a/src/test/java/mulleinfront/proxy/IdleLimitTest.java
+++ b/src/test/java/quartzspan/http/IdleLimitTest.java
@@ -1,4 +1,4 @@
-package mulleinfront.proxy;
+package quartzspan.http;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/mulleinfront/proxy/Peers.java
+++ b/src/test/java/quartzspan/http/Peers.java
@@ -1,4 +1,4 @@
-package mulleinfront.proxy;
+package quartzspan.http;
 
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
--- a/src/test/java/mulleinfront/FleetTest.java
+++ b/src/test/java/quartzspan/loadbalancing/FleetTest.java
@@ -1,4 +1,4 @@
-package mulleinfront;
+package quartzspan.loadbalancing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -9,14 +9,14 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import mulleinfront.Balancer.Availability;
-import mulleinfront.Balancer.Effect;
-import mulleinfront.Balancer.Endpoint;
-import mulleinfront.Balancer.Outcome;
-import mulleinfront.Balancer.Request;
-import mulleinfront.Balancer.RequestClass;
-import mulleinfront.Balancer.Source;
 import org.junit.jupiter.api.Test;
+import quartzspan.loadbalancing.Balancer.Availability;
+import quartzspan.loadbalancing.Balancer.Effect;
+import quartzspan.loadbalancing.Balancer.Endpoint;
+import quartzspan.loadbalancing.Balancer.Outcome;
+import quartzspan.loadbalancing.Balancer.Request;
+import quartzspan.loadbalancing.Balancer.RequestClass;
+import quartzspan.loadbalancing.Balancer.Source;
 
 /** What goes wrong only where hundreds of instances each send little. */
 class FleetTest {
--- a/src/test/java/mulleinfront/LogicTest.java
+++ b/src/test/java/quartzspan/loadbalancing/LogicTest.java
@@ -1,4 +1,4 @@
-package mulleinfront;
+package quartzspan.loadbalancing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -14,13 +14,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import mulleinfront.Balancer.Availability;
-import mulleinfront.Balancer.Effect;
-import mulleinfront.Balancer.Endpoint;
-import mulleinfront.Balancer.Outcome;
-import mulleinfront.Balancer.RequestClass;
-import mulleinfront.Balancer.Source;
 import org.junit.jupiter.api.Test;
+import quartzspan.loadbalancing.Balancer.Availability;
+import quartzspan.loadbalancing.Balancer.Effect;
+import quartzspan.loadbalancing.Balancer.Endpoint;
+import quartzspan.loadbalancing.Balancer.Outcome;
+import quartzspan.loadbalancing.Balancer.RequestClass;
+import quartzspan.loadbalancing.Balancer.Source;
 
 /** One small test for each decision and for each failure found. */
 class LogicTest {
--- a/src/test/java/mulleinfront/PlacementTest.java
+++ b/src/test/java/quartzspan/loadbalancing/PlacementTest.java
@@ -1,4 +1,4 @@
-package mulleinfront;
+package quartzspan.loadbalancing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,9 +10,9 @@
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
-import mulleinfront.Balancer.Outcome;
-import mulleinfront.Placement.Job;
 import org.junit.jupiter.api.Test;
+import quartzspan.loadbalancing.Balancer.Outcome;
+import quartzspan.loadbalancing.Placement.Job;
 
 /** The design on the fleet's ordinary path: points from ids, the next usable owner, one connection at a time. */
 class PlacementTest {
--- a/src/test/java/mulleinfront/Rig.java
+++ b/src/test/java/quartzspan/loadbalancing/Rig.java
@@ -1,22 +1,22 @@
-package mulleinfront;
+package quartzspan.loadbalancing;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import mulleinfront.Balancer.Actions;
-import mulleinfront.Balancer.AttemptEnd;
-import mulleinfront.Balancer.Availability;
-import mulleinfront.Balancer.Contract;
-import mulleinfront.Balancer.DedupScope;
-import mulleinfront.Balancer.Effect;
-import mulleinfront.Balancer.Endpoint;
-import mulleinfront.Balancer.Limits;
-import mulleinfront.Balancer.Outcome;
-import mulleinfront.Balancer.Request;
-import mulleinfront.Balancer.RequestClass;
-import mulleinfront.Balancer.Settings;
-import mulleinfront.Balancer.Source;
+import quartzspan.loadbalancing.Balancer.Actions;
+import quartzspan.loadbalancing.Balancer.AttemptEnd;
+import quartzspan.loadbalancing.Balancer.Availability;
+import quartzspan.loadbalancing.Balancer.Contract;
+import quartzspan.loadbalancing.Balancer.DedupScope;
+import quartzspan.loadbalancing.Balancer.Effect;
+import quartzspan.loadbalancing.Balancer.Endpoint;
+import quartzspan.loadbalancing.Balancer.Limits;
+import quartzspan.loadbalancing.Balancer.Outcome;
+import quartzspan.loadbalancing.Balancer.Request;
+import quartzspan.loadbalancing.Balancer.RequestClass;
+import quartzspan.loadbalancing.Balancer.Settings;
+import quartzspan.loadbalancing.Balancer.Source;
 
 /** Drives one balancer by hand and writes down what it does. */
 final class Rig implements Actions {
--- a/src/test/java/mulleinfront/RingTest.java
+++ b/src/test/java/quartzspan/loadbalancing/RingTest.java
@@ -1,4 +1,4 @@
-package mulleinfront;
+package quartzspan.loadbalancing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertSame;
--- a/src/test/java/mulleinfront/RulesTest.java
+++ b/src/test/java/quartzspan/loadbalancing/RulesTest.java
@@ -1,4 +1,4 @@
-package mulleinfront;
+package quartzspan.loadbalancing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -9,20 +9,20 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import mulleinfront.Balancer.Actions;
-import mulleinfront.Balancer.AttemptEnd;
-import mulleinfront.Balancer.Availability;
-import mulleinfront.Balancer.DedupScope;
-import mulleinfront.Balancer.Effect;
-import mulleinfront.Balancer.Endpoint;
-import mulleinfront.Balancer.Outcome;
-import mulleinfront.Balancer.Request;
-import mulleinfront.Balancer.RequestClass;
-import mulleinfront.Balancer.Settings;
-import mulleinfront.Balancer.Source;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import quartzspan.loadbalancing.Balancer.Actions;
+import quartzspan.loadbalancing.Balancer.AttemptEnd;
+import quartzspan.loadbalancing.Balancer.Availability;
+import quartzspan.loadbalancing.Balancer.DedupScope;
+import quartzspan.loadbalancing.Balancer.Effect;
+import quartzspan.loadbalancing.Balancer.Endpoint;
+import quartzspan.loadbalancing.Balancer.Outcome;
+import quartzspan.loadbalancing.Balancer.Request;
+import quartzspan.loadbalancing.Balancer.RequestClass;
+import quartzspan.loadbalancing.Balancer.Settings;
+import quartzspan.loadbalancing.Balancer.Source;
 
 /**
  * Plays seeded random but legal sequences of events and checks every action against the rules with
--- a/src/test/java/mulleinfront/ShapeTest.java
+++ b/src/test/java/quartzspan/loadbalancing/ShapeTest.java
@@ -1,4 +1,4 @@
-package mulleinfront;
+package quartzspan.loadbalancing;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,7 +10,7 @@
 
 /** The module's size, width and ignorance of any deployment. */
 class ShapeTest {
-    private static final Path MODULE = Path.of("src/main/java/mulleinfront/Logic.java");
+    private static final Path MODULE = Path.of("src/main/java/quartzspan/loadbalancing/Logic.java");
 
     @Test
     void moduleIsShortAndNarrow() throws Exception {
@@ -24,7 +24,7 @@
 
     @Test
     void moduleKnowsNoDeployment() throws Exception {
-        for (Path file : List.of(MODULE, Path.of("src/main/java/mulleinfront/Balancer.java"))) {
+        for (Path file : List.of(MODULE, Path.of("src/main/java/quartzspan/loadbalancing/Balancer.java"))) {
             String text = Files.readString(file).toLowerCase();
             for (String name : List.of(
                     "lisboa",
--- a/src/test/java/mulleinfront/benchlink/AdapterTest.java
+++ b/src/test/java/quartzspan/simulator/AdapterTest.java
@@ -1,4 +1,4 @@
-package mulleinfront.benchlink;
+package quartzspan.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
