--- a/src/main/java/quartzspan/controlplane/ControlPlane.java
+++ b/src/main/java/quartzspan/controlplane/ControlPlane.java
@@ -35,10 +35,10 @@
 import quartzspan.registry.Registry;
 import quartzspan.registry.RegistryEntry;
 import quartzspan.registry.Server;
-import quartzspan.replication.Ballot;
 import quartzspan.replication.Change;
 import quartzspan.replication.ChangeHistory;
 import quartzspan.replication.ControlState;
+import quartzspan.replication.Epoch;
 import quartzspan.replication.Replica;
 import quartzspan.replication.ReplicaMessage;
 import quartzspan.replication.ReplicaStore;
@@ -81,7 +81,7 @@
     private final Frontend.Terms terms;
     private final CallTable calls;
     private final String self;
-    private final ReplicaTickets tickets = new ReplicaTickets();
+    private final ReplicaTickets requestIds = new ReplicaTickets();
     private final LeaveAcknowledgements leaves;
     private final ServerClient servers;
     private final RolloutDuty rollout;
@@ -135,8 +135,8 @@
                     }
 
                     @Override
-                    public void done(long ticket, FleetException why, ControlState state) {
-                        tickets.done(ticket, why, state);
+                    public void done(long requestId, FleetException why, ControlState state) {
+                        requestIds.done(requestId, why, state);
                     }
 
                     @Override
@@ -152,7 +152,7 @@
                 new GracefulStop(new ReplicaMember(), (long) (settings.bounds().gracePeriodS() * 1000));
         ServerCalls fromServers = new ServerCalls(
                 this::ms, new HeartbeatReceiver(registry, heartbeats, gossip), leaves, this::holdersOfLeaves);
-        OperatorCalls fromOperators = new OperatorCalls(this::ms, replica, registry, tickets);
+        OperatorCalls fromOperators = new OperatorCalls(this::ms, replica, registry, requestIds);
         this.calls = new CallTable()
                 .on("POST", "/quartzspan/Instances.Heartbeat/", fromServers::heartbeat)
                 .on("POST", "/quartzspan/Instances.Deregister/", fromServers::deregister)
@@ -259,14 +259,14 @@
                     LOG.info(
                             "{}, promised {}, view {}",
                             lastRole,
-                            replica.promised().text(),
-                            replica.view().text());
+                            replica.promisedEpoch().text(),
+                            replica.membership().text());
                 }
             }
-            if (replica.primary()) {
+            if (replica.isPrimary()) {
                 registry.fresh(replica.confirmedAt());
             }
-            gossip.onTick(now, replica.primary() ? null : replica.leader(now));
+            gossip.onTick(now, replica.isPrimary() ? null : replica.knownPrimary(now));
             List<RegistryEntry> heard = heartbeats.untold(now);
             if (!heard.isEmpty()) {
                 GossipMessage t = GossipMessage.heard(heard);
@@ -287,7 +287,7 @@
             leaves.onTick(now);
             rollout.onTick(now, registry::servers);
             promptIndex.onTick(now, coresHeard(now));
-            if (ending.over(now, leaves.idle() && tickets.idle())) {
+            if (ending.over(now, leaves.idle() && requestIds.idle())) {
                 ended.countDown();
             }
         } catch (RuntimeException e) {
@@ -341,7 +341,7 @@
 
     /** As many as may be lost at once must hold the word of a server that leaves, besides this machine. */
     private int holdersOfLeaves() {
-        int others = replica.view().voters().size() - 1;
+        int others = replica.membership().voters().size() - 1;
         return others < 0 ? settings.losses() : Math.min(settings.losses(), others);
     }
 
@@ -353,23 +353,23 @@
     // ---- the rollout of weights ----------------------------------------------------------------------
 
     private Optional<RolloutDuty.Term> term() {
-        if (!replica.primary()) {
+        if (!replica.isPrimary()) {
             return Optional.empty();
         }
         ControlState state = replica.state();
         return Optional.of(new RolloutDuty.Term(
-                replica.view().ballot(), replica.confirmedAt(), state.holder(), state.fence(), state.weights()));
+                replica.membership().epoch(), replica.confirmedAt(), state.holder(), state.fence(), state.weights()));
     }
 
     /** What the rollout does, in calls to servers and news to proxies. */
     private final class RolloutOrders implements RolloutDuty.Out {
         @Override
-        public void claim(Ballot term) {
-            long ticket = tickets.issue((why, state) -> {
+        public void claim(Epoch term) {
+            long requestId = requestIds.issue((why, state) -> {
                 boolean granted = why == null && state.holder().equals(self);
                 rollout.claimed(term, granted, granted ? state.fence() : 0);
             });
-            replica.change(ms(), ticket, new Change(Change.Kind.DUTY, 0, self.getBytes(StandardCharsets.UTF_8)));
+            replica.submit(ms(), requestId, new Change(Change.Kind.DUTY, 0, self.getBytes(StandardCharsets.UTF_8)));
         }
 
         @Override
@@ -417,12 +417,12 @@
         public void leave(long now) {
             LOG.info("told to end as {}", replica.role());
             gossip.leave();
-            replica.leave(now);
+            replica.beginHandover(now);
         }
 
         @Override
         public boolean left(long now) {
-            return replica.left(now);
+            return replica.isHandoverComplete(now);
         }
     }
 }
--- a/src/main/java/quartzspan/controlplane/OperatorCalls.java
+++ b/src/main/java/quartzspan/controlplane/OperatorCalls.java
@@ -22,13 +22,13 @@
     private final LongSupplier clockMs;
     private final Replica replica;
     private final Registry registry;
-    private final ReplicaTickets tickets;
+    private final ReplicaTickets requestIds;
 
-    OperatorCalls(LongSupplier clockMs, Replica replica, Registry registry, ReplicaTickets tickets) {
+    OperatorCalls(LongSupplier clockMs, Replica replica, Registry registry, ReplicaTickets requestIds) {
         this.clockMs = clockMs;
         this.replica = replica;
         this.registry = registry;
-        this.tickets = tickets;
+        this.requestIds = requestIds;
     }
 
     void replace(Client client, HttpRequest in, byte[] body, String rest) {
@@ -56,26 +56,26 @@
 
     private void change(Client client, HttpRequest in, Change.Kind kind, long base, byte[] body) {
         if (!sentToPrimary(client, in)) {
-            long ticket = ticket(client, state -> CallTable.ok(client));
-            replica.change(clockMs.getAsLong(), ticket, new Change(kind, base, body));
+            long requestId = requestId(client, state -> CallTable.ok(client));
+            replica.submit(clockMs.getAsLong(), requestId, new Change(kind, base, body));
         }
     }
 
     void describe(Client client, HttpRequest in, byte[] body, String rest) {
         if (!sentToPrimary(client, in)) {
-            long ticket = ticket(
+            long requestId = requestId(
                     client,
                     state -> CallTable.answer(
                             client, HttpResponseStatus.OK, state.configuration().bytes()));
-            replica.confirm(clockMs.getAsLong(), ticket);
+            replica.read(clockMs.getAsLong(), requestId);
         }
     }
 
     /** A ticket for the replica's answer, which goes to a client as long as it waits for one. */
-    private long ticket(Client client, Consumer<ControlState> granted) {
+    private long requestId(Client client, Consumer<ControlState> granted) {
         boolean[] left = {false};
         client.opened(() -> left[0] = true);
-        return tickets.issue((why, state) -> {
+        return requestIds.issue((why, state) -> {
             if (left[0]) {
                 return;
             }
@@ -89,10 +89,10 @@
 
     /** Sends the caller to the primary, if that is another; whether it did. */
     private boolean sentToPrimary(Client client, HttpRequest in) {
-        if (replica.primary()) {
+        if (replica.isPrimary()) {
             return false;
         }
-        String leader = replica.leader(clockMs.getAsLong());
+        String leader = replica.knownPrimary(clockMs.getAsLong());
         RegistryEntry there = leader == null ? null : registry.entry(RegistryEntry.Subject.CORE, leader);
         if (there == null) {
             throw new FleetException(
--- a/src/main/java/quartzspan/controlplane/ReplicaTickets.java
+++ b/src/main/java/quartzspan/controlplane/ReplicaTickets.java
@@ -22,8 +22,8 @@
     }
 
     /** The replica's answer. */
-    void done(long ticket, FleetException why, ControlState state) {
-        Waiting waiting = open.remove(ticket);
+    void done(long requestId, FleetException why, ControlState state) {
+        Waiting waiting = open.remove(requestId);
         if (waiting != null) {
             waiting.done(why, state);
         }
--- a/src/main/java/quartzspan/controlplane/RolloutDuty.java
+++ b/src/main/java/quartzspan/controlplane/RolloutDuty.java
@@ -9,14 +9,14 @@
 import java.util.function.Supplier;
 import quartzspan.common.JsonLines;
 import quartzspan.registry.Server;
-import quartzspan.replication.Ballot;
+import quartzspan.replication.Epoch;
 
 /**
  * The duty of bringing servers to the weights that were named, which one machine has at a time: the primary.
  *
  * <p>Servers need not check fencing tokens, so the holder before must have surely stopped when the next one begins. A holder
  * sends an order only within {@link #CONFIRMED_MS} of the sending of a heartbeat that a majority acknowledged, which is
- * asked right before the bytes go out. Whoever becomes primary was granted its ballot by a majority after that, so all
+ * asked right before the bytes go out. Whoever becomes primary was granted its epoch by a majority after that, so all
  * earlier holders are silent {@link #CONFIRMED_MS} after its term began, and it waits for the lease from there on. The
  * fencing token is the fence of the claim in the control state: it is this claim's alone, and higher than all before it.
  *
@@ -36,13 +36,13 @@
     /**
      * This machine's place as primary.
      *
-     * @param ballot names the term; each has one primary
+     * @param epoch names the term; each has one primary
      * @param confirmedAt when the last heartbeat that a majority acknowledged was sent
      * @param holder who claimed the duty last; empty if nobody ever did
      * @param fence fence of that claim
      * @param weights versions of weights that were named, by model
      */
-    record Term(Ballot ballot, long confirmedAt, String holder, long fence, Map<String, Long> weights) {}
+    record Term(Epoch epoch, long confirmedAt, String holder, long fence, Map<String, Long> weights) {}
 
     /** An order to one server. */
     record Order(Server server, String model, long version, long fencingToken) {}
@@ -50,7 +50,7 @@
     /** What the duty does. */
     interface Out {
         /** Claims the duty in the control state; {@link RolloutDuty#claimed} tells of it. */
-        void claim(Ballot term);
+        void claim(Epoch term);
 
         /** Tells proxies that a server is about to load weights. */
         void announce(Server server, long version);
@@ -72,7 +72,7 @@
     private final List<Announced> announced = new ArrayList<>();
     private final Map<String, Long> reportAt = new HashMap<>();
 
-    private Ballot ballot = Ballot.NONE;
+    private Epoch epoch = Epoch.NONE;
     private long termSince;
     private boolean claiming;
     private boolean holding;
@@ -124,16 +124,16 @@
     }
 
     private void resign() {
-        ballot = Ballot.NONE;
+        epoch = Epoch.NONE;
         claiming = false;
         holding = false;
         announced.clear();
     }
 
     private void follow(long now, Term term) {
-        if (!term.ballot().equals(ballot)) {
+        if (!term.epoch().equals(epoch)) {
             resign();
-            ballot = term.ballot();
+            epoch = term.epoch();
             termSince = now;
         }
     }
@@ -145,12 +145,12 @@
         claiming = true;
         boolean noOtherSince = term.holder().isEmpty() || term.holder().equals(self) && term.fence() == servedFence;
         beginAt = noOtherSince ? termSince : termSince + CONFIRMED_MS + DELIVERY_MS + leaseMs;
-        out.claim(term.ballot());
+        out.claim(term.epoch());
     }
 
     /** What became of the claim made in a term; {@code claimFence} is its fence if it was granted. */
-    void claimed(Ballot term, boolean granted, long claimFence) {
-        if (!term.equals(ballot) || !claiming) {
+    void claimed(Epoch term, boolean granted, long claimFence) {
+        if (!term.equals(epoch) || !claiming) {
             return;
         }
         claiming = false;
@@ -159,7 +159,7 @@
     }
 
     private boolean free(long now, Term term) {
-        return holding && term.ballot().equals(ballot) && now >= beginAt && now - term.confirmedAt() <= CONFIRMED_MS;
+        return holding && term.epoch().equals(epoch) && now >= beginAt && now - term.confirmedAt() <= CONFIRMED_MS;
     }
 
     /** Whether an order may go out at this very moment. */
--- a/src/main/java/quartzspan/controlplane/StatusReport.java
+++ b/src/main/java/quartzspan/controlplane/StatusReport.java
@@ -15,15 +15,15 @@
         StringBuilder json = new StringBuilder("{\"node\":");
         JsonLines.quote(json, node);
         JsonLines.quote(json.append(",\"role\":"), replica.role());
-        JsonLines.quote(json.append(",\"leader\":"), String.valueOf(replica.leader(now)));
-        JsonLines.quote(json.append(",\"view\":"), replica.view().text());
+        JsonLines.quote(json.append(",\"leader\":"), String.valueOf(replica.knownPrimary(now)));
+        JsonLines.quote(json.append(",\"view\":"), replica.membership().text());
         JsonLines.quote(json.append(",\"duty\":"), registry.state().holder());
         json.append(",\"promised\":")
-                .append(replica.promised().number())
+                .append(replica.promisedEpoch().number())
                 .append(",\"copy_epoch\":")
-                .append(replica.copyBallot().number())
+                .append(replica.logEpoch().number())
                 .append(",\"copy_index\":")
-                .append(replica.copyIndex())
+                .append(replica.logIndex())
                 .append(",\"version\":")
                 .append(registry.state().configuration().version())
                 .append(",\"fresh_ms\":")
--- a/src/main/java/quartzspan/replication/Candidacy.java
+++ b/src/main/java/quartzspan/replication/CandidateState.java
@@ -14,31 +14,31 @@
  * One attempt of a replica to become primary, or of a primary to change its view.
  *
  * <ol>
- *   <li>Pre-vote: whether a quorum would grant a ballot; promises nothing, so that a replica that hears nobody deposes nobody.
- *   <li>Vote: a quorum promises, durably, to take nothing below the ballot, and names the newest view it knows.
+ *   <li>Pre-vote: whether a quorum would grant an epoch; promises nothing, so that a replica that hears nobody deposes nobody.
+ *   <li>Vote: a quorum promises, durably, to take nothing below the epoch, and names the newest view it knows.
  *   <li>Fetch: the state of one copy of that view is taken over. It holds all that was ever answered, since a change is only
  *       answered when every copy has it, and this one takes nothing of the old view any more.
  *   <li>Copy: the copies of the view to be sync the state.
  *   <li>Accept: a quorum of the view to be, and of the voters before it, syncs the view. Then it is in force.
  * </ol>
  */
-final class Candidacy {
+final class CandidateState {
     /** The steps, in their order. */
     enum Step {
         PRE_VOTE,
         VOTE,
         FETCH,
-        COPY,
+        REPLICATE,
         ACCEPT
     }
 
     /** What becomes of a candidacy. */
     interface Listener {
         /** The view is in force. */
-        void elected(View view);
+        void elected(Membership membership);
 
         /** It leads to nothing. */
-        void givenUp();
+        void abandoned();
 
         /** The disk refused. */
         void diskRefused();
@@ -57,44 +57,44 @@
 
     private final ReplicaContext context;
     private final VoterState voter;
-    private final StateCopy copy;
+    private final ReplicaLog log;
     private final Plan plan;
     private final Listener listener;
 
     private Step step;
     private long stepSince;
     private long retryAt;
-    private Ballot ballot;
+    private Epoch epoch;
     /** Answers to the present step, by replica; of the votes those that count. */
     private final Map<String, ReplicaMessage> replies = new TreeMap<>();
     /** The states that the copies to be hold, as far as they told. */
-    private final Map<String, ReplicaMessage> holdings = new TreeMap<>();
+    private final Map<String, ReplicaMessage> reportedPositions = new TreeMap<>();
 
     private final Set<String> synced = new TreeSet<>();
     /** The newest view that the votes told. */
-    private View latest;
+    private Membership latest;
 
-    private View next;
+    private Membership next;
     private List<String> wantedVoters;
     /** The replica whose state is taken over. */
     private String source;
 
-    Candidacy(ReplicaContext context, VoterState voter, StateCopy copy, Plan plan, Listener listener) {
+    CandidateState(ReplicaContext context, VoterState voter, ReplicaLog log, Plan plan, Listener listener) {
         this.context = context;
         this.voter = voter;
-        this.copy = copy;
+        this.log = log;
         this.plan = plan;
         this.listener = listener;
         this.wantedVoters = plan.voters();
-        this.latest = voter.view();
+        this.latest = voter.membership();
     }
 
     Step step() {
         return step;
     }
 
-    Ballot ballot() {
-        return ballot;
+    Epoch epoch() {
+        return epoch;
     }
 
     private void enter(Step entered) {
@@ -106,9 +106,9 @@
 
     void onTick() {
         long now = context.now();
-        boolean movesState = step == Step.FETCH || step == Step.COPY;
-        if (now - stepSince > (movesState ? Timing.MOVE_STEP_MS : Timing.STEP_MS)) {
-            listener.givenUp();
+        boolean movesState = step == Step.FETCH || step == Step.REPLICATE;
+        if (now - stepSince > (movesState ? Timing.STATE_TRANSFER_TIMEOUT_MS : Timing.ELECTION_STEP_TIMEOUT_MS)) {
+            listener.abandoned();
         } else if (now >= retryAt) {
             retryAt = now + Timing.RETRY_MS;
             repeat();
@@ -125,13 +125,13 @@
                 }
             }
             case FETCH -> {
-                keepVoters();
+                remindVoters();
                 fetch();
             }
-            case COPY -> {
-                keepVoters();
+            case REPLICATE -> {
+                remindVoters();
                 if (synced.contains(context.self())) {
-                    sendCopies();
+                    replicateToAll();
                 }
             }
             case ACCEPT -> {
@@ -152,18 +152,18 @@
     }
 
     private ReplicaMessage request(Kind kind) {
-        return ReplicaMessage.of(kind, ballot).withOk(plan.handedOver()).withView(latest);
+        return ReplicaMessage.of(kind, epoch).withGranted(plan.handedOver()).withMembership(latest);
     }
 
     /** Voters that hear of the candidacy now and then do not stand themselves. */
-    private void keepVoters() {
+    private void remindVoters() {
         electorate().forEach(name -> context.send(name, request(Kind.VOTE)));
     }
 
     /** Everybody whose vote may count, but this replica. */
     private Set<String> electorate() {
         Set<String> all = new LinkedHashSet<>(latest.electorate());
-        all.addAll(voter.view().electorate());
+        all.addAll(voter.membership().electorate());
         if (wantedVoters != null) {
             all.addAll(wantedVoters);
         }
@@ -175,24 +175,24 @@
 
     void startWithPreVote() {
         enter(Step.PRE_VOTE);
-        ballot = nextBallot();
+        epoch = nextEpoch();
         replies.put(context.self(), ownReply(Kind.PRE_VOTE_REPLY));
         askUnanswered(Kind.PRE_VOTE);
         countPreVotes();
     }
 
-    private Ballot nextBallot() {
-        return new Ballot(voter.promised().number() + 1, context.self(), context.randomLong());
+    private Epoch nextEpoch() {
+        return new Epoch(voter.promisedEpoch().number() + 1, context.self(), context.randomLong());
     }
 
     private void onPreVoteReply(String from, ReplicaMessage reply) {
-        voter.learn(reply.view());
-        latest = voter.view();
+        voter.learn(reply.membership());
+        latest = voter.membership();
         replies.put(from, reply);
         if (!mayLead()) {
-            listener.givenUp();
-        } else if (reply.promised().isAbove(voter.promised())) {
-            voter.promise(reply.promised());
+            listener.abandoned();
+        } else if (reply.promisedEpoch().isAbove(voter.promisedEpoch())) {
+            voter.promise(reply.promisedEpoch());
             startWithPreVote();
         } else {
             countPreVotes();
@@ -214,7 +214,7 @@
     private Set<String> granting() {
         Set<String> all = new TreeSet<>();
         replies.forEach((name, reply) -> {
-            if (reply.ok() && !isVoid(name, reply)) {
+            if (reply.granted() && !isVoid(name, reply)) {
                 all.add(name);
             }
         });
@@ -233,9 +233,9 @@
 
     void startWithVote() {
         enter(Step.VOTE);
-        ballot = nextBallot();
-        voter.promise(ballot);
-        Ballot mine = ballot;
+        epoch = nextEpoch();
+        voter.promise(epoch);
+        Epoch mine = epoch;
         voter.persist(context.now(), durable -> {
             if (!isAt(Step.VOTE, mine)) {
                 return;
@@ -250,34 +250,35 @@
         });
     }
 
-    private boolean isAt(Step wanted, Ballot wantedBallot) {
-        return context.isCurrent(this) && step == wanted && ballot.equals(wantedBallot);
+    private boolean isAt(Step wanted, Epoch wantedEpoch) {
+        return context.isCurrent(this) && step == wanted && epoch.equals(wantedEpoch);
     }
 
     private ReplicaMessage ownReply(Kind kind) {
-        return ReplicaMessage.of(kind, ballot)
-                .withOk(true)
-                .withView(voter.durableView())
-                .withCopy(copy.ballot(), copy.index())
+        return ReplicaMessage.of(kind, epoch)
+                .withGranted(true)
+                .withMembership(voter.durableMembership())
+                .withLogPosition(log.epoch(), log.index())
                 .withGeneration(voter.generation())
                 .withGenerations(voter.generations());
     }
 
     private void onVoteReply(String from, ReplicaMessage reply) {
-        if (!reply.ok()) {
-            if (reply.promised().isAbove(voter.promised())) {
-                voter.promise(reply.promised());
-                listener.givenUp();
+        if (!reply.granted()) {
+            if (reply.promisedEpoch().isAbove(voter.promisedEpoch())) {
+                voter.promise(reply.promisedEpoch());
+                listener.abandoned();
             }
             return;
         }
         if (step == Step.VOTE) {
             replies.put(from, reply);
             countVotes();
-        } else if (reply.view().supersedes(latest) && !reply.view().ballot().equals(ballot)) {
+        } else if (reply.membership().supersedes(latest)
+                && !reply.membership().epoch().equals(epoch)) {
             // A view that was accepted before this vote: the state taken over may not hold what it answered.
-            voter.learn(reply.view());
-            listener.givenUp();
+            voter.learn(reply.membership());
+            listener.abandoned();
         }
     }
 
@@ -286,41 +287,41 @@
             return;
         }
         Set<String> granting = granting();
-        View newest = voter.view();
+        Membership newest = voter.membership();
         for (String name : granting) {
-            View told = replies.get(name).view();
-            newest = told.supersedes(newest) ? told : newest;
+            Membership reported = replies.get(name).membership();
+            newest = reported.supersedes(newest) ? reported : newest;
         }
-        if (!newest.ballot().equals(latest.ballot())) {
+        if (!newest.epoch().equals(latest.epoch())) {
             // The wish was about another view.
             wantedVoters = null;
         }
         latest = newest;
         if (!mayLead()) {
             voter.learn(latest);
-            listener.givenUp();
+            listener.abandoned();
             return;
         }
         if (!latest.isQuorum(granting)) {
             return;
         }
-        String source = newestCopy(granting);
+        String source = mostCompleteReplica(granting);
         if (source != null) {
-            holdings.clear();
-            holdings.putAll(replies);
+            reportedPositions.clear();
+            reportedPositions.putAll(replies);
             takeOver(source, granting);
         }
     }
 
     /** Of the copies of the newest view that granted, the one that has most; this replica where it has as much. */
-    private String newestCopy(Set<String> granting) {
-        Comparator<String> order = Comparator.<String, Ballot>comparing(
-                        name -> replies.get(name).copyBallot())
-                .thenComparingLong(name -> replies.get(name).index())
+    private String mostCompleteReplica(Set<String> granting) {
+        Comparator<String> order = Comparator.<String, Epoch>comparing(
+                        name -> replies.get(name).logEpoch())
+                .thenComparingLong(name -> replies.get(name).logIndex())
                 .thenComparing(name -> name.equals(context.self()));
-        return latest.copies().stream()
+        return latest.dataReplicas().stream()
                 .filter(granting::contains)
-                .filter(name -> !replies.get(name).copyBallot().isBelow(latest.ballot()))
+                .filter(name -> !replies.get(name).logEpoch().isBelow(latest.epoch()))
                 .max(order)
                 .orElse(null);
     }
@@ -328,24 +329,24 @@
     // ---- fetch ---------------------------------------------------------------------------------------
 
     private void takeOver(String from, Set<String> granting) {
-        List<String> copies = chooseCopies(granting);
-        if (copies == null) {
+        List<String> dataReplicas = chooseDataReplicas(granting);
+        if (dataReplicas == null) {
             return;
         }
-        next = nextView(copies);
+        next = nextMembership(dataReplicas);
         source = from;
         enter(Step.FETCH);
         fetch();
     }
 
-    private View nextView(List<String> copies) {
+    private Membership nextMembership(List<String> dataReplicas) {
         if (latest.joint()) {
             // Whether it is in force is not known: its change of voters is carried to the end first.
-            return new View(ballot, context.self(), copies, latest.voters(), latest.previousVoters());
+            return new Membership(epoch, context.self(), dataReplicas, latest.voters(), latest.previousVoters());
         }
         List<String> voters = votersToBe();
         List<String> previous = voters.equals(latest.voters()) ? List.of() : latest.voters();
-        return new View(ballot, context.self(), copies, voters, previous);
+        return new Membership(epoch, context.self(), dataReplicas, voters, previous);
     }
 
     private List<String> votersToBe() {
@@ -353,61 +354,61 @@
     }
 
     /** Copies for the view to be: who answered, who is not to be avoided, and who has a copy already go first. */
-    private List<String> chooseCopies(Set<String> granting) {
+    private List<String> chooseDataReplicas(Set<String> granting) {
         List<String> voters = votersToBe();
         List<String> able = new ArrayList<>(voters);
         able.retainAll(granting);
         able.remove(context.self());
         able.sort(Comparator.<String, Boolean>comparing(plan.avoided()::contains)
-                .thenComparing(name -> !latest.copies().contains(name)));
+                .thenComparing(name -> !latest.dataReplicas().contains(name)));
         int needed = Math.min(context.losses() + 1, voters.size());
         if (able.size() + 1 < needed) {
             return null;
         }
-        int count = Math.min(wantedCopies(voters, context.losses()), able.size() + 1);
-        List<String> copies = new ArrayList<>();
-        copies.add(context.self());
-        copies.addAll(able.subList(0, count - 1));
-        return copies;
+        int count = Math.min(wantedDataReplicas(voters, context.losses()), able.size() + 1);
+        List<String> dataReplicas = new ArrayList<>();
+        dataReplicas.add(context.self());
+        dataReplicas.addAll(able.subList(0, count - 1));
+        return dataReplicas;
     }
 
     /** One copy more than may be lost at once, and one for each voter more than that needs. */
-    static int wantedCopies(List<String> voters, int losses) {
+    static int wantedDataReplicas(List<String> voters, int losses) {
         int spare = Math.max(0, voters.size() - (2 * losses + 1));
         return Math.min(losses + 1 + spare, voters.size());
     }
 
     private void fetch() {
         if (source.equals(context.self())) {
-            copyState(null);
+            replicateState(null);
             return;
         }
-        context.send(source, ReplicaMessage.of(Kind.FETCH, ballot).withCopy(copy.ballot(), copy.index()));
+        context.send(source, ReplicaMessage.of(Kind.FETCH, epoch).withLogPosition(log.epoch(), log.index()));
     }
 
     private void onFetchReply(String from, ReplicaMessage reply) {
-        if (step != Step.FETCH || !from.equals(source) || reply.copyBallot().isBelow(latest.ballot())) {
+        if (step != Step.FETCH || !from.equals(source) || reply.logEpoch().isBelow(latest.epoch())) {
             return;
         }
         StateUpdate update = StateUpdate.parse(reply.body());
-        if (copy.accepts(update)) {
-            copyState(update);
+        if (log.isApplicable(update)) {
+            replicateState(update);
         }
     }
 
     // ---- copy ----------------------------------------------------------------------------------------
 
-    /** Writes the state taken over, under the new ballot, here first and then at the other copies. */
-    private void copyState(StateUpdate fetched) {
-        if (copy.writing()) {
+    /** Writes the state taken over, under the new epoch, here first and then at the other copies. */
+    private void replicateState(StateUpdate fetched) {
+        if (log.isAppending()) {
             return;
         }
-        enter(Step.COPY);
+        enter(Step.REPLICATE);
         synced.clear();
-        StateUpdate update = underNewBallot(fetched);
-        Ballot mine = ballot;
-        copy.write(context.now(), update, copy.result(update), durable -> {
-            if (!isAt(Step.COPY, mine)) {
+        StateUpdate update = underNewEpoch(fetched);
+        Epoch mine = epoch;
+        log.append(context.now(), update, log.stateAfter(update), durable -> {
+            if (!isAt(Step.REPLICATE, mine)) {
                 return;
             }
             if (!durable) {
@@ -415,55 +416,55 @@
                 return;
             }
             synced.add(context.self());
-            sendCopies();
-            countCopies();
+            replicateToAll();
+            countReplicated();
         });
     }
 
-    private StateUpdate underNewBallot(StateUpdate fetched) {
+    private StateUpdate underNewEpoch(StateUpdate fetched) {
         if (fetched == null) {
-            return copy.nextStep(ballot, null);
+            return log.nextEntry(epoch, null);
         }
         if (fetched.isSnapshot()) {
-            return StateUpdate.snapshot(ballot, fetched.index() + 1, copy.result(fetched));
+            return StateUpdate.ofSnapshot(epoch, fetched.index() + 1, log.stateAfter(fetched));
         }
         List<ChangeHistory.Entry> entries = new ArrayList<>(fetched.entries());
-        entries.add(new ChangeHistory.Entry(fetched.index() + 1, ballot, null));
-        return StateUpdate.steps(fetched.baseBallot(), fetched.baseIndex(), entries);
+        entries.add(new ChangeHistory.Entry(fetched.index() + 1, epoch, null));
+        return StateUpdate.ofEntries(fetched.baseEpoch(), fetched.baseIndex(), entries);
     }
 
-    private void sendCopies() {
-        next.copies().stream().filter(name -> !synced.contains(name)).forEach(this::sendCopy);
+    private void replicateToAll() {
+        next.dataReplicas().stream().filter(name -> !synced.contains(name)).forEach(this::replicateTo);
     }
 
-    private void sendCopy(String to) {
-        ReplicaMessage held = holdings.get(to);
-        StateUpdate update = copy.updateFrom(held.copyBallot(), held.index());
-        context.send(to, Replica.copyMessage(update, held.generation()));
+    private void replicateTo(String to) {
+        ReplicaMessage reported = reportedPositions.get(to);
+        StateUpdate update = log.updateFrom(reported.logEpoch(), reported.logIndex());
+        context.send(to, Replica.replicateMessage(update, reported.generation()));
     }
 
-    private void onCopyReply(String from, ReplicaMessage reply) {
-        if (step != Step.COPY) {
+    private void onReplicateReply(String from, ReplicaMessage reply) {
+        if (step != Step.REPLICATE) {
             return;
         }
-        if (reply.ok()) {
-            if (reply.index() == copy.index() && synced.contains(context.self())) {
+        if (reply.granted()) {
+            if (reply.logIndex() == log.index() && synced.contains(context.self())) {
                 synced.add(from);
-                countCopies();
+                countReplicated();
             }
-        } else if (reply.promised().isAbove(ballot)) {
-            voter.promise(reply.promised());
-            listener.givenUp();
-        } else if (holdings.containsKey(from)) {
-            boolean changed = !Replica.sameHolding(holdings.put(from, reply), reply);
+        } else if (reply.promisedEpoch().isAbove(epoch)) {
+            voter.promise(reply.promisedEpoch());
+            listener.abandoned();
+        } else if (reportedPositions.containsKey(from)) {
+            boolean changed = !Replica.sameLogPosition(reportedPositions.put(from, reply), reply);
             if (changed && synced.contains(context.self())) {
-                sendCopy(from);
+                replicateTo(from);
             }
         }
     }
 
-    private void countCopies() {
-        if (step == Step.COPY && synced.containsAll(next.copies())) {
+    private void countReplicated() {
+        if (step == Step.REPLICATE && synced.containsAll(next.dataReplicas())) {
             accept();
         }
     }
@@ -472,7 +473,7 @@
 
     private void accept() {
         enter(Step.ACCEPT);
-        Ballot mine = ballot;
+        Epoch mine = epoch;
         voter.learn(next);
         voter.persist(context.now(), durable -> {
             if (!isAt(Step.ACCEPT, mine)) {
@@ -491,7 +492,7 @@
     private void sendAccept() {
         for (String name : next.electorate()) {
             if (!replies.containsKey(name)) {
-                context.send(name, ReplicaMessage.of(Kind.ACCEPT, ballot).withView(next));
+                context.send(name, ReplicaMessage.of(Kind.ACCEPT, epoch).withMembership(next));
             }
         }
     }
@@ -500,12 +501,12 @@
         if (step != Step.ACCEPT) {
             return;
         }
-        if (reply.ok()) {
+        if (reply.granted()) {
             replies.put(from, reply);
             countAcceptances();
-        } else if (reply.promised().isAbove(ballot)) {
-            voter.promise(reply.promised());
-            listener.givenUp();
+        } else if (reply.promisedEpoch().isAbove(epoch)) {
+            voter.promise(reply.promisedEpoch());
+            listener.abandoned();
         }
     }
 
@@ -517,7 +518,7 @@
 
     /** An answer to one of this candidacy's requests. */
     void onReply(String from, ReplicaMessage reply) {
-        if (!reply.ballot().equals(ballot)) {
+        if (!reply.epoch().equals(epoch)) {
             return;
         }
         switch (reply.kind()) {
@@ -528,7 +529,7 @@
             }
             case VOTE_REPLY -> onVoteReply(from, reply);
             case FETCH_REPLY -> onFetchReply(from, reply);
-            case COPY_REPLY -> onCopyReply(from, reply);
+            case REPLICATE_REPLY -> onReplicateReply(from, reply);
             case ACCEPT_REPLY -> onAcceptReply(from, reply);
             default -> throw new IllegalStateException("no answer to a candidate: " + reply.kind());
         }
--- a/src/main/java/quartzspan/replication/ChangeHistory.java
+++ b/src/main/java/quartzspan/replication/ChangeHistory.java
@@ -18,10 +18,10 @@
     /**
      * One step of the control state.
      *
-     * @param ballot the ballot under which the state at this index was written
-     * @param change null where only the ballot changed
+     * @param epoch the epoch under which the state at this index was written
+     * @param change null where only the epoch changed
      */
-    public record Entry(long index, Ballot ballot, Change change) {
+    public record Entry(long index, Epoch epoch, Change change) {
         int size() {
             return ENTRY_OVERHEAD_BYTES + (change == null ? 0 : change.size());
         }
@@ -31,13 +31,13 @@
     /** The state just before the first entry. */
     private long startIndex;
 
-    private Ballot startBallot;
+    private Epoch startEpoch;
     private long bytes;
 
     /** Begins with the state at an index, whose changes are not known. */
-    public ChangeHistory(long index, Ballot ballot) {
+    public ChangeHistory(long index, Epoch epoch) {
         startIndex = index;
-        startBallot = ballot;
+        startEpoch = epoch;
     }
 
     /** Index of the newest state. */
@@ -45,9 +45,9 @@
         return entries.isEmpty() ? startIndex : entries.peekLast().index();
     }
 
-    /** Ballot of the newest state. */
-    public Ballot lastBallot() {
-        return entries.isEmpty() ? startBallot : entries.peekLast().ballot();
+    /** Epoch of the newest state. */
+    public Epoch lastEpoch() {
+        return entries.isEmpty() ? startEpoch : entries.peekLast().epoch();
     }
 
     /** Adds the next step; the oldest ones are dropped where they exceed the bound. */
@@ -61,16 +61,16 @@
             Entry first = entries.poll();
             bytes -= first.size();
             startIndex = first.index();
-            startBallot = first.ballot();
+            startEpoch = first.epoch();
         }
     }
 
     /** Begins anew with a state whose changes are not known. */
-    public void reset(long index, Ballot ballot) {
+    public void reset(long index, Epoch epoch) {
         entries.clear();
         bytes = 0;
         startIndex = index;
-        startBallot = ballot;
+        startEpoch = epoch;
     }
 
     /**
@@ -92,18 +92,18 @@
     }
 
     /**
-     * The steps after a state that may not be committed, and so is identified by its ballot too.
+     * The steps after a state that may not be committed, and so is identified by its epoch too.
      *
      * @return null if that state is not one of this history's
      */
-    public List<Entry> since(long index, Ballot ballot) {
-        return holds(index, ballot) ? between(index, lastIndex()) : null;
+    public List<Entry> since(long index, Epoch epoch) {
+        return holds(index, epoch) ? between(index, lastIndex()) : null;
     }
 
-    private boolean holds(long index, Ballot ballot) {
+    private boolean holds(long index, Epoch epoch) {
         if (index == startIndex) {
-            return ballot.equals(startBallot);
+            return epoch.equals(startEpoch);
         }
-        return entries.stream().anyMatch(e -> e.index() == index && e.ballot().equals(ballot));
+        return entries.stream().anyMatch(e -> e.index() == index && e.epoch().equals(epoch));
     }
 }
--- a/src/main/java/quartzspan/replication/Ballot.java
+++ b/src/main/java/quartzspan/replication/Epoch.java
@@ -1,24 +1,24 @@
 package quartzspan.replication;
 
 /**
- * Identifies one candidacy. Ballots are totally ordered by number, then candidate, then attempt; two candidacies never share
+ * Identifies one candidacy. Epochs are totally ordered by number, then candidate, then attempt; two candidacies never share
  * one, not even where a candidate has lost its disk and counts from an earlier number again.
  *
  * @param number rises with every candidacy that its candidate knows of
  * @param candidate the replica that stands
  * @param attempt drawn at random for each candidacy
  */
-public record Ballot(long number, String candidate, long attempt) implements Comparable<Ballot> {
+public record Epoch(long number, String candidate, long attempt) implements Comparable<Epoch> {
     /** Lower than any other; nothing is known. */
-    public static final Ballot NONE = new Ballot(-1, "", 0);
-    /** The ballot of the founding view, which nobody stood for. */
-    public static final Ballot FOUNDING = new Ballot(0, "", 0);
+    public static final Epoch NONE = new Epoch(-1, "", 0);
+    /** The epoch of the founding view, which nobody stood for. */
+    public static final Epoch FOUNDING = new Epoch(0, "", 0);
 
     private static final String SEPARATOR = "/";
     private static final int FIELDS = 3;
 
     @Override
-    public int compareTo(Ballot other) {
+    public int compareTo(Epoch other) {
         if (number != other.number) {
             return Long.compare(number, other.number);
         }
@@ -31,7 +31,7 @@
     // which is during every start.
     @Override
     public boolean equals(Object other) {
-        return other instanceof Ballot ballot && compareTo(ballot) == 0;
+        return other instanceof Epoch epoch && compareTo(epoch) == 0;
     }
 
     @Override
@@ -39,18 +39,18 @@
         return 31 * (31 * Long.hashCode(number) + candidate.hashCode()) + Long.hashCode(attempt);
     }
 
-    /** Whether this ballot is higher than the other. */
-    public boolean isAbove(Ballot other) {
+    /** Whether this epoch is higher than the other. */
+    public boolean isAbove(Epoch other) {
         return compareTo(other) > 0;
     }
 
-    /** Whether this ballot is lower than the other. */
-    public boolean isBelow(Ballot other) {
+    /** Whether this epoch is lower than the other. */
+    public boolean isBelow(Epoch other) {
         return compareTo(other) < 0;
     }
 
-    /** The higher of two ballots. */
-    public static Ballot max(Ballot one, Ballot other) {
+    /** The higher of two epochs. */
+    public static Epoch max(Epoch one, Epoch other) {
         return one.isAbove(other) ? one : other;
     }
 
@@ -62,15 +62,15 @@
     /**
      * Reads {@link #text}.
      *
-     * @return null if the text is no ballot
+     * @return null if the text is no epoch
      */
-    public static Ballot parse(String text) {
+    public static Epoch parse(String text) {
         String[] fields = text.split(SEPARATOR, -1);
         if (fields.length != FIELDS) {
             return null;
         }
         try {
-            return new Ballot(Long.parseLong(fields[0]), fields[1], Long.parseLong(fields[2]));
+            return new Epoch(Long.parseLong(fields[0]), fields[1], Long.parseLong(fields[2]));
         } catch (NumberFormatException e) {
             return null;
         }
--- a/src/main/java/quartzspan/replication/View.java
+++ b/src/main/java/quartzspan/replication/Membership.java
@@ -7,28 +7,28 @@
 import java.util.Set;
 
 /**
- * Who does what from a ballot on.
+ * Who does what from an epoch on.
  *
  * <p>A view that changes the voters is <em>joint</em>: it names the voters before it too, and every quorum needs a majority of
  * either set until the view is in force and its primary has settled it ({@link #settled}).
  *
- * @param ballot the candidacy that formed the view; each forms one at most
+ * @param epoch the candidacy that formed the view; each forms one at most
  * @param primary the replica that accepts changes
  * @param copies the replicas that hold the control state, the primary first; each of them syncs a change before it is
  *     answered
- * @param voters the replicas that grant ballots: the copies and the witnesses
+ * @param voters the replicas that grant epochs: the copies and the witnesses
  * @param previousVoters the voters before a joint view; empty otherwise
  */
-public record View(
-        Ballot ballot, String primary, List<String> copies, List<String> voters, List<String> previousVoters) {
+public record Membership(
+        Epoch epoch, String primary, List<String> dataReplicas, List<String> voters, List<String> previousVoters) {
     /** Before anything is known. */
-    public static final View NONE = new View(Ballot.NONE, "", List.of(), List.of(), List.of());
+    public static final Membership NONE = new Membership(Epoch.NONE, "", List.of(), List.of(), List.of());
 
     private static final int FIELDS = 5;
 
     /** Copies the lists. */
-    public View {
-        copies = List.copyOf(copies);
+    public Membership {
+        dataReplicas = List.copyOf(dataReplicas);
         voters = List.copyOf(voters);
         previousVoters = List.copyOf(previousVoters);
     }
@@ -60,13 +60,13 @@
     }
 
     /** The same view once it is in force: the voters before it are needed no more. */
-    public View settled() {
-        return joint() ? new View(ballot, primary, copies, voters, List.of()) : this;
+    public Membership settled() {
+        return joint() ? new Membership(epoch, primary, dataReplicas, voters, List.of()) : this;
     }
 
-    /** Whether this view supersedes the other: a higher ballot, or the same view settled. */
-    public boolean supersedes(View other) {
-        int order = ballot.compareTo(other.ballot);
+    /** Whether this view supersedes the other: a higher epoch, or the same view settled. */
+    public boolean supersedes(Membership other) {
+        int order = epoch.compareTo(other.epoch);
         return order > 0 || order == 0 && other.joint() && !joint();
     }
 
@@ -74,9 +74,9 @@
     public String text() {
         return String.join(
                 ";",
-                ballot.text(),
+                epoch.text(),
                 primary,
-                String.join(",", copies),
+                String.join(",", dataReplicas),
                 String.join(",", voters),
                 String.join(",", previousVoters));
     }
@@ -86,15 +86,15 @@
      *
      * @return null if the text is no view
      */
-    public static View parse(String text) {
+    public static Membership parse(String text) {
         String[] fields = text.split(";", -1);
         if (fields.length != FIELDS) {
             return null;
         }
-        Ballot ballot = Ballot.parse(fields[0]);
-        return ballot == null
+        Epoch epoch = Epoch.parse(fields[0]);
+        return epoch == null
                 ? null
-                : new View(ballot, fields[1], names(fields[2]), names(fields[3]), names(fields[4]));
+                : new Membership(epoch, fields[1], names(fields[2]), names(fields[3]), names(fields[4]));
     }
 
     private static List<String> names(String text) {
--- a/src/main/java/quartzspan/replication/Contacts.java
+++ b/src/main/java/quartzspan/replication/PeerLiveness.java
@@ -8,11 +8,11 @@
 import java.util.TreeSet;
 
 /** When which other replica was last heard of, who stands by without a vote, and who is about to end. */
-final class Contacts {
+final class PeerLiveness {
     /** A standby asks every {@link Timing#RETRY_MS}; three of these without a word and it is not counted on. */
-    private static final long STANDBY_MS = 1_000;
+    private static final long STANDBY_TIMEOUT_MS = 1_000;
     /** A replica that ends says so every {@link Timing#RETRY_MS}; this long after its last word it has ended or come back. */
-    private static final long LEAVING_MS = 1_000;
+    private static final long LEAVING_TIMEOUT_MS = 1_000;
 
     /** Since when a replica has stood by, and when it last said so. */
     private record Standby(long since, long heardAt) {}
@@ -23,59 +23,59 @@
     private final Map<String, Standby> standbys = new TreeMap<>();
     private final Map<String, Long> leaving = new TreeMap<>();
 
-    Contacts(String self, long startedAt) {
+    PeerLiveness(String self, long startedAt) {
         this.self = self;
         this.startedAt = startedAt;
     }
 
-    void heard(long now, String name) {
+    void onMessageFrom(long now, String name) {
         heardAt.put(name, now);
     }
 
     /** How long nothing was heard of a replica, by this one or by a primary that told it. */
-    long silence(long now, String name) {
+    long sinceHeardMs(long now, String name) {
         return name.equals(self) ? 0 : now - heardAt.getOrDefault(name, startedAt);
     }
 
     /** Takes in how long another has not heard of the rest. */
-    void learnSilences(long now, Map<String, Long> silences) {
-        silences.forEach((name, silence) -> heardAt.merge(name, now - silence, Math::max));
+    void learnSinceHeard(long now, Map<String, Long> sinceHeard) {
+        sinceHeard.forEach((name, elapsedMs) -> heardAt.merge(name, now - elapsedMs, Math::max));
     }
 
-    Map<String, Long> silences(long now, Collection<String> names) {
+    Map<String, Long> allSinceHeardMs(long now, Collection<String> names) {
         Map<String, Long> all = new TreeMap<>();
-        names.forEach(name -> all.put(name, silence(now, name)));
+        names.forEach(name -> all.put(name, sinceHeardMs(now, name)));
         return all;
     }
 
-    void standsBy(long now, String name) {
+    void onStandby(long now, String name) {
         Standby known = standbys.get(name);
-        boolean steady = known != null && now - known.heardAt() <= STANDBY_MS;
+        boolean steady = known != null && now - known.heardAt() <= STANDBY_TIMEOUT_MS;
         standbys.put(name, new Standby(steady ? known.since() : now, now));
     }
 
     /** Replicas that ask to be taken in and have no vote. */
-    List<String> standbys(long now, View view) {
-        standbys.values().removeIf(standby -> now - standby.heardAt() > STANDBY_MS);
+    List<String> standbys(long now, Membership membership) {
+        standbys.values().removeIf(standby -> now - standby.heardAt() > STANDBY_TIMEOUT_MS);
         return standbys.keySet().stream()
                 .filter(name ->
-                        !view.electorate().contains(name) && !leaving(now).contains(name))
+                        !membership.electorate().contains(name) && !leaving(now).contains(name))
                 .toList();
     }
 
     /** How long a replica has stood by without a break. */
-    long standingFor(long now, String name) {
+    long standbyForMs(long now, String name) {
         Standby standby = standbys.get(name);
         return standby == null ? 0 : now - standby.since();
     }
 
-    void leaves(long now, String name) {
+    void onLeaving(long now, String name) {
         leaving.put(name, now);
     }
 
     /** Replicas that are about to end. */
     Set<String> leaving(long now) {
-        leaving.values().removeIf(at -> now - at > LEAVING_MS);
+        leaving.values().removeIf(at -> now - at > LEAVING_TIMEOUT_MS);
         return new TreeSet<>(leaving.keySet());
     }
 }
--- a/src/main/java/quartzspan/replication/Leadership.java
+++ b/src/main/java/quartzspan/replication/PrimaryState.java
@@ -18,80 +18,85 @@
  * <p>A change is answered once every copy has synced it. A read, and a refusal too, is answered once a quorum has
  * acknowledged a heartbeat that was sent after the question: until then somebody else may lead.
  */
-final class Leadership {
+final class PrimaryState {
     private static final int MAX_HEARTBEATS_KEPT = 64;
 
     /** What a primary decides and its replica has to carry out. */
     interface Listener {
         /** The view has to change. */
-        void reform(Candidacy.Plan plan);
+        void reform(CandidateState.Plan plan);
 
         /** Nobody else may count on this primary any more. */
-        void standDown();
+        void stepDown();
 
         /** The disk refused or is too slow. */
         void diskRefused();
 
         void committed(long index, ControlState state);
 
-        void answered(long ticket, FleetException refusal, ControlState state);
+        void answered(long requestId, FleetException refusal, ControlState state);
     }
 
-    private record Request(long ticket, Change change) {}
+    private record Request(long requestId, Change change) {}
 
     /** A question whose answer waits for a quorum; {@code refusal} is the answer, null for a read. */
-    private record Question(long ticket, long nonce, FleetException refusal) {}
+    private record PendingRead(long requestId, long nonce, FleetException refusal) {}
 
     /** The change under way. */
-    private record Write(long ticket, StateUpdate update, long since) {}
+    private record Write(long requestId, StateUpdate update, long since) {}
 
     private final ReplicaContext context;
     private final VoterState voter;
-    private final StateCopy copy;
-    private final Contacts contacts;
+    private final ReplicaLog log;
+    private final PeerLiveness peers;
     private final Listener listener;
     private final long since;
-    private View view;
+    private Membership membership;
     /** The state as last answered: the copy may hold a change that other copies lack. */
-    private ControlState inForce;
+    private ControlState committedState;
 
     private long heartbeatAt;
     private long nonce;
     private final TreeMap<Long, Long> heartbeatSentAt = new TreeMap<>();
-    private final Map<String, Long> acknowledged = new HashMap<>();
+    private final Map<String, Long> acknowledgedNonce = new HashMap<>();
     private long confirmedNonce;
     private long confirmedAt;
-    private final ArrayDeque<Request> requests = new ArrayDeque<>();
-    private final List<Question> questions = new ArrayList<>();
+    private final ArrayDeque<Request> pendingRequests = new ArrayDeque<>();
+    private final List<PendingRead> pendingReads = new ArrayList<>();
     private Write write;
     private final Set<String> synced = new HashSet<>();
     /** The states that other replicas hold, as far as they told. */
-    private final Map<String, ReplicaMessage> holdings = new HashMap<>();
+    private final Map<String, ReplicaMessage> reportedPositions = new HashMap<>();
 
-    private final Map<String, Long> copySentAt = new HashMap<>();
+    private final Map<String, Long> replicatedAtMs = new HashMap<>();
     private boolean ended;
 
-    Leadership(
-            ReplicaContext context, VoterState voter, StateCopy copy, Contacts contacts, View view, Listener listener) {
+    PrimaryState(
+            ReplicaContext context,
+            VoterState voter,
+            ReplicaLog log,
+            PeerLiveness peers,
+            Membership membership,
+            Listener listener) {
         this.context = context;
         this.voter = voter;
-        this.copy = copy;
-        this.contacts = contacts;
-        this.view = view;
+        this.log = log;
+        this.peers = peers;
+        this.membership = membership;
         this.listener = listener;
         this.since = context.now();
         this.confirmedAt = Long.MIN_VALUE / 2;
-        this.inForce = copy.state();
+        this.committedState = log.state();
     }
 
     /** Begins to lead: the view is in force, so the voters before it are needed no more. */
     void begin() {
-        listener.committed(copy.index(), inForce);
-        if (view.joint()) {
-            voter.learn(view.settled());
+        listener.committed(log.index(), committedState);
+        if (membership.joint()) {
+            voter.learn(membership.settled());
             voter.persist(context.now(), durable -> {
                 if (durable && !ended) {
-                    view = view.settled();
+                    membership = membership.settled();
                     heartbeat();
                 }
             });
@@ -99,12 +104,12 @@
         heartbeat();
     }
 
-    View view() {
-        return view;
+    Membership membership() {
+        return membership;
     }
 
-    ControlState inForce() {
-        return inForce;
+    ControlState committedState() {
+        return committedState;
     }
 
     /** The latest time at which the state here was surely the newest. */
@@ -121,8 +126,8 @@
 
     void onTick() {
         long now = context.now();
-        if (now - unconfirmedSince() > Timing.ISOLATED_MS) {
-            listener.standDown();
+        if (now - unconfirmedSince() > Timing.QUORUM_TIMEOUT_MS) {
+            listener.stepDown();
             return;
         }
         if (now >= heartbeatAt) {
@@ -132,19 +137,19 @@
         if (!ended
                 && write != null
                 && !synced.contains(context.self())
-                && now - write.since() > allowed(Timing.DISK_MS)) {
+                && now - write.since() > allowed(Timing.DISK_TIMEOUT_MS)) {
             listener.diskRefused();
             return;
         }
         startWrites();
         if (!ended) {
-            considerView();
+            reviewMembership();
         }
     }
 
     /** Large states are allowed more time. */
     private long allowed(long base) {
-        return base + copy.state().size() / Timing.BYTES_PER_MS;
+        return base + log.state().size() / Timing.STATE_BYTES_PER_MS;
     }
 
     private void heartbeat() {
@@ -155,14 +160,14 @@
         while (heartbeatSentAt.size() > MAX_HEARTBEATS_KEPT) {
             heartbeatSentAt.pollFirstEntry();
         }
-        List<String> standbys = contacts.standbys(now, view);
-        ReplicaMessage heartbeat = ReplicaMessage.of(Kind.HEARTBEAT, view.ballot())
-                .withView(view)
+        List<String> standbys = peers.standbys(now, membership);
+        ReplicaMessage heartbeat = ReplicaMessage.of(Kind.HEARTBEAT, membership.epoch())
+                .withMembership(membership)
                 .withNonce(nonce)
-                .withOk(hasSpareVoter(now))
-                .withCopy(copy.ballot(), copy.index())
-                .withSilences(contacts.silences(now, view.voters()));
-        Set<String> to = view.electorate();
+                .withGranted(hasSpareVoter(now))
+                .withLogPosition(log.epoch(), log.index())
+                .withSinceHeardMs(peers.allSinceHeardMs(now, membership.voters()));
+        Set<String> to = membership.electorate();
         to.remove(context.self());
         to.addAll(standbys);
         to.forEach(name -> context.send(name, heartbeat));
@@ -171,39 +176,39 @@
 
     // ---- reads ---------------------------------------------------------------------------------------
 
-    void read(long ticket) {
-        ask(ticket, null);
+    void read(long requestId) {
+        awaitConfirmation(requestId, null);
     }
 
-    private void ask(long ticket, FleetException refusal) {
-        questions.add(new Question(ticket, nonce + 1, refusal));
+    private void awaitConfirmation(long requestId, FleetException refusal) {
+        pendingReads.add(new PendingRead(requestId, nonce + 1, refusal));
         heartbeat();
     }
 
     void onHeartbeatReply(String from, ReplicaMessage reply) {
-        if (!reply.ballot().equals(view.ballot())) {
+        if (!reply.epoch().equals(membership.epoch())) {
             return;
         }
-        if (!reply.ok()) {
-            // Somebody was granted a higher ballot without taking over: only a higher one has this voter's word again.
-            if (reply.promised().isAbove(voter.promised())) {
-                voter.promise(reply.promised());
+        if (!reply.granted()) {
+            // Somebody was granted a higher epoch without taking over: only a higher one has this voter's word again.
+            if (reply.promisedEpoch().isAbove(voter.promisedEpoch())) {
+                voter.promise(reply.promisedEpoch());
                 listener.reform(plan(null, Set.of()));
             }
             return;
         }
-        acknowledged.merge(from, reply.nonce(), Math::max);
-        holdings.put(from, reply);
+        acknowledgedNonce.merge(from, reply.nonce(), Math::max);
+        reportedPositions.put(from, reply);
         confirm();
         if (!ended && write == null) {
-            bringUpToDate(from, reply);
+            catchUp(from, reply);
         }
     }
 
     /** Counts whose acknowledgements make a quorum, and answers what has waited for it. */
     private void confirm() {
         long sure = confirmedNonce;
-        for (long candidate : acknowledged.values()) {
+        for (long candidate : acknowledgedNonce.values()) {
             sure = candidate > sure && isConfirmed(candidate) ? candidate : sure;
         }
         sure = isConfirmed(nonce) ? nonce : sure;
@@ -212,9 +217,9 @@
             Map.Entry<Long, Long> sent = heartbeatSentAt.floorEntry(sure);
             confirmedAt = sent == null ? confirmedAt : Math.max(confirmedAt, sent.getValue());
         }
-        for (Question question : List.copyOf(questions)) {
-            if (question.nonce() <= confirmedNonce && questions.remove(question)) {
-                listener.answered(question.ticket(), question.refusal(), inForce);
+        for (PendingRead read : List.copyOf(pendingReads)) {
+            if (read.nonce() <= confirmedNonce && pendingReads.remove(read)) {
+                listener.answered(read.requestId(), read.refusal(), committedState);
             }
         }
     }
@@ -222,34 +227,34 @@
     private boolean isConfirmed(long atNonce) {
         Set<String> replicas = new HashSet<>();
         replicas.add(context.self());
-        acknowledged.forEach((name, acked) -> {
+        acknowledgedNonce.forEach((name, acked) -> {
             if (acked >= atNonce) {
                 replicas.add(name);
             }
         });
-        return view.isQuorum(replicas);
+        return membership.isQuorum(replicas);
     }
 
     // ---- changes -------------------------------------------------------------------------------------
 
-    void change(long ticket, Change change) {
-        requests.add(new Request(ticket, change));
+    void change(long requestId, Change change) {
+        pendingRequests.add(new Request(requestId, change));
         startWrites();
     }
 
     /** One change at a time: the next is judged by the state after the one before. */
     private void startWrites() {
-        while (!ended && write == null && !copy.writing() && !requests.isEmpty()) {
-            Request request = requests.poll();
+        while (!ended && write == null && !log.isAppending() && !pendingRequests.isEmpty()) {
+            Request request = pendingRequests.poll();
             ControlState changed;
             try {
-                changed = copy.state().with(request.change());
+                changed = log.state().with(request.change());
             } catch (FleetException refusal) {
-                ask(request.ticket(), refusal);
+                awaitConfirmation(request.requestId(), refusal);
                 continue;
             }
-            if (changed == copy.state()) {
-                ask(request.ticket(), null);
+            if (changed == log.state()) {
+                awaitConfirmation(request.requestId(), null);
             } else {
                 startWrite(request, changed);
             }
@@ -257,11 +262,11 @@
     }
 
     private void startWrite(Request request, ControlState changed) {
-        StateUpdate update = copy.nextStep(view.ballot(), request.change());
-        Write started = new Write(request.ticket(), update, context.now());
+        StateUpdate update = log.nextEntry(membership.epoch(), request.change());
+        Write started = new Write(request.requestId(), update, context.now());
         write = started;
         synced.clear();
-        copy.write(context.now(), update, changed, durable -> {
+        log.append(context.now(), update, changed, durable -> {
             if (ended || write != started) {
                 return;
             }
@@ -272,9 +277,9 @@
                 listener.diskRefused();
             }
         });
-        for (String name : view.copies()) {
+        for (String name : membership.dataReplicas()) {
             if (!name.equals(context.self())) {
-                sendCopy(name, update);
+                replicateTo(name, update);
             }
         }
     }
@@ -284,9 +289,9 @@
         if (write == null || context.now() - write.since() < Timing.HEARTBEAT_MS) {
             return;
         }
-        for (String name : view.copies()) {
+        for (String name : membership.dataReplicas()) {
             if (!synced.contains(name) && !name.equals(context.self())) {
-                sendCopy(name, updateFor(name));
+                replicateTo(name, updateFor(name));
             }
         }
     }
@@ -296,95 +301,98 @@
         if (write != null && !synced.contains(context.self())) {
             return write.update();
         }
-        ReplicaMessage held = holdings.get(name);
-        return held == null ? copy.updateFrom(Ballot.NONE, -1) : copy.updateFrom(held.copyBallot(), held.index());
+        ReplicaMessage reported = reportedPositions.get(name);
+        return reported == null
+                ? log.updateFrom(Epoch.NONE, -1)
+                : log.updateFrom(reported.logEpoch(), reported.logIndex());
     }
 
-    private void sendCopy(String to, StateUpdate update) {
-        ReplicaMessage held = holdings.get(to);
-        copySentAt.put(to, context.now());
-        context.send(to, Replica.copyMessage(update, held == null ? 0 : held.generation()));
+    private void replicateTo(String to, StateUpdate update) {
+        ReplicaMessage reported = reportedPositions.get(to);
+        replicatedAtMs.put(to, context.now());
+        context.send(to, Replica.replicateMessage(update, reported == null ? 0 : reported.generation()));
     }
 
     /** A backup that is behind lost its disk, or a message. Between changes it is brought up to date. */
-    private void bringUpToDate(String name, ReplicaMessage held) {
-        boolean behind = !copy.is(held.copyBallot(), held.index());
-        boolean sentLately = context.now() - copySentAt.getOrDefault(name, Long.MIN_VALUE / 2) < Timing.RETRY_MS;
-        if (view.copies().contains(name) && behind && !sentLately && !copy.writing()) {
-            sendCopy(name, copy.updateFrom(held.copyBallot(), held.index()));
+    private void catchUp(String name, ReplicaMessage reported) {
+        boolean behind = !log.isAt(reported.logEpoch(), reported.logIndex());
+        boolean sentLately = context.now() - replicatedAtMs.getOrDefault(name, Long.MIN_VALUE / 2) < Timing.RETRY_MS;
+        if (membership.dataReplicas().contains(name) && behind && !sentLately && !log.isAppending()) {
+            replicateTo(name, log.updateFrom(reported.logEpoch(), reported.logIndex()));
         }
     }
 
-    void onCopyReply(String from, ReplicaMessage reply) {
-        if (!reply.ballot().equals(view.ballot())) {
+    void onReplicateReply(String from, ReplicaMessage reply) {
+        if (!reply.epoch().equals(membership.epoch())) {
             return;
         }
-        if (!reply.ok()) {
-            onCopyRefused(from, reply);
+        if (!reply.granted()) {
+            onReplicationRefused(from, reply);
             return;
         }
-        if (write != null && reply.index() == write.update().index()) {
+        if (write != null && reply.logIndex() == write.update().index()) {
             synced.add(from);
             finishWrite();
         }
     }
 
-    private void onCopyRefused(String from, ReplicaMessage reply) {
-        if (reply.promised().isAbove(view.ballot())) {
-            if (reply.promised().isAbove(voter.promised())) {
-                voter.promise(reply.promised());
+    private void onReplicationRefused(String from, ReplicaMessage reply) {
+        if (reply.promisedEpoch().isAbove(membership.epoch())) {
+            if (reply.promisedEpoch().isAbove(voter.promisedEpoch())) {
+                voter.promise(reply.promisedEpoch());
             }
-            listener.standDown();
+            listener.stepDown();
             return;
         }
-        ReplicaMessage before = holdings.put(from, reply);
-        boolean changed = before == null || !Replica.sameHolding(before, reply);
-        if (changed && view.copies().contains(from) && !copy.writing()) {
-            sendCopy(from, copy.updateFrom(reply.copyBallot(), reply.index()));
+        ReplicaMessage before = reportedPositions.put(from, reply);
+        boolean changed = before == null || !Replica.sameLogPosition(before, reply);
+        if (changed && membership.dataReplicas().contains(from) && !log.isAppending()) {
+            replicateTo(from, log.updateFrom(reply.logEpoch(), reply.logIndex()));
         }
     }
 
     private void finishWrite() {
-        if (write == null || !synced.containsAll(view.copies())) {
+        if (write == null || !synced.containsAll(membership.dataReplicas())) {
             return;
         }
-        long ticket = write.ticket();
+        long requestId = write.requestId();
         write = null;
-        inForce = copy.state();
-        listener.committed(copy.index(), inForce);
-        listener.answered(ticket, null, inForce);
+        committedState = log.state();
+        listener.committed(log.index(), committedState);
+        listener.answered(requestId, null, committedState);
         startWrites();
     }
 
     // ---- the view ------------------------------------------------------------------------------------
 
     /** Replaces copies that are silent, slow or about to end, and voters that are gone. */
-    private void considerView() {
+    private void reviewMembership() {
         long now = context.now();
-        Set<String> failing = failingCopies(now);
+        Set<String> failing = failingReplicas(now);
         List<String> voters = wantedVoters(now);
         long healthy = healthyOthers(now, failing);
-        int wanted = Candidacy.wantedCopies(view.voters(), context.losses());
+        int wanted = CandidateState.wantedDataReplicas(membership.voters(), context.losses());
         boolean canReplace = !failing.isEmpty() && healthy >= context.losses();
-        boolean canAdd = view.copies().size() < wanted && healthy >= wanted - 1;
+        boolean canAdd = membership.dataReplicas().size() < wanted && healthy >= wanted - 1;
         if (canReplace || canAdd || voters != null) {
             listener.reform(plan(voters, failing));
         }
     }
 
-    private Candidacy.Plan plan(List<String> voters, Set<String> failing) {
+    private CandidateState.Plan plan(List<String> voters, Set<String> failing) {
         Set<String> avoided = new TreeSet<>(failing);
-        avoided.addAll(contacts.leaving(context.now()));
-        return new Candidacy.Plan(voters, avoided, true);
+        avoided.addAll(peers.leaving(context.now()));
+        return new CandidateState.Plan(voters, avoided, true);
     }
 
-    private Set<String> failingCopies(long now) {
-        Set<String> leaving = contacts.leaving(now);
+    private Set<String> failingReplicas(long now) {
+        Set<String> leaving = peers.leaving(now);
         Set<String> failing = new TreeSet<>();
-        for (String name : view.copies()) {
-            boolean slow = write != null && !synced.contains(name) && now - write.since() > allowed(Timing.BACKUP_MS);
+        for (String name : membership.dataReplicas()) {
+            boolean slow =
+                    write != null && !synced.contains(name) && now - write.since() > allowed(Timing.BACKUP_TIMEOUT_MS);
             if (!name.equals(context.self())
-                    && (slow || leaving.contains(name) || contacts.silence(now, name) > Timing.BACKUP_MS)) {
+                    && (slow || leaving.contains(name) || peers.sinceHeardMs(now, name) > Timing.BACKUP_TIMEOUT_MS)) {
                 failing.add(name);
             }
         }
@@ -392,10 +400,10 @@
     }
 
     private long healthyOthers(long now, Set<String> failing) {
-        Set<String> leaving = contacts.leaving(now);
-        return view.voters().stream()
+        Set<String> leaving = peers.leaving(now);
+        return membership.voters().stream()
                 .filter(name -> !name.equals(context.self()))
-                .filter(name -> contacts.silence(now, name) <= Timing.BACKUP_MS)
+                .filter(name -> peers.sinceHeardMs(now, name) <= Timing.BACKUP_TIMEOUT_MS)
                 .filter(name -> !failing.contains(name) && !leaving.contains(name))
                 .count();
     }
@@ -406,11 +414,11 @@
      * <p>One standby is taken in beside all others, as voter and copy, so that whoever ends next is not missed.
      */
     private List<String> wantedVoters(long now) {
-        if (view.joint()) {
+        if (membership.joint()) {
             return null;
         }
-        List<String> standbys = contacts.standbys(now, view);
-        List<String> voters = new ArrayList<>(view.voters());
+        List<String> standbys = peers.standbys(now, membership);
+        List<String> voters = new ArrayList<>(membership.voters());
         int needed = 2 * context.losses() + 1;
         String replaced = voterToReplace(now);
         if (replaced != null && !standbys.isEmpty()) {
@@ -431,44 +439,47 @@
      */
     private boolean mayAdd(long now, String standby) {
         int needed = 2 * context.losses() + 1;
-        if (view.voters().size() < needed) {
+        if (membership.voters().size() < needed) {
             return true;
         }
-        boolean allHeard = view.voters().stream().allMatch(name -> contacts.silence(now, name) <= Timing.BACKUP_MS);
-        return view.voters().size() == needed
+        boolean allHeard = membership.voters().stream()
+                .allMatch(name -> peers.sinceHeardMs(now, name) <= Timing.BACKUP_TIMEOUT_MS);
+        return membership.voters().size() == needed
                 && allHeard
-                && contacts.standingFor(now, standby) >= Timing.SPARE_AFTER_MS;
+                && peers.standbyForMs(now, standby) >= Timing.STANDBY_PROMOTION_DELAY_MS;
     }
 
     /** Whether a voter that ends can be done without. */
     private boolean hasSpareVoter(long now) {
-        return !contacts.standbys(now, view).isEmpty() || view.voters().size() > 2 * context.losses() + 1;
+        return !peers.standbys(now, membership).isEmpty() || membership.voters().size() > 2 * context.losses() + 1;
     }
 
     /** The voter that has been silent for longest, or else one that is about to end; null if there is none. */
     private String voterToReplace(long now) {
-        boolean spare = view.voters().size() > 2 * context.losses() + 1;
-        long limit = spare ? Timing.SPARE_VOTER_MS : Timing.VOTER_MS;
-        String silent = null;
-        for (String name : view.voters()) {
-            long silence = contacts.silence(now, name);
-            if (silence > limit && (silent == null || silence > contacts.silence(now, silent))) {
-                silent = name;
+        boolean spare = membership.voters().size() > 2 * context.losses() + 1;
+        long limit = spare ? Timing.SPARE_VOTER_TIMEOUT_MS : Timing.VOTER_TIMEOUT_MS;
+        String longestSilent = null;
+        for (String name : membership.voters()) {
+            long elapsedMs = peers.sinceHeardMs(now, name);
+            if (elapsedMs > limit && (longestSilent == null || elapsedMs > peers.sinceHeardMs(now, longestSilent))) {
+                longestSilent = name;
             }
         }
-        Set<String> leaving = contacts.leaving(now);
-        String ends =
-                view.voters().stream().filter(leaving::contains).findFirst().orElse(null);
-        return silent != null ? silent : ends;
+        Set<String> leaving = peers.leaving(now);
+        String ends = membership.voters().stream()
+                .filter(leaving::contains)
+                .findFirst()
+                .orElse(null);
+        return longestSilent != null ? longestSilent : ends;
     }
 
     /** The backup that can take over at once; null if there is none. */
     String successor() {
         long now = context.now();
-        Set<String> leaving = contacts.leaving(now);
-        return view.copies().stream()
+        Set<String> leaving = peers.leaving(now);
+        return membership.dataReplicas().stream()
                 .filter(name -> !name.equals(context.self()) && !leaving.contains(name))
-                .filter(name -> contacts.silence(now, name) <= Timing.BACKUP_MS)
+                .filter(name -> peers.sinceHeardMs(now, name) <= Timing.BACKUP_TIMEOUT_MS)
                 .findFirst()
                 .orElse(null);
     }
@@ -476,15 +487,15 @@
     /** Leads no more: nothing that waits here can be answered. */
     void end(FleetException refusal) {
         ended = true;
-        List<Long> tickets = new ArrayList<>();
+        List<Long> requestIds = new ArrayList<>();
         if (write != null) {
-            tickets.add(write.ticket());
+            requestIds.add(write.requestId());
         }
-        requests.forEach(request -> tickets.add(request.ticket()));
-        questions.forEach(question -> tickets.add(question.ticket()));
+        pendingRequests.forEach(request -> requestIds.add(request.requestId()));
+        pendingReads.forEach(read -> requestIds.add(read.requestId()));
         write = null;
-        requests.clear();
-        questions.clear();
-        tickets.forEach(ticket -> listener.answered(ticket, refusal, null));
+        pendingRequests.clear();
+        pendingReads.clear();
+        requestIds.forEach(requestId -> listener.answered(requestId, refusal, null));
     }
 }
--- a/src/main/java/quartzspan/replication/Replica.java
+++ b/src/main/java/quartzspan/replication/Replica.java
@@ -4,17 +4,17 @@
 import java.util.List;
 import java.util.Set;
 import quartzspan.common.FleetException;
-import quartzspan.replication.Candidacy.Plan;
+import quartzspan.replication.CandidateState.Plan;
 import quartzspan.replication.ReplicaMessage.Kind;
-import quartzspan.replication.VoterState.DiskLife;
+import quartzspan.replication.VoterState.DiskIncarnation;
 
 /**
  * One core machine's part in keeping the control state, without clock, thread or I/O.
  *
- * <p>A {@link Ballot} forms one {@link View} at most: a primary, the backups that hold copies, and the voters. A change is
+ * <p>A {@link Epoch} forms one {@link Membership} at most: a primary, the backups that hold copies, and the voters. A change is
  * answered when the disks of the primary and of all backups have it. Whoever wants to take over asks the voters for a higher
- * ballot ({@link Candidacy}); there is no log that a majority replicates, and voters without a copy keep promises and views
- * only. A replica whose disk was lost takes no part until it has recovered ({@link Recovery}).
+ * epoch ({@link CandidateState}); there is no log that a majority replicates, and voters without a copy keep promises and views
+ * only. A replica whose disk was lost takes no part until it has recovered ({@link DiskLossRecovery}).
  *
  * <p>All times are milliseconds of a steady clock.
  */
@@ -27,7 +27,7 @@
         void persist(long number, byte[] record);
 
         /** The answer to {@link Replica#change} or {@link Replica#confirm}; the refusal is null if granted. */
-        void done(long ticket, FleetException refusal, ControlState state);
+        void done(long requestId, FleetException refusal, ControlState state);
 
         /**
          * The state that is in force from now on; only a primary says so. Committed indexes only rise, and each identifies
@@ -40,20 +40,20 @@
     private final Out out;
     private final DiskQueue disk;
     private final VoterState voter;
-    private final StateCopy copy;
-    private final Contacts contacts;
+    private final ReplicaLog log;
+    private final PeerLiveness peers;
     private final Set<String> seeds;
-    private Recovery recovery;
-    private Leadership leadership;
+    private DiskLossRecovery recovery;
+    private PrimaryState leadership;
     /** When the primary, or a candidate in its stead, was last heard. */
-    private long primaryHeardAt;
-    /** The ballot of the view that was last heard to be in force. */
-    private Ballot inForceBallot = Ballot.NONE;
+    private long primaryHeardAtMs;
+    /** The epoch of the view that was last heard to be in force. */
+    private Epoch activeEpoch = Epoch.NONE;
     /** Whether the primary can do without this replica's vote. */
     private boolean replaceable;
 
-    private long standAfter;
-    private long askAt;
+    private long nextElectionAtMs;
+    private long nextRequestAtMs;
     private boolean leaving;
 
     /**
@@ -79,15 +79,15 @@
         this.context = new ReplicaContext(self, losses, seed, now, out);
         this.disk = new DiskQueue(out);
         this.voter = new VoterState(disk);
-        this.copy = new StateCopy(disk);
-        this.contacts = new Contacts(self, now);
+        this.log = new ReplicaLog(disk);
+        this.peers = new PeerLiveness(self, now);
         boolean damaged = !restore(kept);
-        if (damaged || voter.view().ballot().equals(Ballot.NONE)) {
+        if (damaged || voter.membership().epoch().equals(Epoch.NONE)) {
             begin(found && !damaged);
         }
         // A primary that lives is heard within a heartbeat or two; after a loss of power of all nobody has to be waited
         // for.
-        primaryHeardAt = now - Timing.SILENCE_MS + 2 * Timing.HEARTBEAT_MS;
+        primaryHeardAtMs = now - Timing.ELECTION_TIMEOUT_MS + 2 * Timing.HEARTBEAT_MS;
         follow();
     }
 
@@ -95,16 +95,16 @@
     private boolean restore(List<byte[]> kept) {
         try {
             for (byte[] record : kept) {
-                if (record[0] == VoterState.RECORD) {
+                if (record[0] == VoterState.RECORD_TAG) {
                     voter.restore(record);
                 } else {
-                    copy.restore(record);
+                    log.restore(record);
                 }
             }
             return true;
         } catch (RuntimeException unreadable) {
             voter.clear();
-            copy.clear();
+            log.clear();
             return false;
         }
     }
@@ -113,44 +113,44 @@
     private void begin(boolean found) {
         List<String> founders = seeds.stream().distinct().sorted().toList();
         if (!found || !founders.contains(context.self())) {
-            voter.setBlank(true);
-            recovery = new Recovery(context.self(), voter, context.randomLong());
+            voter.setRecovering(true);
+            recovery = new DiskLossRecovery(context.self(), voter, context.randomLong());
             return;
         }
-        List<String> copies = founders.subList(0, Math.min(context.losses() + 1, founders.size()));
-        voter.promise(Ballot.FOUNDING);
-        voter.learn(new View(Ballot.FOUNDING, founders.get(0), copies, founders, List.of()));
-        if (copies.contains(context.self())) {
-            copy.found(context.now(), durable -> {});
+        List<String> dataReplicas = founders.subList(0, Math.min(context.losses() + 1, founders.size()));
+        voter.promise(Epoch.FOUNDING);
+        voter.learn(new Membership(Epoch.FOUNDING, founders.get(0), dataReplicas, founders, List.of()));
+        if (dataReplicas.contains(context.self())) {
+            log.found(context.now(), durable -> {});
         }
         voter.persist(context.now(), durable -> {});
     }
 
     // ---- what is asked of outside --------------------------------------------------------------------
 
-    public boolean primary() {
+    public boolean isPrimary() {
         return leadership != null;
     }
 
-    public View view() {
-        return voter.view();
+    public Membership membership() {
+        return voter.membership();
     }
 
-    public Ballot promised() {
-        return voter.promised();
+    public Epoch promisedEpoch() {
+        return voter.promisedEpoch();
     }
 
     /** Whether the disk was lost, and what it promised has not been learnt again. */
-    public boolean blank() {
-        return voter.blank();
+    public boolean isRecovering() {
+        return voter.isRecovering();
     }
 
     /** What this replica does at present, in a word. */
     public String role() {
-        if (voter.blank()) {
+        if (voter.isRecovering()) {
             return "BLANK";
         }
-        if (!view().voters().contains(context.self())) {
+        if (!membership().voters().contains(context.self())) {
             return "STANDBY";
         }
         if (leadership != null) {
@@ -159,54 +159,54 @@
         if (context.candidacy() != null) {
             return "CANDIDATE";
         }
-        return view().copies().contains(context.self()) ? "BACKUP" : "WITNESS";
+        return membership().dataReplicas().contains(context.self()) ? "BACKUP" : "WITNESS";
     }
 
     /** Who is primary, as far as heard of late; null if unknown. */
-    public String leader(long now) {
-        if (primary()) {
+    public String knownPrimary(long now) {
+        if (isPrimary()) {
             return context.self();
         }
-        String named = view().primary();
-        boolean heard = now - primaryHeardAt < Timing.ISOLATED_MS;
+        String named = membership().primary();
+        boolean heard = now - primaryHeardAtMs < Timing.QUORUM_TIMEOUT_MS;
         return heard && !named.isEmpty() && !named.equals(context.self()) ? named : null;
     }
 
     /** The latest time at which this primary's state was surely the newest; far in the past if it is not primary. */
     public long confirmedAt() {
-        return primary() ? leadership.confirmedAt() : Long.MIN_VALUE / 2;
+        return isPrimary() ? leadership.confirmedAt() : Long.MIN_VALUE / 2;
     }
 
-    public Ballot copyBallot() {
-        return copy.ballot();
+    public Epoch logEpoch() {
+        return log.epoch();
     }
 
-    public long copyIndex() {
-        return copy.index();
+    public long logIndex() {
+        return log.index();
     }
 
     /** The state in force at a primary; elsewhere the copy held here, which may be behind or ahead of it. */
     public ControlState state() {
-        return primary() ? leadership.inForce() : copy.state();
+        return isPrimary() ? leadership.committedState() : log.state();
     }
 
     /** Asks for a change of the control state. */
-    public void change(long now, long ticket, Change change) {
+    public void submit(long now, long requestId, Change change) {
         context.advance(now);
-        if (primary()) {
-            leadership.change(ticket, change);
+        if (isPrimary()) {
+            leadership.change(requestId, change);
         } else {
-            out.done(ticket, notPrimary(), null);
+            out.done(requestId, notPrimary(), null);
         }
     }
 
     /** Asks whether the state here is the newest; the answer comes once a quorum has confirmed it. */
-    public void confirm(long now, long ticket) {
+    public void read(long now, long requestId) {
         context.advance(now);
-        if (primary()) {
-            leadership.read(ticket);
+        if (isPrimary()) {
+            leadership.read(requestId);
         } else {
-            out.done(ticket, notPrimary(), null);
+            out.done(requestId, notPrimary(), null);
         }
     }
 
@@ -218,26 +218,26 @@
     }
 
     /** Begins to hand over what others need of this replica: the lead, its copy, and its vote where a standby can take it. */
-    public void leave(long now) {
+    public void beginHandover(long now) {
         context.advance(now);
         leaving = true;
-        askAt = now;
+        nextRequestAtMs = now;
         onTick(now);
     }
 
     /** Whether nothing is lost when a replica that leaves ends now. */
-    public boolean left(long now) {
-        if (voter.blank()) {
+    public boolean isHandoverComplete(long now) {
+        if (voter.isRecovering()) {
             // It vouches for nothing, so nobody counts on it.
             return leaving;
         }
-        boolean inForce = inForceBallot.equals(view().ballot());
-        if (!leaving || primary() || !inForce) {
+        boolean inForce = activeEpoch.equals(membership().epoch());
+        if (!leaving || isPrimary() || !inForce) {
             return false;
         }
-        boolean heard = now - primaryHeardAt < Timing.ISOLATED_MS;
-        boolean needed = view().copies().contains(context.self()) || replaceable;
-        return !view().voters().contains(context.self()) || heard && !needed;
+        boolean heard = now - primaryHeardAtMs < Timing.QUORUM_TIMEOUT_MS;
+        boolean needed = membership().dataReplicas().contains(context.self()) || replaceable;
+        return !membership().voters().contains(context.self()) || heard && !needed;
     }
 
     // ---- time ----------------------------------------------------------------------------------------
@@ -245,62 +245,64 @@
     /** To be called every 50 ms or so. */
     public void onTick(long now) {
         context.advance(now);
-        if (now >= askAt) {
-            askAt = now + Timing.RETRY_MS;
-            askForHelp();
+        if (now >= nextRequestAtMs) {
+            nextRequestAtMs = now + Timing.RETRY_MS;
+            requestMembership();
         }
-        if (voter.blank()) {
+        if (voter.isRecovering()) {
             return;
         }
-        if (disk.waitingFor(now) > Timing.DISK_MS && (context.candidacy() != null)) {
-            standAside();
+        if (disk.waitingFor(now) > Timing.DISK_TIMEOUT_MS && (context.candidacy() != null)) {
+            pauseElections();
         }
         if (leadership != null) {
             leadership.onTick();
         } else if (context.candidacy() != null) {
             context.candidacy().onTick();
-        } else if (mayStand(now)) {
-            stand(Plan.TAKE_OVER).startWithPreVote();
+        } else if (mayStartElection(now)) {
+            startElection(Plan.TAKE_OVER).startWithPreVote();
         }
     }
 
-    private boolean mayStand(long now) {
+    private boolean mayStartElection(long now) {
         return !leaving
-                && now >= standAfter
-                && now - primaryHeardAt >= Timing.SILENCE_MS
-                && view().voters().contains(context.self())
+                && now >= nextElectionAtMs
+                && now - primaryHeardAtMs >= Timing.ELECTION_TIMEOUT_MS
+                && membership().voters().contains(context.self())
                 && disk.isIdle();
     }
 
     /** One that is blank or has no vote asks to be taken in; one that leaves asks to be let go. */
-    private void askForHelp() {
-        if (voter.blank()) {
+    private void requestMembership() {
+        if (voter.isRecovering()) {
             others().forEach(name -> context.send(name, recovery.request()));
         } else if (leaving) {
-            askToLeave();
-        } else if (!view().voters().contains(context.self())) {
+            requestHandover();
+        } else if (!membership().voters().contains(context.self())) {
             // Also one of the previous voters of a joint view: it is not told when that view is settled.
-            ReplicaMessage request = ReplicaMessage.of(Kind.RECOVERY, Ballot.NONE)
-                    .withNonce(voter.lifeNonce())
+            ReplicaMessage request = ReplicaMessage.of(Kind.RECOVERY, Epoch.NONE)
+                    .withNonce(voter.incarnationNonce())
                     .withGeneration(voter.generation());
             others().forEach(name -> context.send(name, request));
         }
     }
 
-    private void askToLeave() {
+    private void requestHandover() {
         if (leadership == null) {
-            others().forEach(name -> context.send(name, ReplicaMessage.of(Kind.LEAVING, view().ballot())));
+            others().forEach(name -> context.send(
+                    name, ReplicaMessage.of(Kind.LEAVING, membership().epoch())));
             return;
         }
         String successor = leadership.successor();
         if (successor != null) {
-            context.send(successor, ReplicaMessage.of(Kind.HANDOVER, view().ballot()));
+            context.send(
+                    successor, ReplicaMessage.of(Kind.HANDOVER, membership().epoch()));
         }
     }
 
     private Set<String> others() {
-        Set<String> all = new LinkedHashSet<>(view().electorate());
-        all.add(view().primary());
+        Set<String> all = new LinkedHashSet<>(membership().electorate());
+        all.add(membership().primary());
         all.addAll(seeds);
         all.remove(context.self());
         all.remove("");
@@ -311,14 +313,15 @@
 
     /** Neither leads nor stands any more. */
     private void follow() {
-        long spread = Timing.SILENCE_SPREAD_MS / (view().copies().contains(context.self()) ? 2 : 1);
-        standAfter = context.now() + context.randomBelow(spread);
+        long spread =
+                Timing.ELECTION_TIMEOUT_JITTER_MS / (membership().dataReplicas().contains(context.self()) ? 2 : 1);
+        nextElectionAtMs = context.now() + context.randomBelow(spread);
         context.setCandidacy(null);
         endLeadership();
     }
 
     private void endLeadership() {
-        Leadership ended = leadership;
+        PrimaryState ended = leadership;
         leadership = null;
         if (ended != null) {
             ended.end(notPrimary());
@@ -326,64 +329,64 @@
     }
 
     /** The disk does not keep up or refuses: somebody else had better lead. */
-    private void standAside() {
+    private void pauseElections() {
         follow();
-        standAfter = context.now() + Timing.STAND_ASIDE_MS;
+        nextElectionAtMs = context.now() + Timing.ELECTION_PAUSE_MS;
     }
 
-    private Candidacy stand(Plan plan) {
+    private CandidateState startElection(Plan plan) {
         endLeadership();
         Set<String> avoided = new LinkedHashSet<>(plan.avoided());
-        avoided.addAll(contacts.leaving(context.now()));
-        Candidacy candidacy = new Candidacy(
-                context, voter, copy, new Plan(plan.voters(), avoided, plan.handedOver()), new CandidacyOutcome());
+        avoided.addAll(peers.leaving(context.now()));
+        CandidateState candidacy = new CandidateState(
+                context, voter, log, new Plan(plan.voters(), avoided, plan.handedOver()), new CandidacyOutcome());
         context.setCandidacy(candidacy);
         return candidacy;
     }
 
-    private final class CandidacyOutcome implements Candidacy.Listener {
+    private final class CandidacyOutcome implements CandidateState.Listener {
         @Override
-        public void elected(View view) {
+        public void elected(Membership membership) {
             context.setCandidacy(null);
-            leadership = new Leadership(context, voter, copy, contacts, view, new LeadershipOutcome());
+            leadership = new PrimaryState(context, voter, log, peers, membership, new LeadershipOutcome());
             leadership.begin();
         }
 
         @Override
-        public void givenUp() {
+        public void abandoned() {
             follow();
         }
 
         @Override
         public void diskRefused() {
-            standAside();
+            pauseElections();
         }
     }
 
-    private final class LeadershipOutcome implements Leadership.Listener {
+    private final class LeadershipOutcome implements PrimaryState.Listener {
         @Override
         public void reform(Plan plan) {
-            stand(plan).startWithVote();
+            startElection(plan).startWithVote();
         }
 
         @Override
-        public void standDown() {
+        public void stepDown() {
             follow();
         }
 
         @Override
         public void diskRefused() {
-            standAside();
+            pauseElections();
         }
 
         @Override
         public void committed(long index, ControlState state) {
-            out.committed(index, state, copy.history());
+            out.committed(index, state, log.history());
         }
 
         @Override
-        public void answered(long ticket, FleetException refusal, ControlState state) {
-            out.done(ticket, refusal, state);
+        public void answered(long requestId, FleetException refusal, ControlState state) {
+            out.done(requestId, refusal, state);
         }
     }
 
@@ -392,7 +395,7 @@
     /** Something came from another replica. */
     public void onMessage(long now, String from, ReplicaMessage message) {
         context.advance(now);
-        contacts.heard(now, from);
+        peers.onMessageFrom(now, from);
         switch (message.kind()) {
             case HEARTBEAT -> onHeartbeat(from, message);
             case HEARTBEAT_REPLY -> {
@@ -403,11 +406,11 @@
             case PRE_VOTE -> onPreVote(from, message);
             case VOTE -> onVote(from, message);
             case FETCH -> onFetch(from, message);
-            case COPY -> onCopy(from, message);
+            case REPLICATE -> onReplicate(from, message);
             case ACCEPT -> onAccept(from, message);
-            case COPY_REPLY -> {
+            case REPLICATE_REPLY -> {
                 if (leadership != null) {
-                    leadership.onCopyReply(from, message);
+                    leadership.onReplicateReply(from, message);
                 } else {
                     toCandidacy(from, message);
                 }
@@ -415,7 +418,7 @@
             case PRE_VOTE_REPLY, VOTE_REPLY, FETCH_REPLY, ACCEPT_REPLY -> toCandidacy(from, message);
             case RECOVERY -> onRecovery(from, message);
             case RECOVERY_REPLY -> onRecoveryReply(from, message);
-            case LEAVING -> contacts.leaves(now, from);
+            case LEAVING -> peers.onLeaving(now, from);
             case HANDOVER -> onHandover(from, message);
             default -> throw new IllegalStateException("no message " + message.kind());
         }
@@ -428,105 +431,110 @@
     }
 
     /** An answer, with what this replica has promised durably and holds. */
-    private ReplicaMessage reply(Kind kind, Ballot ballot, boolean ok) {
-        return ReplicaMessage.of(kind, ballot)
-                .withOk(ok)
-                .withPromise(voter.durablePromise(), voter.blank())
-                .withCopy(copy.ballot(), copy.index())
+    private ReplicaMessage reply(Kind kind, Epoch epoch, boolean ok) {
+        return ReplicaMessage.of(kind, epoch)
+                .withGranted(ok)
+                .withPromisedEpoch(voter.durablePromisedEpoch(), voter.isRecovering())
+                .withLogPosition(log.epoch(), log.index())
                 .withGeneration(voter.generation())
                 .withGenerations(voter.generations());
     }
 
     /** A refusal, with the promise that stands against it. */
-    private ReplicaMessage refusal(Kind kind, Ballot ballot) {
-        return reply(kind, ballot, false).withPromise(voter.promised(), voter.blank());
+    private ReplicaMessage refusal(Kind kind, Epoch epoch) {
+        return reply(kind, epoch, false).withPromisedEpoch(voter.promisedEpoch(), voter.isRecovering());
     }
 
-    private boolean heardOfLate() {
-        return context.now() - primaryHeardAt < Timing.STICKY_MS;
+    private boolean primaryHeardRecently() {
+        return context.now() - primaryHeardAtMs < Timing.VOTE_STICKINESS_MS;
     }
 
     /** Whether a candidacy may be granted: not while somebody else leads well, unless that one has asked for it. */
     private boolean mayGrant(ReplicaMessage request) {
-        boolean handedOver = request.ok() && !view().supersedes(request.view());
-        boolean leadsWell = leadership != null && context.now() - leadership.unconfirmedSince() < Timing.STICKY_MS;
-        return handedOver || !leadsWell && !heardOfLate();
+        boolean handedOver = request.granted() && !membership().supersedes(request.membership());
+        boolean confirmedRecently =
+                leadership != null && context.now() - leadership.unconfirmedSince() < Timing.VOTE_STICKINESS_MS;
+        return handedOver || !confirmedRecently && !primaryHeardRecently();
     }
 
     private void onPreVote(String from, ReplicaMessage request) {
-        boolean ok = !voter.blank() && request.ballot().isAbove(voter.promised()) && mayGrant(request);
+        boolean ok = !voter.isRecovering() && request.epoch().isAbove(voter.promisedEpoch()) && mayGrant(request);
         context.send(
-                from, refusal(Kind.PRE_VOTE_REPLY, request.ballot()).withOk(ok).withView(voter.durableView()));
+                from,
+                refusal(Kind.PRE_VOTE_REPLY, request.epoch())
+                        .withGranted(ok)
+                        .withMembership(voter.durableMembership()));
     }
 
     private void onVote(String from, ReplicaMessage request) {
-        Ballot ballot = request.ballot();
-        boolean granted = ballot.equals(voter.promised());
-        if (voter.blank() || ballot.isBelow(voter.promised()) || !granted && !mayGrant(request)) {
-            context.send(from, refusal(Kind.VOTE_REPLY, ballot));
+        Epoch epoch = request.epoch();
+        boolean granted = epoch.equals(voter.promisedEpoch());
+        if (voter.isRecovering() || epoch.isBelow(voter.promisedEpoch()) || !granted && !mayGrant(request)) {
+            context.send(from, refusal(Kind.VOTE_REPLY, epoch));
             return;
         }
-        deferCandidacy();
+        deferElection();
         if (!granted) {
             follow();
-            voter.promise(ballot);
+            voter.promise(epoch);
         }
-        if (ballot.equals(voter.durablePromise())) {
-            context.send(from, grant(ballot));
+        if (epoch.equals(voter.durablePromisedEpoch())) {
+            context.send(from, grant(epoch));
             return;
         }
         voter.persist(context.now(), durable -> {
-            boolean holds = durable && ballot.equals(voter.promised());
-            context.send(from, holds ? grant(ballot) : refusal(Kind.VOTE_REPLY, ballot));
+            boolean holds = durable && epoch.equals(voter.promisedEpoch());
+            context.send(from, holds ? grant(epoch) : refusal(Kind.VOTE_REPLY, epoch));
         });
     }
 
-    private ReplicaMessage grant(Ballot ballot) {
-        return reply(Kind.VOTE_REPLY, ballot, true).withView(voter.durableView());
+    private ReplicaMessage grant(Epoch epoch) {
+        return reply(Kind.VOTE_REPLY, epoch, true).withMembership(voter.durableMembership());
     }
 
     /** A candidate has time for its steps before anybody else stands. */
-    private void deferCandidacy() {
-        primaryHeardAt = Math.max(primaryHeardAt, context.now() - Timing.CANDIDACY_AGE_MS);
+    private void deferElection() {
+        primaryHeardAtMs = Math.max(primaryHeardAtMs, context.now() - Timing.ELECTION_DEFERRAL_AGE_MS);
     }
 
     private void onFetch(String from, ReplicaMessage request) {
-        if (voter.blank() || !request.ballot().equals(voter.durablePromise()) || copy.index() < 0) {
+        if (voter.isRecovering() || !request.epoch().equals(voter.durablePromisedEpoch()) || log.index() < 0) {
             return;
         }
-        StateUpdate update = copy.updateFrom(request.copyBallot(), request.index());
-        context.send(from, reply(Kind.FETCH_REPLY, request.ballot(), true).withBody(update.bytes()));
+        StateUpdate update = log.updateFrom(request.logEpoch(), request.logIndex());
+        context.send(from, reply(Kind.FETCH_REPLY, request.epoch(), true).withBody(update.bytes()));
     }
 
     private void onHeartbeat(String from, ReplicaMessage heartbeat) {
-        Ballot ballot = heartbeat.ballot();
-        if (ballot.isBelow(voter.promised()) && !voter.blank()) {
-            context.send(from, refusal(Kind.HEARTBEAT_REPLY, ballot).withNonce(heartbeat.nonce()));
+        Epoch epoch = heartbeat.epoch();
+        if (epoch.isBelow(voter.promisedEpoch()) && !voter.isRecovering()) {
+            context.send(from, refusal(Kind.HEARTBEAT_REPLY, epoch).withNonce(heartbeat.nonce()));
             return;
         }
-        if (!heartbeat.view().ballot().equals(ballot)
-                || !heartbeat.view().primary().equals(from)) {
+        if (!heartbeat.membership().epoch().equals(epoch)
+                || !heartbeat.membership().primary().equals(from)) {
             return;
         }
-        primaryHeardAt = context.now();
-        inForceBallot = ballot;
-        replaceable = heartbeat.ok();
-        contacts.learnSilences(context.now(), heartbeat.silences());
-        if (voter.blank()) {
-            // Tells whom to ask; to answer would be to vouch for a ballot.
-            voter.learn(heartbeat.view());
+        primaryHeardAtMs = context.now();
+        activeEpoch = epoch;
+        replaceable = heartbeat.granted();
+        peers.learnSinceHeard(context.now(), heartbeat.sinceHeardMs());
+        if (voter.isRecovering()) {
+            // Tells whom to ask; to answer would be to vouch for an epoch.
+            voter.learn(heartbeat.membership());
             return;
         }
         if (context.candidacy() != null || leadership != null) {
             follow();
         }
-        boolean news = ballot.isAbove(voter.promised()) || heartbeat.view().supersedes(view());
-        if (!news) {
+        boolean newer =
+                epoch.isAbove(voter.promisedEpoch()) || heartbeat.membership().supersedes(membership());
+        if (!newer) {
             acknowledge(from, heartbeat);
             return;
         }
-        voter.promise(ballot);
-        voter.learn(heartbeat.view());
+        voter.promise(epoch);
+        voter.learn(heartbeat.membership());
         voter.persist(context.now(), durable -> {
             if (durable) {
                 acknowledge(from, heartbeat);
@@ -535,116 +543,116 @@
     }
 
     private void acknowledge(String from, ReplicaMessage heartbeat) {
-        boolean holds = !voter.promised().isAbove(heartbeat.ballot());
+        boolean holds = !voter.promisedEpoch().isAbove(heartbeat.epoch());
         ReplicaMessage answer = holds
-                ? reply(Kind.HEARTBEAT_REPLY, heartbeat.ballot(), true)
-                : refusal(Kind.HEARTBEAT_REPLY, heartbeat.ballot());
+                ? reply(Kind.HEARTBEAT_REPLY, heartbeat.epoch(), true)
+                : refusal(Kind.HEARTBEAT_REPLY, heartbeat.epoch());
         context.send(from, answer.withNonce(heartbeat.nonce()));
     }
 
-    static ReplicaMessage copyMessage(StateUpdate update, long generation) {
-        return ReplicaMessage.of(Kind.COPY, update.ballot())
-                .withCopy(update.ballot(), update.index())
+    static ReplicaMessage replicateMessage(StateUpdate update, long generation) {
+        return ReplicaMessage.of(Kind.REPLICATE, update.epoch())
+                .withLogPosition(update.epoch(), update.index())
                 .withGeneration(generation)
                 .withBody(update.bytes());
     }
 
     /** Whether two answers tell of the same copy on the same disk. */
-    static boolean sameHolding(ReplicaMessage one, ReplicaMessage other) {
-        return one.copyBallot().equals(other.copyBallot())
-                && one.index() == other.index()
+    static boolean sameLogPosition(ReplicaMessage one, ReplicaMessage other) {
+        return one.logEpoch().equals(other.logEpoch())
+                && one.logIndex() == other.logIndex()
                 && one.generation() == other.generation();
     }
 
-    private void onCopy(String from, ReplicaMessage message) {
-        Ballot ballot = message.ballot();
-        if (voter.blank()) {
+    private void onReplicate(String from, ReplicaMessage message) {
+        Epoch epoch = message.epoch();
+        if (voter.isRecovering()) {
             return;
         }
-        if (ballot.isBelow(voter.promised()) || message.generation() != voter.generation()) {
-            context.send(from, refusal(Kind.COPY_REPLY, ballot));
+        if (epoch.isBelow(voter.promisedEpoch()) || message.generation() != voter.generation()) {
+            context.send(from, refusal(Kind.REPLICATE_REPLY, epoch));
             return;
         }
-        if (ballot.equals(copy.ballot()) && message.index() <= copy.index()) {
-            context.send(from, copied(message));
+        if (epoch.equals(log.epoch()) && message.logIndex() <= log.index()) {
+            context.send(from, replicated(message));
             return;
         }
         if (context.candidacy() != null || leadership != null) {
             follow();
         }
-        deferCandidacy();
-        if (copy.writing()) {
+        deferElection();
+        if (log.isAppending()) {
             return;
         }
         StateUpdate update = StateUpdate.parse(message.body());
-        if (!copy.accepts(update)) {
-            context.send(from, refusal(Kind.COPY_REPLY, ballot));
+        if (!log.isApplicable(update)) {
+            context.send(from, refusal(Kind.REPLICATE_REPLY, epoch));
             return;
         }
-        if (ballot.isAbove(voter.promised())) {
-            voter.promise(ballot);
+        if (epoch.isAbove(voter.promisedEpoch())) {
+            voter.promise(epoch);
             voter.persist(context.now(), durable -> {});
         }
-        copy.write(context.now(), update, copy.result(update), durable -> {
+        log.append(context.now(), update, log.stateAfter(update), durable -> {
             if (durable) {
-                context.send(from, copied(message));
+                context.send(from, replicated(message));
             }
         });
     }
 
-    private ReplicaMessage copied(ReplicaMessage message) {
-        ReplicaMessage answer = reply(Kind.COPY_REPLY, message.ballot(), true);
-        return answer.withCopy(message.ballot(), message.index());
+    private ReplicaMessage replicated(ReplicaMessage message) {
+        ReplicaMessage answer = reply(Kind.REPLICATE_REPLY, message.epoch(), true);
+        return answer.withLogPosition(message.epoch(), message.logIndex());
     }
 
     private void onAccept(String from, ReplicaMessage message) {
-        Ballot ballot = message.ballot();
-        if (voter.blank() || !message.view().ballot().equals(ballot)) {
+        Epoch epoch = message.epoch();
+        if (voter.isRecovering() || !message.membership().epoch().equals(epoch)) {
             return;
         }
-        if (ballot.isBelow(voter.promised())) {
-            context.send(from, refusal(Kind.ACCEPT_REPLY, ballot));
+        if (epoch.isBelow(voter.promisedEpoch())) {
+            context.send(from, refusal(Kind.ACCEPT_REPLY, epoch));
             return;
         }
         if (context.candidacy() != null || leadership != null) {
             follow();
         }
-        primaryHeardAt = context.now();
-        voter.promise(ballot);
-        voter.learn(message.view());
+        primaryHeardAtMs = context.now();
+        voter.promise(epoch);
+        voter.learn(message.membership());
         voter.persist(context.now(), durable -> {
             if (durable) {
-                context.send(from, reply(Kind.ACCEPT_REPLY, ballot, true));
+                context.send(from, reply(Kind.ACCEPT_REPLY, epoch, true));
             }
         });
     }
 
     private void onRecovery(String from, ReplicaMessage request) {
-        if (voter.blank()) {
+        if (voter.isRecovering()) {
             return;
         }
-        if (!request.blank()) {
-            contacts.standsBy(context.now(), from);
-            context.send(from, reply(Kind.RECOVERY_REPLY, Ballot.NONE, true).withView(voter.durableView()));
+        if (!request.recovering()) {
+            peers.onStandby(context.now(), from);
+            context.send(from, reply(Kind.RECOVERY_REPLY, Epoch.NONE, true).withMembership(voter.durableMembership()));
             return;
         }
-        DiskLife claimed = new DiskLife(request.generation(), request.nonce());
-        boolean noted = voter.noteLife(from, claimed);
+        DiskIncarnation claimed = new DiskIncarnation(request.generation(), request.nonce());
+        boolean noted = voter.recordIncarnation(from, claimed);
         voter.persist(context.now(), durable -> {
             if (durable) {
                 context.send(
                         from,
-                        reply(Kind.RECOVERY_REPLY, Ballot.NONE, noted)
+                        reply(Kind.RECOVERY_REPLY, Epoch.NONE, noted)
                                 .withNonce(request.nonce())
-                                .withView(voter.durableView()));
+                                .withMembership(voter.durableMembership()));
             }
         });
     }
 
     private void onRecoveryReply(String from, ReplicaMessage reply) {
-        if (!voter.blank()) {
-            if (!view().voters().contains(context.self())) {
-                voter.learn(reply.view());
+        if (!voter.isRecovering()) {
+            if (!membership().voters().contains(context.self())) {
+                voter.learn(reply.membership());
             }
             return;
         }
@@ -652,29 +660,31 @@
             return;
         }
         recovery = null;
-        voter.setBlank(false);
-        primaryHeardAt = context.now();
+        voter.setRecovering(false);
+        primaryHeardAtMs = context.now();
         voter.persist(context.now(), durable -> {
             if (!durable) {
-                becomeBlankAgain();
+                recoverAgain();
             }
         });
     }
 
-    private void becomeBlankAgain() {
+    private void recoverAgain() {
         follow();
-        voter.setBlank(true);
-        recovery = new Recovery(context.self(), voter, context.randomLong());
+        voter.setRecovering(true);
+        recovery = new DiskLossRecovery(context.self(), voter, context.randomLong());
     }
 
     private void onHandover(String from, ReplicaMessage message) {
-        contacts.leaves(context.now(), from);
-        boolean current =
-                message.ballot().equals(view().ballot()) && view().primary().equals(from);
-        boolean able =
-                !voter.blank() && !leaving && disk.isIdle() && view().copies().contains(context.self());
+        peers.onLeaving(context.now(), from);
+        boolean current = message.epoch().equals(membership().epoch())
+                && membership().primary().equals(from);
+        boolean able = !voter.isRecovering()
+                && !leaving
+                && disk.isIdle()
+                && membership().dataReplicas().contains(context.self());
         if (current && able && context.candidacy() == null && leadership == null) {
-            stand(new Plan(null, Set.of(), true)).startWithVote();
+            startElection(new Plan(null, Set.of(), true)).startWithVote();
         }
     }
 
--- a/src/main/java/quartzspan/replication/ReplicaContext.java
+++ b/src/main/java/quartzspan/replication/ReplicaContext.java
@@ -9,7 +9,7 @@
     private final SplittableRandom random;
     private final Replica.Out out;
     private long now;
-    private Candidacy candidacy;
+    private CandidateState candidacy;
 
     ReplicaContext(String self, int losses, long seed, long now, Replica.Out out) {
         this.self = self;
@@ -49,16 +49,16 @@
     }
 
     /** The candidacy under way; null if there is none. */
-    Candidacy candidacy() {
+    CandidateState candidacy() {
         return candidacy;
     }
 
-    void setCandidacy(Candidacy current) {
+    void setCandidacy(CandidateState current) {
         candidacy = current;
     }
 
     /** Whether a candidacy is still the one under way, for what completes later. */
-    boolean isCurrent(Candidacy asked) {
+    boolean isCurrent(CandidateState asked) {
         return candidacy == asked;
     }
 }
--- a/src/main/java/quartzspan/replication/StateCopy.java
+++ b/src/main/java/quartzspan/replication/ReplicaLog.java
@@ -8,32 +8,32 @@
  * The copy of the control state on this replica's disk. It is written as a snapshot and the steps since; a new snapshot is
  * written once the steps outgrow the last one, so that the log stays bounded and a start reads little.
  */
-final class StateCopy {
+final class ReplicaLog {
     /** The tags of the records on disk. */
     static final byte SNAPSHOT_RECORD = 'C';
 
-    static final byte STEPS_RECORD = 'D';
+    static final byte ENTRIES_RECORD = 'D';
     /** Steps are kept up to this many bytes, or the size of the last snapshot if that is more. */
-    private static final long MIN_STEPS_BYTES = 64 * 1024;
+    private static final long MIN_ENTRIES_BYTES = 64 * 1024;
 
-    private static final int MAX_STEPS = 256;
+    private static final int MAX_ENTRIES = 256;
 
     private final DiskQueue disk;
-    private Ballot ballot = Ballot.NONE;
+    private Epoch epoch = Epoch.NONE;
     private long index = -1;
     private ControlState state = ControlState.EMPTY;
-    private final ChangeHistory history = new ChangeHistory(-1, Ballot.NONE);
-    private boolean writing;
+    private final ChangeHistory history = new ChangeHistory(-1, Epoch.NONE);
+    private boolean appending;
     private long snapshotBytes;
-    private long stepsBytes;
-    private int steps;
+    private long entriesBytes;
+    private int entryCount;
 
-    StateCopy(DiskQueue disk) {
+    ReplicaLog(DiskQueue disk) {
         this.disk = disk;
     }
 
-    Ballot ballot() {
-        return ballot;
+    Epoch epoch() {
+        return epoch;
     }
 
     long index() {
@@ -49,35 +49,35 @@
     }
 
     /** Whether an update is on its way to the disk: no other may begin before it is there. */
-    boolean writing() {
-        return writing;
+    boolean isAppending() {
+        return appending;
     }
 
-    boolean is(Ballot otherBallot, long otherIndex) {
-        return index == otherIndex && ballot.equals(otherBallot);
+    boolean isAt(Epoch otherEpoch, long otherIndex) {
+        return index == otherIndex && epoch.equals(otherEpoch);
     }
 
     /** What brings a holder of another state up to this one: the steps if they are known, else a snapshot. */
-    StateUpdate updateFrom(Ballot otherBallot, long otherIndex) {
-        List<Entry> since = history.since(otherIndex, otherBallot);
+    StateUpdate updateFrom(Epoch otherEpoch, long otherIndex) {
+        List<Entry> since = history.since(otherIndex, otherEpoch);
         if (since == null || since.isEmpty()) {
-            return StateUpdate.snapshot(ballot, index, state);
+            return StateUpdate.ofSnapshot(epoch, index, state);
         }
-        return StateUpdate.steps(otherBallot, otherIndex, since);
+        return StateUpdate.ofEntries(otherEpoch, otherIndex, since);
     }
 
     /** The update by one step from the copy as it is. */
-    StateUpdate nextStep(Ballot under, Change change) {
-        return StateUpdate.steps(ballot, index, List.of(new Entry(index + 1, under, change)));
+    StateUpdate nextEntry(Epoch under, Change change) {
+        return StateUpdate.ofEntries(epoch, index, List.of(new Entry(index + 1, under, change)));
     }
 
     /** Whether an update can be applied to the copy as it is. */
-    boolean accepts(StateUpdate update) {
-        return update.isSnapshot() || is(update.baseBallot(), update.baseIndex());
+    boolean isApplicable(StateUpdate update) {
+        return update.isSnapshot() || isAt(update.baseEpoch(), update.baseIndex());
     }
 
     /** The state that an update makes of the copy as it is; the copy stays as it is. */
-    ControlState result(StateUpdate update) {
+    ControlState stateAfter(StateUpdate update) {
         if (update.isSnapshot()) {
             return ControlState.parse(update.snapshot());
         }
@@ -89,15 +89,15 @@
     }
 
     /** Makes an update durable; the copy changes when it is. */
-    void write(long now, StateUpdate update, ControlState result, DiskQueue.Completion completion) {
-        if (writing || !accepts(update)) {
-            throw new IllegalStateException("an update that does not follow " + ballot.text() + " at " + index);
+    void append(long now, StateUpdate update, ControlState result, DiskQueue.Completion completion) {
+        if (appending || !isApplicable(update)) {
+            throw new IllegalStateException("an update that does not follow " + epoch.text() + " at " + index);
         }
-        writing = true;
+        appending = true;
         StateUpdate kept = toKeep(update, result);
         byte[] record = record(kept);
         disk.write(now, record, durable -> {
-            writing = false;
+            appending = false;
             if (durable) {
                 install(update, result);
                 count(kept, record.length);
@@ -107,16 +107,16 @@
     }
 
     private StateUpdate toKeep(StateUpdate update, ControlState result) {
-        boolean outgrown = stepsBytes > Math.max(MIN_STEPS_BYTES, snapshotBytes) || steps > MAX_STEPS;
+        boolean outgrown = entriesBytes > Math.max(MIN_ENTRIES_BYTES, snapshotBytes) || entryCount > MAX_ENTRIES;
         return !update.isSnapshot() && (outgrown || index < 0)
-                ? StateUpdate.snapshot(update.ballot(), update.index(), result)
+                ? StateUpdate.ofSnapshot(update.epoch(), update.index(), result)
                 : update;
     }
 
     private static byte[] record(StateUpdate update) {
         byte[] body = update.bytes();
         byte[] record = new byte[1 + body.length];
-        record[0] = update.isSnapshot() ? SNAPSHOT_RECORD : STEPS_RECORD;
+        record[0] = update.isSnapshot() ? SNAPSHOT_RECORD : ENTRIES_RECORD;
         System.arraycopy(body, 0, record, 1, body.length);
         return record;
     }
@@ -124,20 +124,20 @@
     private void count(StateUpdate kept, int bytes) {
         if (kept.isSnapshot()) {
             snapshotBytes = bytes;
-            stepsBytes = 0;
-            steps = 0;
+            entriesBytes = 0;
+            entryCount = 0;
         } else {
-            stepsBytes += bytes;
-            steps += kept.entries().size();
+            entriesBytes += bytes;
+            entryCount += kept.entries().size();
         }
     }
 
     private void install(StateUpdate update, ControlState result) {
-        ballot = update.ballot();
+        epoch = update.epoch();
         index = update.index();
         state = result;
         if (update.isSnapshot()) {
-            history.reset(index, ballot);
+            history.reset(index, epoch);
         } else {
             update.entries().forEach(history::append);
         }
@@ -145,7 +145,7 @@
 
     /** The founding state: the same for every founder. */
     void found(long now, DiskQueue.Completion completion) {
-        StateUpdate founding = StateUpdate.snapshot(Ballot.FOUNDING, 0, ControlState.EMPTY);
+        StateUpdate founding = StateUpdate.ofSnapshot(Epoch.FOUNDING, 0, ControlState.EMPTY);
         install(founding, ControlState.EMPTY);
         byte[] record = record(founding);
         count(founding, record.length);
@@ -154,10 +154,10 @@
 
     /** Forgets everything. */
     void clear() {
-        ballot = Ballot.NONE;
+        epoch = Epoch.NONE;
         index = -1;
         state = ControlState.EMPTY;
-        history.reset(index, ballot);
+        history.reset(index, epoch);
     }
 
     /** Reads a record of {@link #write} at a start. */
@@ -165,10 +165,10 @@
         byte[] body = new byte[record.length - 1];
         System.arraycopy(record, 1, body, 0, body.length);
         StateUpdate update = StateUpdate.parse(body);
-        if (!accepts(update)) {
+        if (!isApplicable(update)) {
             throw damaged();
         }
-        install(update, result(update));
+        install(update, stateAfter(update));
         count(update, record.length);
     }
 
--- a/src/main/java/quartzspan/replication/ReplicaMessage.java
+++ b/src/main/java/quartzspan/replication/ReplicaMessage.java
@@ -6,50 +6,50 @@
 /**
  * One step of the protocol between replicas; see {@link Replica}. A field that a kind does not use has its initial value.
  *
- * @param ballot the candidacy or the view that the message belongs to
+ * @param epoch the candidacy or the view that the message belongs to
  * @param nonce which heartbeat is answered; of a recovery request: which life of the disk asks
- * @param promised the highest ballot that the sender has promised, durably
- * @param copyBallot with {@code index}: the state that the sender holds a copy of
- * @param ok whether what was asked is granted; of a heartbeat: whether a voter can be done without; of a vote request: whether the
+ * @param promisedEpoch the highest epoch that the sender has promised, durably
+ * @param logEpoch with {@code logIndex}: the state that the sender holds a copy of
+ * @param granted whether what was asked is granted; of a heartbeat: whether a voter can be done without; of a vote request: whether the
  *     primary has handed over
- * @param blank whether the sender has lost what it once promised
+ * @param recovering whether the sender has lost what it once promised
  * @param generation how often the sender's disk was lost; of a copy: the generation of the disk that it is meant for
  * @param generations how often the disks of others were lost, as far as the sender knows, by name
- * @param silences how long the sender has not heard of others, milliseconds by name
+ * @param sinceHeardMs how long the sender has not heard of others, milliseconds by name
  * @param body the bytes of a {@link StateUpdate}, or nothing
  */
 public record ReplicaMessage(
         Kind kind,
-        Ballot ballot,
+        Epoch epoch,
         long nonce,
-        Ballot promised,
-        Ballot copyBallot,
-        long index,
-        boolean ok,
-        boolean blank,
+        Epoch promisedEpoch,
+        Epoch logEpoch,
+        long logIndex,
+        boolean granted,
+        boolean recovering,
         long generation,
         Map<String, Long> generations,
-        Map<String, Long> silences,
-        View view,
+        Map<String, Long> sinceHeardMs,
+        Membership membership,
         byte[] body) {
 
     /** The kinds, in pairs of request and answer. */
     public enum Kind {
-        /** The primary lives; asks whether its ballot still holds. */
+        /** The primary lives; asks whether its epoch still holds. */
         HEARTBEAT,
         HEARTBEAT_REPLY,
         /** Whether a candidacy would be granted; promises nothing. */
         PRE_VOTE,
         PRE_VOTE_REPLY,
-        /** A candidate asks for a promise to take no lower ballot. */
+        /** A candidate asks for a promise to take no lower epoch. */
         VOTE,
         VOTE_REPLY,
         /** The control state is asked for. */
         FETCH,
         FETCH_REPLY,
         /** A control state to be synced. */
-        COPY,
-        COPY_REPLY,
+        REPLICATE,
+        REPLICATE_REPLY,
         /** A view is to take effect. */
         ACCEPT,
         ACCEPT_REPLY,
@@ -64,149 +64,173 @@
 
     private static final byte[] NOTHING = {};
 
-    static ReplicaMessage of(Kind kind, Ballot ballot) {
+    static ReplicaMessage of(Kind kind, Epoch epoch) {
         return new ReplicaMessage(
-                kind, ballot, 0, Ballot.NONE, Ballot.NONE, -1, false, false, 0, Map.of(), Map.of(), View.NONE, NOTHING);
+                kind,
+                epoch,
+                0,
+                Epoch.NONE,
+                Epoch.NONE,
+                -1,
+                false,
+                false,
+                0,
+                Map.of(),
+                Map.of(),
+                Membership.NONE,
+                NOTHING);
     }
 
     ReplicaMessage withNonce(long value) {
         return new ReplicaMessage(
                 kind,
-                ballot,
+                epoch,
                 value,
-                promised,
-                copyBallot,
-                index,
-                ok,
-                blank,
+                promisedEpoch,
+                logEpoch,
+                logIndex,
+                granted,
+                recovering,
                 generation,
                 generations,
-                silences,
-                view,
+                sinceHeardMs,
+                membership,
                 body);
     }
 
-    ReplicaMessage withView(View value) {
+    ReplicaMessage withMembership(Membership value) {
         return new ReplicaMessage(
                 kind,
-                ballot,
+                epoch,
                 nonce,
-                promised,
-                copyBallot,
-                index,
-                ok,
-                blank,
+                promisedEpoch,
+                logEpoch,
+                logIndex,
+                granted,
+                recovering,
                 generation,
                 generations,
-                silences,
+                sinceHeardMs,
                 value,
                 body);
     }
 
-    ReplicaMessage withCopy(Ballot atBallot, long atIndex) {
+    ReplicaMessage withLogPosition(Epoch atEpoch, long atIndex) {
         return new ReplicaMessage(
                 kind,
-                ballot,
+                epoch,
                 nonce,
-                promised,
-                atBallot,
+                promisedEpoch,
+                atEpoch,
                 atIndex,
-                ok,
-                blank,
+                granted,
+                recovering,
                 generation,
                 generations,
-                silences,
-                view,
+                sinceHeardMs,
+                membership,
                 body);
     }
 
     ReplicaMessage withBody(byte[] value) {
         return new ReplicaMessage(
                 kind,
-                ballot,
+                epoch,
                 nonce,
-                promised,
-                copyBallot,
-                index,
-                ok,
-                blank,
+                promisedEpoch,
+                logEpoch,
+                logIndex,
+                granted,
+                recovering,
                 generation,
                 generations,
-                silences,
-                view,
+                sinceHeardMs,
+                membership,
                 value);
     }
 
-    ReplicaMessage withOk(boolean value) {
+    ReplicaMessage withGranted(boolean value) {
         return new ReplicaMessage(
                 kind,
-                ballot,
+                epoch,
                 nonce,
-                promised,
-                copyBallot,
-                index,
+                promisedEpoch,
+                logEpoch,
+                logIndex,
                 value,
-                blank,
+                recovering,
                 generation,
                 generations,
-                silences,
-                view,
+                sinceHeardMs,
+                membership,
                 body);
     }
 
-    ReplicaMessage withPromise(Ballot value, boolean isBlank) {
+    ReplicaMessage withPromisedEpoch(Epoch value, boolean isRecovering) {
         return new ReplicaMessage(
                 kind,
-                ballot,
+                epoch,
                 nonce,
                 value,
-                copyBallot,
-                index,
-                ok,
-                isBlank,
+                logEpoch,
+                logIndex,
+                granted,
+                isRecovering,
                 generation,
                 generations,
-                silences,
-                view,
+                sinceHeardMs,
+                membership,
                 body);
     }
 
     ReplicaMessage withGeneration(long value) {
         return new ReplicaMessage(
-                kind, ballot, nonce, promised, copyBallot, index, ok, blank, value, generations, silences, view, body);
+                kind,
+                epoch,
+                nonce,
+                promisedEpoch,
+                logEpoch,
+                logIndex,
+                granted,
+                recovering,
+                value,
+                generations,
+                sinceHeardMs,
+                membership,
+                body);
     }
 
     ReplicaMessage withGenerations(Map<String, Long> value) {
         return new ReplicaMessage(
                 kind,
-                ballot,
+                epoch,
                 nonce,
-                promised,
-                copyBallot,
-                index,
-                ok,
-                blank,
+                promisedEpoch,
+                logEpoch,
+                logIndex,
+                granted,
+                recovering,
                 generation,
                 new TreeMap<>(value),
-                silences,
-                view,
+                sinceHeardMs,
+                membership,
                 body);
     }
 
-    ReplicaMessage withSilences(Map<String, Long> value) {
+    ReplicaMessage withSinceHeardMs(Map<String, Long> value) {
         return new ReplicaMessage(
                 kind,
-                ballot,
+                epoch,
                 nonce,
-                promised,
-                copyBallot,
-                index,
-                ok,
-                blank,
+                promisedEpoch,
+                logEpoch,
+                logIndex,
+                granted,
+                recovering,
                 generation,
                 generations,
                 new TreeMap<>(value),
-                view,
+                membership,
                 body);
     }
 }
--- a/src/main/java/quartzspan/replication/ReplicaStore.java
+++ b/src/main/java/quartzspan/replication/ReplicaStore.java
@@ -19,7 +19,7 @@
     private final SlotStore store;
     private byte[] vote = {};
     private byte[] snapshot = {};
-    private final List<byte[]> steps = new ArrayList<>();
+    private final List<byte[]> entries = new ArrayList<>();
     private boolean begun;
     private boolean discarded;
 
@@ -57,7 +57,7 @@
         store.discard();
         vote = new byte[0];
         snapshot = new byte[0];
-        steps.clear();
+        entries.clear();
         begun = false;
         discarded = true;
     }
@@ -69,12 +69,12 @@
 
     private void note(byte[] record) {
         switch (record[0]) {
-            case VoterState.RECORD -> vote = record;
-            case StateCopy.SNAPSHOT_RECORD -> {
+            case VoterState.RECORD_TAG -> vote = record;
+            case ReplicaLog.SNAPSHOT_RECORD -> {
                 snapshot = record;
-                steps.clear();
+                entries.clear();
             }
-            default -> steps.add(record);
+            default -> entries.add(record);
         }
     }
 
@@ -86,7 +86,7 @@
     public boolean keep(byte[] record) {
         byte[] voteBefore = vote;
         byte[] snapshotBefore = snapshot;
-        List<byte[]> stepsBefore = List.copyOf(steps);
+        List<byte[]> entriesBefore = List.copyOf(entries);
         note(record);
         try {
             write(record);
@@ -94,8 +94,8 @@
         } catch (FleetException refused) {
             vote = voteBefore;
             snapshot = snapshotBefore;
-            steps.clear();
-            steps.addAll(stepsBefore);
+            entries.clear();
+            entries.addAll(entriesBefore);
             return false;
         }
     }
@@ -111,7 +111,7 @@
 
     private byte[] join() {
         List<byte[]> all = new ArrayList<>(List.of(vote, snapshot));
-        all.addAll(steps);
+        all.addAll(entries);
         int size =
                 all.stream().mapToInt(record -> Integer.BYTES + record.length).sum();
         ByteBuffer out = ByteBuffer.allocate(size);
--- a/src/main/java/quartzspan/replication/StateUpdate.java
+++ b/src/main/java/quartzspan/replication/StateUpdate.java
@@ -12,28 +12,28 @@
  * A control state to be kept, either whole or as the steps from another one. It is the record of a copy on disk and the body
  * of the messages that bring copies up to date.
  *
- * @param ballot with {@code index}: identifies the state that results
+ * @param epoch with {@code index}: identifies the state that results
  * @param snapshot the whole state; null where there are steps
- * @param baseIndex with {@code baseBallot}: identifies the state that the steps begin from
+ * @param baseIndex with {@code baseEpoch}: identifies the state that the steps begin from
  * @param entries the steps, in order, up to {@code index}; empty where there is a snapshot
  */
 public record StateUpdate(
-        Ballot ballot, long index, byte[] snapshot, Ballot baseBallot, long baseIndex, List<Entry> entries) {
+        Epoch epoch, long index, byte[] snapshot, Epoch baseEpoch, long baseIndex, List<Entry> entries) {
     private static final byte SNAPSHOT = 'S';
-    private static final byte STEPS = 'D';
+    private static final byte ENTRIES = 'D';
     private static final byte NO_CHANGE = 0;
     private static final byte CHANGE = 1;
     private static final int MIN_ENTRY_BYTES = 8 + 2 + 1;
 
     /** A whole state. */
-    static StateUpdate snapshot(Ballot ballot, long index, ControlState state) {
-        return new StateUpdate(ballot, index, state.bytes(), Ballot.NONE, -1, List.of());
+    static StateUpdate ofSnapshot(Epoch epoch, long index, ControlState state) {
+        return new StateUpdate(epoch, index, state.bytes(), Epoch.NONE, -1, List.of());
     }
 
     /** The steps from another state; there is one at least. */
-    static StateUpdate steps(Ballot baseBallot, long baseIndex, List<Entry> entries) {
+    static StateUpdate ofEntries(Epoch baseEpoch, long baseIndex, List<Entry> entries) {
         Entry last = entries.get(entries.size() - 1);
-        return new StateUpdate(last.ballot(), last.index(), null, baseBallot, baseIndex, List.copyOf(entries));
+        return new StateUpdate(last.epoch(), last.index(), null, baseEpoch, baseIndex, List.copyOf(entries));
     }
 
     boolean isSnapshot() {
@@ -42,15 +42,15 @@
 
     /** Binary form. */
     byte[] bytes() {
-        byte[] ballotText = utf8(ballot);
-        byte[] baseText = utf8(baseBallot);
-        int size = 1 + 2 + ballotText.length + 8 + 2 + baseText.length + 8 + 4;
+        byte[] epochText = utf8(epoch);
+        byte[] baseText = utf8(baseEpoch);
+        int size = 1 + 2 + epochText.length + 8 + 2 + baseText.length + 8 + 4;
         size += isSnapshot()
                 ? snapshot.length
                 : entries.stream().mapToInt(StateUpdate::size).sum();
         ByteBuffer out = ByteBuffer.allocate(size);
-        out.put(isSnapshot() ? SNAPSHOT : STEPS);
-        putText(out, ballotText);
+        out.put(isSnapshot() ? SNAPSHOT : ENTRIES);
+        putText(out, epochText);
         out.putLong(index);
         putText(out, baseText);
         out.putLong(baseIndex);
@@ -65,13 +65,13 @@
 
     private static int size(Entry entry) {
         return MIN_ENTRY_BYTES
-                + utf8(entry.ballot()).length
+                + utf8(entry.epoch()).length
                 + (entry.change() == null ? 0 : entry.change().size());
     }
 
     private static void write(ByteBuffer out, Entry entry) {
         out.putLong(entry.index());
-        putText(out, utf8(entry.ballot()));
+        putText(out, utf8(entry.epoch()));
         if (entry.change() == null) {
             out.put(NO_CHANGE);
         } else {
@@ -80,8 +80,8 @@
         }
     }
 
-    private static byte[] utf8(Ballot ballot) {
-        return ballot.text().getBytes(StandardCharsets.UTF_8);
+    private static byte[] utf8(Epoch epoch) {
+        return epoch.text().getBytes(StandardCharsets.UTF_8);
     }
 
     private static void putText(ByteBuffer out, byte[] text) {
@@ -97,20 +97,20 @@
         try {
             ByteBuffer in = ByteBuffer.wrap(bytes);
             byte tag = in.get();
-            Ballot ballot = readBallot(in);
+            Epoch epoch = readEpoch(in);
             long index = in.getLong();
-            Ballot baseBallot = readBallot(in);
+            Epoch baseEpoch = readEpoch(in);
             long baseIndex = in.getLong();
             int length = in.getInt();
             if (tag == SNAPSHOT && length >= 0 && length <= in.remaining()) {
                 byte[] snapshot = new byte[length];
                 in.get(snapshot);
-                return new StateUpdate(ballot, index, snapshot, baseBallot, baseIndex, List.of());
+                return new StateUpdate(epoch, index, snapshot, baseEpoch, baseIndex, List.of());
             }
-            if (tag != STEPS || length <= 0 || length > in.remaining() / MIN_ENTRY_BYTES) {
+            if (tag != ENTRIES || length <= 0 || length > in.remaining() / MIN_ENTRY_BYTES) {
                 throw unreadable();
             }
-            return new StateUpdate(ballot, index, null, baseBallot, baseIndex, readEntries(in, baseIndex, length));
+            return new StateUpdate(epoch, index, null, baseEpoch, baseIndex, readEntries(in, baseIndex, length));
         } catch (BufferUnderflowException e) {
             throw unreadable();
         }
@@ -123,24 +123,24 @@
             if (index != baseIndex + 1 + i) {
                 throw unreadable();
             }
-            Ballot ballot = readBallot(in);
-            entries.add(new Entry(index, ballot, in.get() == NO_CHANGE ? null : Change.readFrom(in)));
+            Epoch epoch = readEpoch(in);
+            entries.add(new Entry(index, epoch, in.get() == NO_CHANGE ? null : Change.readFrom(in)));
         }
         return entries;
     }
 
-    private static Ballot readBallot(ByteBuffer in) {
+    private static Epoch readEpoch(ByteBuffer in) {
         int length = in.getShort();
         if (length < 0 || length > in.remaining()) {
             throw unreadable();
         }
         byte[] text = new byte[length];
         in.get(text);
-        Ballot ballot = Ballot.parse(new String(text, StandardCharsets.UTF_8));
-        if (ballot == null) {
+        Epoch epoch = Epoch.parse(new String(text, StandardCharsets.UTF_8));
+        if (epoch == null) {
             throw unreadable();
         }
-        return ballot;
+        return epoch;
     }
 
     private static FleetException unreadable() {
--- a/src/main/java/quartzspan/replication/VoterState.java
+++ b/src/main/java/quartzspan/replication/VoterState.java
@@ -13,7 +13,7 @@
  */
 final class VoterState {
     /** The tag of the record on disk. */
-    static final byte RECORD = 'V';
+    static final byte RECORD_TAG = 'V';
 
     private static final String LINE = "\n";
     private static final int FIELDS = 5;
@@ -24,88 +24,89 @@
      * @param generation how often the disk was lost before
      * @param nonce drawn at random at the first start with an empty disk
      */
-    record DiskLife(long generation, long nonce) {
-        static final DiskLife FIRST = new DiskLife(0, 0);
+    record DiskIncarnation(long generation, long nonce) {
+        static final DiskIncarnation FIRST = new DiskIncarnation(0, 0);
 
         private String text() {
             return generation + "/" + nonce;
         }
 
-        private static DiskLife parse(String text) {
+        private static DiskIncarnation parse(String text) {
             int slash = text.indexOf('/');
-            return new DiskLife(Long.parseLong(text.substring(0, slash)), Long.parseLong(text.substring(slash + 1)));
+            return new DiskIncarnation(
+                    Long.parseLong(text.substring(0, slash)), Long.parseLong(text.substring(slash + 1)));
         }
     }
 
     private final DiskQueue disk;
-    private final Map<String, DiskLife> lives = new TreeMap<>();
-    private Ballot promised = Ballot.NONE;
-    private View view = View.NONE;
-    private DiskLife life = DiskLife.FIRST;
-    private boolean blank;
-    private Ballot durablePromise = Ballot.NONE;
-    private View durableView = View.NONE;
+    private final Map<String, DiskIncarnation> peerIncarnations = new TreeMap<>();
+    private Epoch promisedEpoch = Epoch.NONE;
+    private Membership membership = Membership.NONE;
+    private DiskIncarnation diskIncarnation = DiskIncarnation.FIRST;
+    private boolean recovering;
+    private Epoch durablePromisedEpoch = Epoch.NONE;
+    private Membership durableMembership = Membership.NONE;
 
     VoterState(DiskQueue disk) {
         this.disk = disk;
     }
 
-    Ballot promised() {
-        return promised;
+    Epoch promisedEpoch() {
+        return promisedEpoch;
     }
 
     /** The newest view known here. */
-    View view() {
-        return view;
+    Membership membership() {
+        return membership;
     }
 
     /** The highest promise that is on the disk: others are told of no other. */
-    Ballot durablePromise() {
-        return durablePromise;
+    Epoch durablePromisedEpoch() {
+        return durablePromisedEpoch;
     }
 
     /** The newest view that is on the disk: others are told of no other. */
-    View durableView() {
-        return durableView;
+    Membership durableMembership() {
+        return durableMembership;
     }
 
     long generation() {
-        return life.generation();
+        return diskIncarnation.generation();
     }
 
-    long lifeNonce() {
-        return life.nonce();
+    long incarnationNonce() {
+        return diskIncarnation.nonce();
     }
 
     /** Whether the disk was lost, and with it what was promised. */
-    boolean blank() {
-        return blank;
+    boolean isRecovering() {
+        return recovering;
     }
 
-    void begin(DiskLife begun) {
-        life = begun;
+    void beginIncarnation(DiskIncarnation begun) {
+        diskIncarnation = begun;
     }
 
-    void setBlank(boolean value) {
-        blank = value;
+    void setRecovering(boolean value) {
+        recovering = value;
     }
 
-    /** Promises to take nothing below a ballot; takes effect for others once it is persisted. */
-    void promise(Ballot ballot) {
-        promised = Ballot.max(promised, ballot);
+    /** Promises to take nothing below an epoch; takes effect for others once it is persisted. */
+    void promise(Epoch epoch) {
+        promisedEpoch = Epoch.max(promisedEpoch, epoch);
     }
 
     /** Takes note of a view if it is newer than the one known. */
-    void learn(View newer) {
-        if (newer.supersedes(view)) {
-            view = newer;
+    void learn(Membership newer) {
+        if (newer.supersedes(membership)) {
+            membership = newer;
         }
     }
 
     /** How often the disks of others were lost, as far as is known here. */
     Map<String, Long> generations() {
         Map<String, Long> all = new TreeMap<>();
-        lives.forEach((name, known) -> all.put(name, known.generation()));
+        peerIncarnations.forEach((name, known) -> all.put(name, known.generation()));
         return all;
     }
 
@@ -114,10 +115,10 @@
      *
      * @return whether this life is the newest known of that disk
      */
-    boolean noteLife(String name, DiskLife claimed) {
-        DiskLife known = lives.get(name);
+    boolean recordIncarnation(String name, DiskIncarnation claimed) {
+        DiskIncarnation known = peerIncarnations.get(name);
         if (known == null || claimed.generation() > known.generation()) {
-            lives.put(name, claimed);
+            peerIncarnations.put(name, claimed);
             return true;
         }
         return claimed.equals(known);
@@ -125,12 +126,12 @@
 
     /** Writes all of this to the disk. */
     void persist(long now, DiskQueue.Completion completion) {
-        Ballot promise = promised;
-        View known = view;
+        Epoch promise = promisedEpoch;
+        Membership known = membership;
         disk.write(now, record(), durable -> {
             if (durable) {
-                durablePromise = promise;
-                durableView = known;
+                durablePromisedEpoch = promise;
+                durableMembership = known;
             }
             completion.done(durable);
         });
@@ -138,45 +139,45 @@
 
     private byte[] record() {
         StringBuilder all = new StringBuilder();
-        lives.forEach((name, known) -> all.append(all.length() == 0 ? "" : ",")
+        peerIncarnations.forEach((name, known) -> all.append(all.length() == 0 ? "" : ",")
                 .append(name)
                 .append('=')
                 .append(known.text()));
-        String tag = String.valueOf((char) RECORD);
-        return String.join(LINE, tag, promised.text(), view.text(), life.text(), all)
+        String tag = String.valueOf((char) RECORD_TAG);
+        return String.join(LINE, tag, promisedEpoch.text(), membership.text(), diskIncarnation.text(), all)
                 .getBytes(StandardCharsets.UTF_8);
     }
 
     /** Forgets everything. */
     void clear() {
-        promised = Ballot.NONE;
-        view = View.NONE;
-        durablePromise = Ballot.NONE;
-        durableView = View.NONE;
-        life = DiskLife.FIRST;
-        lives.clear();
+        promisedEpoch = Epoch.NONE;
+        membership = Membership.NONE;
+        durablePromisedEpoch = Epoch.NONE;
+        durableMembership = Membership.NONE;
+        diskIncarnation = DiskIncarnation.FIRST;
+        peerIncarnations.clear();
     }
 
     /** Reads a record of {@link #persist} at a start. */
     void restore(byte[] record) {
         String[] fields = new String(record, StandardCharsets.UTF_8).split(LINE, -1);
         if (fields.length != FIELDS) {
-            throw StateCopy.damaged();
+            throw ReplicaLog.damaged();
         }
-        Ballot promise = Ballot.parse(fields[1]);
-        View known = View.parse(fields[2]);
+        Epoch promise = Epoch.parse(fields[1]);
+        Membership known = Membership.parse(fields[2]);
         if (promise == null || known == null) {
-            throw StateCopy.damaged();
+            throw ReplicaLog.damaged();
         }
-        promised = promise;
-        view = known;
-        durablePromise = promise;
-        durableView = known;
-        life = DiskLife.parse(fields[3]);
-        lives.clear();
+        promisedEpoch = promise;
+        membership = known;
+        durablePromisedEpoch = promise;
+        durableMembership = known;
+        diskIncarnation = DiskIncarnation.parse(fields[3]);
+        peerIncarnations.clear();
         for (String entry : fields[4].isEmpty() ? new String[0] : fields[4].split(",")) {
             int equals = entry.lastIndexOf('=');
-            lives.put(entry.substring(0, equals), DiskLife.parse(entry.substring(equals + 1)));
+            peerIncarnations.put(entry.substring(0, equals), DiskIncarnation.parse(entry.substring(equals + 1)));
         }
     }
 }
--- a/src/main/java/quartzspan/transport/MessageCodec.java
+++ b/src/main/java/quartzspan/transport/MessageCodec.java
@@ -10,9 +10,9 @@
 import quartzspan.common.FleetException;
 import quartzspan.promptindex.PromptIndexUpdate;
 import quartzspan.registry.GossipMessage;
-import quartzspan.replication.Ballot;
+import quartzspan.replication.Epoch;
+import quartzspan.replication.Membership;
 import quartzspan.replication.ReplicaMessage;
-import quartzspan.replication.View;
 import quartzspan.transport.sbe.GossipFrameDecoder;
 import quartzspan.transport.sbe.GossipFrameEncoder;
 import quartzspan.transport.sbe.HelloMessageDecoder;
@@ -32,8 +32,8 @@
     /** No frame is longer; the largest hold a whole configuration. */
     public static final int MOST_BYTES = 16 * 1024 * 1024;
 
-    private static final int FLAG_OK = 1;
-    private static final int FLAG_BLANK = 2;
+    private static final int FLAG_GRANTED = 1;
+    private static final int FLAG_RECOVERING = 2;
 
     /**
      * Who opened a connection.
@@ -118,16 +118,16 @@
 
     private static int encode(ReplicaMessage message, ReplicaFrameEncoder to) {
         to.kind((short) message.kind().ordinal())
-                .flags((short) ((message.ok() ? FLAG_OK : 0) | (message.blank() ? FLAG_BLANK : 0)))
+                .flags((short) ((message.granted() ? FLAG_GRANTED : 0) | (message.recovering() ? FLAG_RECOVERING : 0)))
                 .nonce(message.nonce())
-                .index(message.index())
+                .logIndex(message.logIndex())
                 .generation(message.generation())
-                .ballot(message.ballot().text())
-                .promised(message.promised().text())
-                .copyBallot(message.copyBallot().text())
+                .epoch(message.epoch().text())
+                .promisedEpoch(message.promisedEpoch().text())
+                .logEpoch(message.logEpoch().text())
                 .generations(text(message.generations()))
-                .silences(text(message.silences()))
-                .view(message.view().text())
+                .sinceHeardMs(text(message.sinceHeardMs()))
+                .membership(message.membership().text())
                 .putBody(message.body(), 0, message.body().length);
         return to.limit();
     }
@@ -139,32 +139,32 @@
             throw nonsense("replica message " + kind);
         }
         long nonce = d.nonce();
-        long index = d.index();
+        long logIndex = d.logIndex();
         long generation = d.generation();
-        Ballot ballot = Ballot.parse(d.ballot());
-        Ballot promised = Ballot.parse(d.promised());
-        Ballot copyBallot = Ballot.parse(d.copyBallot());
+        Epoch epoch = Epoch.parse(d.epoch());
+        Epoch promisedEpoch = Epoch.parse(d.promisedEpoch());
+        Epoch logEpoch = Epoch.parse(d.logEpoch());
         Map<String, Long> generations = numbers(d.generations());
-        Map<String, Long> silences = numbers(d.silences());
-        View view = View.parse(d.view());
-        if (ballot == null || promised == null || copyBallot == null || view == null) {
-            throw nonsense("no ballot or no view");
+        Map<String, Long> sinceHeardMs = numbers(d.sinceHeardMs());
+        Membership membership = Membership.parse(d.membership());
+        if (epoch == null || promisedEpoch == null || logEpoch == null || membership == null) {
+            throw nonsense("no epoch or no membership");
         }
         byte[] body = new byte[bounded(d.bodyLength(), MOST_BYTES)];
         d.getBody(body, 0, body.length);
         return new ReplicaMessage(
                 ReplicaMessage.Kind.values()[kind],
-                ballot,
+                epoch,
                 nonce,
-                promised,
-                copyBallot,
-                index,
-                (flags & FLAG_OK) != 0,
-                (flags & FLAG_BLANK) != 0,
+                promisedEpoch,
+                logEpoch,
+                logIndex,
+                (flags & FLAG_GRANTED) != 0,
+                (flags & FLAG_RECOVERING) != 0,
                 generation,
                 generations,
-                silences,
-                view,
+                sinceHeardMs,
+                membership,
                 body);
     }
 
--- a/src/test/java/quartzspan/controlplane/RolloutDutyTest.java
+++ b/src/test/java/quartzspan/controlplane/RolloutDutyTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import quartzspan.registry.RegistryEntry;
 import quartzspan.registry.Server;
-import quartzspan.replication.Ballot;
+import quartzspan.replication.Epoch;
 
 /** Who may order servers, from when on, and under which fencing token. */
 class RolloutDutyTest {
@@ -54,7 +54,7 @@
         private Optional<RolloutDuty.Term> term() {
             return epoch < 0
                     ? Optional.empty()
-                    : Optional.of(new RolloutDuty.Term(new Ballot(epoch, name, 0), confirmedAt, holder, fence, named));
+                    : Optional.of(new RolloutDuty.Term(new Epoch(epoch, name, 0), confirmedAt, holder, fence, named));
         }
 
         void terms(long inEpoch) {
@@ -72,7 +72,7 @@
         }
 
         @Override
-        public void claim(Ballot term) {
+        public void claim(Epoch term) {
             holder = name;
             fence++;
             if (answersClaims) {
--- a/src/test/java/quartzspan/replication/BallotTest.java
+++ b/src/test/java/quartzspan/replication/EpochTest.java
@@ -7,15 +7,15 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The total order of ballots, and that equality and hash follow it. */
-class BallotTest {
-    private static final List<Ballot> RISING = List.of(
-            Ballot.NONE,
-            Ballot.FOUNDING,
-            new Ballot(1, "a", 9),
-            new Ballot(1, "b", -3),
-            new Ballot(1, "b", 7),
-            new Ballot(2, "a", 1));
+/** The total order of epochs, and that equality and hash follow it. */
+class EpochTest {
+    private static final List<Epoch> RISING = List.of(
+            Epoch.NONE,
+            Epoch.FOUNDING,
+            new Epoch(1, "a", 9),
+            new Epoch(1, "b", -3),
+            new Epoch(1, "b", 7),
+            new Epoch(2, "a", 1));
 
     @Test
     void numberThenCandidateThenAttemptDecide() {
@@ -31,15 +31,15 @@
 
     @Test
     void equalsAndHashFollowTheOrder() {
-        for (Ballot ballot : RISING) {
-            Ballot again = new Ballot(ballot.number(), new String(ballot.candidate()), ballot.attempt());
-            assertEquals(ballot, again);
-            assertEquals(ballot.hashCode(), again.hashCode());
+        for (Epoch epoch : RISING) {
+            Epoch again = new Epoch(epoch.number(), new String(epoch.candidate()), epoch.attempt());
+            assertEquals(epoch, again);
+            assertEquals(epoch.hashCode(), again.hashCode());
         }
         for (int i = 1; i < RISING.size(); i++) {
             assertNotEquals(RISING.get(i - 1), RISING.get(i));
             assertTrue(RISING.get(i).isAbove(RISING.get(i - 1)));
         }
-        assertNotEquals(Ballot.NONE, null);
+        assertNotEquals(Epoch.NONE, null);
     }
 }
--- a/src/test/java/quartzspan/replication/HandoverTest.java
+++ b/src/test/java/quartzspan/replication/HandoverTest.java
@@ -28,8 +28,8 @@
     }
 
     private static Machine backup(SimulatedCluster cluster) {
-        View view = cluster.primary().replica.view();
-        return cluster.machines.get(view.copies().get(1));
+        Membership view = cluster.primary().replica.membership();
+        return cluster.machines.get(view.dataReplicas().get(1));
     }
 
     private static void end(SimulatedCluster cluster, Machine machine) {
@@ -48,25 +48,25 @@
     void aPrimaryThatLeavesHandsOverTheLeadAtOnce() {
         SimulatedCluster cluster = calm(1);
         Machine leaver = cluster.primary();
-        leaver.replica.leave(cluster.now);
+        leaver.replica.beginHandover(cluster.now);
         cluster.run(cluster.now + HANDOVER_MS);
-        assertTrue(leaver.replica.left(cluster.now));
-        assertFalse(leaver.replica.primary());
-        View view = cluster.primary().replica.view();
-        assertFalse(view.copies().contains(leaver.name), view.text());
-        assertEquals(2, view.copies().size());
+        assertTrue(leaver.replica.isHandoverComplete(cluster.now));
+        assertFalse(leaver.replica.isPrimary());
+        Membership view = cluster.primary().replica.membership();
+        assertFalse(view.dataReplicas().contains(leaver.name), view.text());
+        assertEquals(2, view.dataReplicas().size());
     }
 
     @Test
     void aBackupThatLeavesHoldsNoCopyWhenItEnds() {
         SimulatedCluster cluster = calm(1);
         Machine leaver = backup(cluster);
-        leaver.replica.leave(cluster.now);
+        leaver.replica.beginHandover(cluster.now);
         cluster.run(cluster.now + HANDOVER_MS);
-        assertTrue(leaver.replica.left(cluster.now));
-        View view = cluster.primary().replica.view();
-        assertFalse(view.copies().contains(leaver.name), view.text());
-        assertEquals(2, view.copies().size());
+        assertTrue(leaver.replica.isHandoverComplete(cluster.now));
+        Membership view = cluster.primary().replica.membership();
+        assertFalse(view.dataReplicas().contains(leaver.name), view.text());
+        assertEquals(2, view.dataReplicas().size());
     }
 
     /** The letter's third point: the leaver goes, and the primary's disk is lost right after. */
@@ -79,9 +79,9 @@
             standby.start(false);
             cluster.run(cluster.now + 2 * CALM_MS);
             Machine leaver = backup(cluster);
-            leaver.replica.leave(cluster.now);
+            leaver.replica.beginHandover(cluster.now);
             cluster.run(cluster.now + HANDOVER_MS);
-            assertTrue(leaver.replica.left(cluster.now));
+            assertTrue(leaver.replica.isHandoverComplete(cluster.now));
             assertEquals("STANDBY", leaver.replica.role(), "the standby has its vote");
             end(cluster, leaver);
             Machine wiped = cluster.primary();
@@ -113,12 +113,12 @@
             if (primary != null) {
                 assertEquals(
                         3,
-                        primary.replica.view().voters().size(),
-                        primary.replica.view().text());
+                        primary.replica.membership().voters().size(),
+                        primary.replica.membership().text());
             }
         }
         cluster.run(cluster.now + CALM_MS);
-        View view = cluster.primary().replica.view();
+        Membership view = cluster.primary().replica.membership();
         assertTrue(view.voters().contains(successor.name), view.text());
         assertFalse(view.voters().contains(gone.name), view.text());
     }
@@ -130,9 +130,9 @@
         wiped.kill();
         wiped.disk = new ArrayList<>();
         wiped.start(false);
-        assertTrue(wiped.replica.blank());
-        wiped.replica.leave(cluster.now);
-        assertTrue(wiped.replica.left(cluster.now));
+        assertTrue(wiped.replica.isRecovering());
+        wiped.replica.beginHandover(cluster.now);
+        assertTrue(wiped.replica.isHandoverComplete(cluster.now));
     }
 
     @Test
@@ -143,8 +143,8 @@
         others.addAll(cluster.machines.values());
         others.remove(leaver);
         Machine backup = backup(cluster);
-        backup.replica.leave(cluster.now);
-        leaver.replica.leave(cluster.now);
+        backup.replica.beginHandover(cluster.now);
+        leaver.replica.beginHandover(cluster.now);
         cluster.run(cluster.now + HANDOVER_MS);
         assertNotEquals(null, cluster.primary(), "somebody leads");
         assertTakesChanges(cluster);
@@ -155,7 +155,7 @@
     void whoComesBackAfterLeavingHoldsItsVoteAsBefore() {
         SimulatedCluster cluster = calm(1);
         Machine leaver = cluster.primary();
-        leaver.replica.leave(cluster.now);
+        leaver.replica.beginHandover(cluster.now);
         cluster.run(cluster.now + HANDOVER_MS);
         leaver.kill();
         cluster.run(cluster.now + 300);
--- a/src/test/java/quartzspan/replication/RecordedCluster.java
+++ b/src/test/java/quartzspan/replication/RecordedCluster.java
@@ -39,7 +39,7 @@
     private final List<String> answers = new ArrayList<>();
     private long now = 10_000;
     private long order;
-    private long tickets;
+    private long requestIds;
 
     RecordedCluster(Path folder, List<String> seeds) {
         this.folder = folder;
@@ -123,8 +123,8 @@
         }
 
         @Override
-        public void done(long ticket, FleetException refusal, ControlState state) {
-            answers.add(ticket + (refusal == null ? " granted" : " " + refusal.code()));
+        public void done(long requestId, FleetException refusal, ControlState state) {
+            answers.add(requestId + (refusal == null ? " granted" : " " + refusal.code()));
         }
 
         @Override
@@ -174,7 +174,7 @@
 
     Machine primary() {
         return machines.values().stream()
-                .filter(m -> m.replica != null && m.replica.primary())
+                .filter(m -> m.replica != null && m.replica.isPrimary())
                 .findFirst()
                 .orElseThrow();
     }
@@ -182,17 +182,17 @@
     /** Whether a view of any machine is a joint one. */
     boolean changesVoters() {
         return machines.values().stream()
-                .anyMatch(m -> m.replica != null && m.replica.view().joint());
+                .anyMatch(m -> m.replica != null && m.replica.membership().joint());
     }
 
     /** Asks the primary for a change; its answer stands in {@link #answers}. */
     void change(Change change) {
-        primary().replica.change(now, ++tickets, change);
+        primary().replica.submit(now, ++requestIds, change);
         run(200);
     }
 
     void read() {
-        primary().replica.confirm(now, ++tickets);
+        primary().replica.read(now, ++requestIds);
         run(200);
     }
 
--- a/src/test/java/quartzspan/replication/ReplicaGuardsTest.java
+++ b/src/test/java/quartzspan/replication/ReplicaGuardsTest.java
@@ -41,8 +41,8 @@
             }
 
             @Override
-            public void done(long ticket, FleetException why, ControlState state) {
-                answers.add(ticket + (why == null ? " yes" : " " + why.code()));
+            public void done(long requestId, FleetException why, ControlState state) {
+                answers.add(requestId + (why == null ? " yes" : " " + why.code()));
             }
 
             @Override
@@ -68,28 +68,28 @@
         return found;
     }
 
-    private static Ballot ballot(long number, String candidate) {
-        return new Ballot(number, candidate, 1);
+    private static Epoch epoch(long number, String candidate) {
+        return new Epoch(number, candidate, 1);
     }
 
     private void ask(String from, long number) {
-        replica.onMessage(now, from, ReplicaMessage.of(Kind.VOTE, ballot(number, from)));
+        replica.onMessage(now, from, ReplicaMessage.of(Kind.VOTE, epoch(number, from)));
         sync();
     }
 
-    private static View view(Ballot ballot, String primary, String backup) {
-        return new View(ballot, primary, List.of(primary, backup), ALL, List.of());
+    private static Membership view(Epoch epoch, String primary, String backup) {
+        return new Membership(epoch, primary, List.of(primary, backup), ALL, List.of());
     }
 
-    private static ReplicaMessage snapshot(Ballot ballot, long index) {
-        return Replica.copyMessage(StateUpdate.snapshot(ballot, index, ControlState.EMPTY), 0);
+    private static ReplicaMessage snapshot(Epoch epoch, long index) {
+        return Replica.replicateMessage(StateUpdate.ofSnapshot(epoch, index, ControlState.EMPTY), 0);
     }
 
-    private static ReplicaMessage recoveryReply(long promised, View view) {
-        return ReplicaMessage.of(Kind.RECOVERY_REPLY, Ballot.NONE)
-                .withOk(true)
-                .withView(view)
-                .withPromise(ballot(promised, C), false);
+    private static ReplicaMessage recoveryReply(long promised, Membership view) {
+        return ReplicaMessage.of(Kind.RECOVERY_REPLY, Epoch.NONE)
+                .withGranted(true)
+                .withMembership(view)
+                .withPromisedEpoch(epoch(promised, C), false);
     }
 
     @Test
@@ -97,11 +97,11 @@
         start(B, true);
         now += 5_000;
         ask(C, 4);
-        assertTrue(last(Kind.VOTE_REPLY).ok());
-        replica.onMessage(now, A, snapshot(ballot(3, A), 9));
+        assertTrue(last(Kind.VOTE_REPLY).granted());
+        replica.onMessage(now, A, snapshot(epoch(3, A), 9));
         sync();
-        assertFalse(last(Kind.COPY_REPLY).ok());
-        assertEquals(Ballot.FOUNDING, replica.copyBallot());
+        assertFalse(last(Kind.REPLICATE_REPLY).granted());
+        assertEquals(Epoch.FOUNDING, replica.logEpoch());
     }
 
     @Test
@@ -109,11 +109,11 @@
         start(B, true);
         now += 5_000;
         ask(C, 4);
-        Ballot lower = ballot(3, A);
-        replica.onMessage(now, A, ReplicaMessage.of(Kind.ACCEPT, lower).withView(view(lower, A, B)));
+        Epoch lower = epoch(3, A);
+        replica.onMessage(now, A, ReplicaMessage.of(Kind.ACCEPT, lower).withMembership(view(lower, A, B)));
         sync();
-        assertFalse(last(Kind.ACCEPT_REPLY).ok());
-        assertEquals(Ballot.FOUNDING, replica.view().ballot());
+        assertFalse(last(Kind.ACCEPT_REPLY).granted());
+        assertEquals(Epoch.FOUNDING, replica.membership().epoch());
     }
 
     @Test
@@ -121,17 +121,17 @@
         start(B, true);
         now += 5_000;
         ask(C, 4);
-        assertTrue(last(Kind.VOTE_REPLY).ok());
+        assertTrue(last(Kind.VOTE_REPLY).granted());
         ask(A, 4);
-        assertFalse(last(Kind.VOTE_REPLY).ok(), "granted to another");
+        assertFalse(last(Kind.VOTE_REPLY).granted(), "granted to another");
         ask(C, 4);
-        assertTrue(last(Kind.VOTE_REPLY).ok(), "the same question again");
+        assertTrue(last(Kind.VOTE_REPLY).granted(), "the same question again");
         start(B, false);
         now += 5_000;
         ask(A, 4);
-        assertFalse(last(Kind.VOTE_REPLY).ok(), "a new life keeps the promise");
+        assertFalse(last(Kind.VOTE_REPLY).granted(), "a new life keeps the promise");
         ask(A, 5);
-        assertTrue(last(Kind.VOTE_REPLY).ok());
+        assertTrue(last(Kind.VOTE_REPLY).granted());
     }
 
     /** Two candidates with one number: whoever has granted it to the higher one takes nothing of the lower one. */
@@ -140,23 +140,23 @@
         start(B, true);
         now += 5_000;
         ask(C, 6);
-        Ballot sameNumber = ballot(6, A);
-        replica.onMessage(now, A, ReplicaMessage.of(Kind.ACCEPT, sameNumber).withView(view(sameNumber, A, B)));
+        Epoch sameNumber = epoch(6, A);
+        replica.onMessage(now, A, ReplicaMessage.of(Kind.ACCEPT, sameNumber).withMembership(view(sameNumber, A, B)));
         sync();
-        assertFalse(last(Kind.ACCEPT_REPLY).ok(), "granted to another candidate");
+        assertFalse(last(Kind.ACCEPT_REPLY).granted(), "granted to another candidate");
         replica.onMessage(now, A, snapshot(sameNumber, 9));
         sync();
-        assertFalse(last(Kind.COPY_REPLY).ok(), "granted to another candidate");
+        assertFalse(last(Kind.REPLICATE_REPLY).granted(), "granted to another candidate");
     }
 
     @Test
     void nothingIsGrantedBeforeItIsOnTheDisk() {
         start(B, true);
         now += 5_000;
-        replica.onMessage(now, C, ReplicaMessage.of(Kind.VOTE, ballot(4, C)));
+        replica.onMessage(now, C, ReplicaMessage.of(Kind.VOTE, epoch(4, C)));
         assertEquals(null, last(Kind.VOTE_REPLY));
         replica.onPersisted(now, persisting.remove(0)[0], false);
-        assertFalse(last(Kind.VOTE_REPLY).ok(), "the disk refused");
+        assertFalse(last(Kind.VOTE_REPLY).granted(), "the disk refused");
     }
 
     /** A view that is on its way to the disk may be lost with this life: nobody is told of it. */
@@ -164,37 +164,37 @@
     void aViewIsToldOnlyOnceItIsOnTheDisk() {
         start(B, true);
         now += 5_000;
-        Ballot accepted = ballot(4, C);
-        replica.onMessage(now, C, ReplicaMessage.of(Kind.ACCEPT, accepted).withView(view(accepted, C, B)));
-        replica.onMessage(now, A, ReplicaMessage.of(Kind.PRE_VOTE, ballot(5, A)));
-        assertEquals(Ballot.FOUNDING, last(Kind.PRE_VOTE_REPLY).view().ballot());
+        Epoch accepted = epoch(4, C);
+        replica.onMessage(now, C, ReplicaMessage.of(Kind.ACCEPT, accepted).withMembership(view(accepted, C, B)));
+        replica.onMessage(now, A, ReplicaMessage.of(Kind.PRE_VOTE, epoch(5, A)));
+        assertEquals(Epoch.FOUNDING, last(Kind.PRE_VOTE_REPLY).membership().epoch());
         sync();
-        replica.onMessage(now, A, ReplicaMessage.of(Kind.PRE_VOTE, ballot(5, A)));
-        assertEquals(accepted, last(Kind.PRE_VOTE_REPLY).view().ballot());
+        replica.onMessage(now, A, ReplicaMessage.of(Kind.PRE_VOTE, epoch(5, A)));
+        assertEquals(accepted, last(Kind.PRE_VOTE_REPLY).membership().epoch());
     }
 
     @Test
     void anEmptyDiskGrantsNothingUntilAllOthersThatMayKnowHaveSaid() {
         start(B, false);
-        assertTrue(replica.blank());
+        assertTrue(replica.isRecovering());
         replica.onTick(now);
         ReplicaMessage request = last(Kind.RECOVERY);
         now += 5_000;
         ask(C, 4);
-        assertFalse(last(Kind.VOTE_REPLY).ok());
-        View known = view(ballot(2, A), A, B);
+        assertFalse(last(Kind.VOTE_REPLY).granted());
+        Membership known = view(epoch(2, A), A, B);
         ReplicaMessage told =
                 recoveryReply(6, known).withNonce(request.nonce()).withGenerations(Map.of(B, request.generation()));
         replica.onMessage(now, A, told);
         sync();
-        assertTrue(replica.blank(), "the third may have been granted more with our word");
-        replica.onMessage(now, C, told.withPromise(ballot(9, C), false));
+        assertTrue(replica.isRecovering(), "the third may have been granted more with our word");
+        replica.onMessage(now, C, told.withPromisedEpoch(epoch(9, C), false));
         sync();
-        assertFalse(replica.blank());
-        assertEquals(ballot(9, C), replica.promised());
+        assertFalse(replica.isRecovering());
+        assertEquals(epoch(9, C), replica.promisedEpoch());
         now += 5_000;
         ask(A, 9);
-        assertFalse(last(Kind.VOTE_REPLY).ok());
+        assertFalse(last(Kind.VOTE_REPLY).granted());
     }
 
     /** The disk was lost twice: what another still says to the life before helps this one to nothing. */
@@ -203,13 +203,13 @@
         start(B, false);
         replica.onTick(now);
         ReplicaMessage request = last(Kind.RECOVERY);
-        View known = view(ballot(2, A), A, B);
+        Membership known = view(epoch(2, A), A, B);
         ReplicaMessage stale =
                 recoveryReply(6, known).withNonce(request.nonce() + 1).withGenerations(Map.of(B, request.generation()));
         replica.onMessage(now, A, stale);
         replica.onMessage(now, C, stale);
-        assertTrue(replica.blank());
-        ReplicaMessage used = stale.withNonce(request.nonce()).withOk(false);
+        assertTrue(replica.isRecovering());
+        ReplicaMessage used = stale.withNonce(request.nonce()).withGranted(false);
         replica.onMessage(now, A, used);
         now += 1_000;
         replica.onTick(now);
@@ -219,62 +219,63 @@
     @Test
     void aGenerationIsNotedOnTheDiskBeforeItIsAnswered() {
         start(A, true);
-        ReplicaMessage request = ReplicaMessage.of(Kind.RECOVERY, Ballot.NONE)
-                .withPromise(Ballot.NONE, true)
+        ReplicaMessage request = ReplicaMessage.of(Kind.RECOVERY, Epoch.NONE)
+                .withPromisedEpoch(Epoch.NONE, true)
                 .withGeneration(1)
                 .withNonce(77);
         replica.onMessage(now, B, request);
         assertEquals(null, last(Kind.RECOVERY_REPLY));
         sync();
-        assertTrue(last(Kind.RECOVERY_REPLY).ok());
+        assertTrue(last(Kind.RECOVERY_REPLY).granted());
         replica.onMessage(now, B, request.withNonce(78));
         sync();
-        assertFalse(last(Kind.RECOVERY_REPLY).ok(), "another life has that generation");
+        assertFalse(last(Kind.RECOVERY_REPLY).granted(), "another life has that generation");
         start(A, false);
         replica.onMessage(now, B, request.withNonce(78));
         sync();
-        assertFalse(last(Kind.RECOVERY_REPLY).ok(), "a new process knows it too");
+        assertFalse(last(Kind.RECOVERY_REPLY).granted(), "a new process knows it too");
     }
 
     @Test
     void aCopyForAnEarlierLifeOfTheDiskIsNotTaken() {
         start(B, true);
         now += 5_000;
-        ReplicaMessage forAnother = Replica.copyMessage(StateUpdate.snapshot(ballot(3, A), 9, ControlState.EMPTY), 1);
+        ReplicaMessage forAnother =
+                Replica.replicateMessage(StateUpdate.ofSnapshot(epoch(3, A), 9, ControlState.EMPTY), 1);
         replica.onMessage(now, A, forAnother);
         sync();
-        assertFalse(last(Kind.COPY_REPLY).ok());
-        assertEquals(Ballot.FOUNDING, replica.copyBallot());
+        assertFalse(last(Kind.REPLICATE_REPLY).granted());
+        assertEquals(Epoch.FOUNDING, replica.logEpoch());
     }
 
     @Test
     void stepsThatBeginFromAnotherStateAreNotTaken() {
         start(B, true);
         now += 5_000;
-        Ballot ballot = ballot(3, A);
-        ChangeHistory.Entry step = new ChangeHistory.Entry(8, ballot, null);
-        replica.onMessage(now, A, Replica.copyMessage(StateUpdate.steps(ballot, 7, List.of(step)), 0));
+        Epoch epoch = epoch(3, A);
+        ChangeHistory.Entry step = new ChangeHistory.Entry(8, epoch, null);
+        replica.onMessage(now, A, Replica.replicateMessage(StateUpdate.ofEntries(epoch, 7, List.of(step)), 0));
         sync();
-        assertFalse(last(Kind.COPY_REPLY).ok());
-        ChangeHistory.Entry next = new ChangeHistory.Entry(1, ballot, null);
-        replica.onMessage(now, A, Replica.copyMessage(StateUpdate.steps(Ballot.FOUNDING, 0, List.of(next)), 0));
+        assertFalse(last(Kind.REPLICATE_REPLY).granted());
+        ChangeHistory.Entry next = new ChangeHistory.Entry(1, epoch, null);
+        replica.onMessage(now, A, Replica.replicateMessage(StateUpdate.ofEntries(Epoch.FOUNDING, 0, List.of(next)), 0));
         sync();
-        assertTrue(last(Kind.COPY_REPLY).ok());
-        assertEquals(1, replica.copyIndex());
+        assertTrue(last(Kind.REPLICATE_REPLY).granted());
+        assertEquals(1, replica.logIndex());
     }
 
     @Test
     void aCopyIsAcknowledgedOnlyOnceItIsOnTheDisk() {
         start(B, true);
         now += 5_000;
-        replica.onMessage(now, A, snapshot(ballot(3, A), 9));
-        assertEquals(null, last(Kind.COPY_REPLY));
+        replica.onMessage(now, A, snapshot(epoch(3, A), 9));
+        assertEquals(null, last(Kind.REPLICATE_REPLY));
         persisting.forEach(record -> replica.onPersisted(now, record[0], false));
         persisting.clear();
-        assertEquals(null, last(Kind.COPY_REPLY), "the disk refused");
-        replica.onMessage(now, A, snapshot(ballot(3, A), 9));
+        assertEquals(null, last(Kind.REPLICATE_REPLY), "the disk refused");
+        replica.onMessage(now, A, snapshot(epoch(3, A), 9));
         sync();
-        assertTrue(last(Kind.COPY_REPLY).ok());
+        assertTrue(last(Kind.REPLICATE_REPLY).granted());
     }
 
     /** The copies of the newest view hold what it answered; a copy from before it may not. */
@@ -285,15 +286,15 @@
         replica.onMessage(
                 now,
                 C,
-                ReplicaMessage.of(Kind.PRE_VOTE_REPLY, last(Kind.PRE_VOTE).ballot())
-                        .withOk(true));
+                ReplicaMessage.of(Kind.PRE_VOTE_REPLY, last(Kind.PRE_VOTE).epoch())
+                        .withGranted(true));
         sync();
-        Ballot ballot = last(Kind.VOTE).ballot();
-        Ballot newer = new Ballot(0, B, 1);
-        replica.onMessage(now, C, vote(ballot, view(newer, B, A), Ballot.NONE, -1));
+        Epoch epoch = last(Kind.VOTE).epoch();
+        Epoch newer = new Epoch(0, B, 1);
+        replica.onMessage(now, C, vote(epoch, view(newer, B, A), Epoch.NONE, -1));
         sync();
-        assertEquals(null, last(Kind.COPY), "its own copy is from before that view");
-        replica.onMessage(now, B, vote(ballot, view(newer, B, A), newer, 4));
+        assertEquals(null, last(Kind.REPLICATE), "its own copy is from before that view");
+        replica.onMessage(now, B, vote(epoch, view(newer, B, A), newer, 4));
         sync();
         assertEquals("CANDIDATE", replica.role());
         assertTrue(sent.stream().anyMatch(s -> s.message().kind() == Kind.FETCH && s.to().equals(B)));
@@ -303,28 +304,28 @@
     void nobodyIsGrantedABallotWhileThePrimaryIsHeard() {
         start(C, true);
         now += 5_000;
-        Ballot first = ballot(1, A);
-        replica.onMessage(now, A, ReplicaMessage.of(Kind.ACCEPT, first).withView(view(first, A, B)));
+        Epoch first = epoch(1, A);
+        replica.onMessage(now, A, ReplicaMessage.of(Kind.ACCEPT, first).withMembership(view(first, A, B)));
         replica.onMessage(
                 now,
                 A,
                 ReplicaMessage.of(Kind.HEARTBEAT, first)
-                        .withView(view(first, A, B))
+                        .withMembership(view(first, A, B))
                         .withNonce(1));
         sync();
         ask(B, 2);
-        assertFalse(last(Kind.VOTE_REPLY).ok());
+        assertFalse(last(Kind.VOTE_REPLY).granted());
         now += 600;
         ask(B, 2);
-        assertTrue(last(Kind.VOTE_REPLY).ok());
+        assertTrue(last(Kind.VOTE_REPLY).granted());
     }
 
-    private ReplicaMessage vote(Ballot ballot, View view, Ballot copyBallot, long index) {
-        return ReplicaMessage.of(Kind.VOTE_REPLY, ballot)
-                .withOk(true)
-                .withView(view)
-                .withCopy(copyBallot, index)
-                .withPromise(ballot, false);
+    private ReplicaMessage vote(Epoch epoch, Membership view, Epoch logEpoch, long index) {
+        return ReplicaMessage.of(Kind.VOTE_REPLY, epoch)
+                .withGranted(true)
+                .withMembership(view)
+                .withLogPosition(logEpoch, index)
+                .withPromisedEpoch(epoch, false);
     }
 
     private void tickUntil(Kind kind) {
@@ -339,39 +340,43 @@
     void aJointViewNeedsMajoritiesOfBothSetsOfVoters() {
         String d = "10.0.0.4:7";
         start(A, true);
-        Ballot joint = ballot(1, C);
-        View changing = new View(joint, C, List.of(C, A), List.of(A, C, d), ALL);
+        Epoch joint = epoch(1, C);
+        Membership changing = new Membership(joint, C, List.of(C, A), List.of(A, C, d), ALL);
         replica.onMessage(now, C, snapshot(joint, 4));
-        replica.onMessage(now, C, ReplicaMessage.of(Kind.ACCEPT, joint).withView(changing));
+        replica.onMessage(now, C, ReplicaMessage.of(Kind.ACCEPT, joint).withMembership(changing));
         sync();
         sent.clear();
         tickUntil(Kind.PRE_VOTE);
-        Ballot preVote = last(Kind.PRE_VOTE).ballot();
-        ReplicaMessage yes = ReplicaMessage.of(Kind.PRE_VOTE_REPLY, preVote).withOk(true);
+        Epoch preVote = last(Kind.PRE_VOTE).epoch();
+        ReplicaMessage yes = ReplicaMessage.of(Kind.PRE_VOTE_REPLY, preVote).withGranted(true);
         replica.onMessage(now, d, yes);
         sync();
         assertEquals(null, last(Kind.VOTE), "a majority of the new voters only");
         replica.onMessage(now, B, yes);
         sync();
-        Ballot ballot = last(Kind.VOTE).ballot();
-        replica.onMessage(now, d, vote(ballot, View.NONE, Ballot.NONE, -1));
+        Epoch epoch = last(Kind.VOTE).epoch();
+        replica.onMessage(now, d, vote(epoch, Membership.NONE, Epoch.NONE, -1));
         sync();
-        assertEquals(null, last(Kind.COPY), "a majority of the new voters only");
-        replica.onMessage(now, B, vote(ballot, View.NONE, Ballot.FOUNDING, 0));
+        assertEquals(null, last(Kind.REPLICATE), "a majority of the new voters only");
+        replica.onMessage(now, B, vote(epoch, Membership.NONE, Epoch.FOUNDING, 0));
         sync();
-        ReplicaMessage copy = last(Kind.COPY);
+        ReplicaMessage copy = last(Kind.REPLICATE);
         replica.onMessage(
-                now, d, ReplicaMessage.of(Kind.COPY_REPLY, ballot).withOk(true).withCopy(ballot, copy.index()));
+                now,
+                d,
+                ReplicaMessage.of(Kind.REPLICATE_REPLY, epoch)
+                        .withGranted(true)
+                        .withLogPosition(epoch, copy.logIndex()));
         sync();
-        View next = last(Kind.ACCEPT).view();
+        Membership next = last(Kind.ACCEPT).membership();
         assertEquals(List.of(A, C, d), next.voters(), "the change of voters is carried to the end");
         assertEquals(ALL, next.previousVoters());
-        replica.onMessage(now, d, ReplicaMessage.of(Kind.ACCEPT_REPLY, ballot).withOk(true));
-        assertFalse(replica.primary(), "a majority of the new voters only");
-        replica.onMessage(now, B, ReplicaMessage.of(Kind.ACCEPT_REPLY, ballot).withOk(true));
+        replica.onMessage(now, d, ReplicaMessage.of(Kind.ACCEPT_REPLY, epoch).withGranted(true));
+        assertFalse(replica.isPrimary(), "a majority of the new voters only");
+        replica.onMessage(now, B, ReplicaMessage.of(Kind.ACCEPT_REPLY, epoch).withGranted(true));
         sync();
-        assertTrue(replica.primary());
-        assertEquals(List.of(), replica.view().previousVoters(), "in force: the old voters are needed no more");
+        assertTrue(replica.isPrimary());
+        assertEquals(List.of(), replica.membership().previousVoters(), "in force: the old voters are needed no more");
     }
 
     /** It was away while the others dropped it: their votes would make a primary of one that nobody counts as a voter. */
@@ -379,17 +384,21 @@
     void whoLearnsThatItIsNoVoterAnyMoreStandsNoMore() {
         start(A, true);
         tickUntil(Kind.PRE_VOTE);
-        Ballot newer = ballot(3, B);
-        View without = new View(newer, B, List.of(B, C), List.of(B, C, "10.0.0.4:7"), List.of());
-        Ballot preVote = last(Kind.PRE_VOTE).ballot();
+        Epoch newer = epoch(3, B);
+        Membership without = new Membership(newer, B, List.of(B, C), List.of(B, C, "10.0.0.4:7"), List.of());
+        Epoch preVote = last(Kind.PRE_VOTE).epoch();
         replica.onMessage(
                 now,
                 B,
-                ReplicaMessage.of(Kind.PRE_VOTE_REPLY, preVote).withOk(true).withView(without));
+                ReplicaMessage.of(Kind.PRE_VOTE_REPLY, preVote)
+                        .withGranted(true)
+                        .withMembership(without));
         replica.onMessage(
                 now,
                 C,
-                ReplicaMessage.of(Kind.PRE_VOTE_REPLY, preVote).withOk(true).withView(without));
+                ReplicaMessage.of(Kind.PRE_VOTE_REPLY, preVote)
+                        .withGranted(true)
+                        .withMembership(without));
         sync();
         assertEquals(null, last(Kind.VOTE));
         assertEquals("STANDBY", replica.role());
@@ -403,26 +412,26 @@
         replica.onMessage(
                 now,
                 C,
-                ReplicaMessage.of(Kind.PRE_VOTE_REPLY, last(Kind.PRE_VOTE).ballot())
-                        .withOk(true));
+                ReplicaMessage.of(Kind.PRE_VOTE_REPLY, last(Kind.PRE_VOTE).epoch())
+                        .withGranted(true));
         sync();
-        Ballot ballot = last(Kind.VOTE).ballot();
-        View founding = replica.view();
-        replica.onMessage(now, B, vote(ballot, founding, Ballot.FOUNDING, 0).withOk(false));
+        Epoch epoch = last(Kind.VOTE).epoch();
+        Membership founding = replica.membership();
+        replica.onMessage(now, B, vote(epoch, founding, Epoch.FOUNDING, 0).withGranted(false));
         replica.onMessage(
                 now,
                 B,
-                ReplicaMessage.of(Kind.RECOVERY, Ballot.NONE)
-                        .withPromise(Ballot.NONE, true)
+                ReplicaMessage.of(Kind.RECOVERY, Epoch.NONE)
+                        .withPromisedEpoch(Epoch.NONE, true)
                         .withGeneration(1)
                         .withNonce(5));
         sync();
-        replica.onMessage(now, B, vote(ballot, founding, Ballot.FOUNDING, 0));
+        replica.onMessage(now, B, vote(epoch, founding, Epoch.FOUNDING, 0));
         sync();
-        assertEquals(null, last(Kind.COPY), "its disk was lost since");
-        replica.onMessage(now, B, vote(ballot, founding, Ballot.FOUNDING, 0).withGeneration(1));
+        assertEquals(null, last(Kind.REPLICATE), "its disk was lost since");
+        replica.onMessage(now, B, vote(epoch, founding, Epoch.FOUNDING, 0).withGeneration(1));
         sync();
-        assertEquals(ballot, last(Kind.COPY).ballot());
+        assertEquals(epoch, last(Kind.REPLICATE).epoch());
     }
 
     /** The view that a late vote tells was accepted before it: what it answered may not have been taken over. */
@@ -433,15 +442,15 @@
         replica.onMessage(
                 now,
                 B,
-                ReplicaMessage.of(Kind.PRE_VOTE_REPLY, last(Kind.PRE_VOTE).ballot())
-                        .withOk(true));
+                ReplicaMessage.of(Kind.PRE_VOTE_REPLY, last(Kind.PRE_VOTE).epoch())
+                        .withGranted(true));
         sync();
-        Ballot ballot = last(Kind.VOTE).ballot();
-        replica.onMessage(now, B, vote(ballot, replica.view(), Ballot.FOUNDING, 0));
+        Epoch epoch = last(Kind.VOTE).epoch();
+        replica.onMessage(now, B, vote(epoch, replica.membership(), Epoch.FOUNDING, 0));
         sync();
         assertEquals("CANDIDATE", replica.role());
-        Ballot between = new Ballot(ballot.number(), "10.0.0.0:7", 1);
-        replica.onMessage(now, C, vote(ballot, view(between, C, B), between, 5));
+        Epoch between = new Epoch(epoch.number(), "10.0.0.0:7", 1);
+        replica.onMessage(now, C, vote(epoch, view(between, C, B), between, 5));
         assertEquals("WITNESS", replica.role());
     }
 
@@ -451,56 +460,56 @@
         start(A, true);
         tickUntil(Kind.PRE_VOTE);
         assertEquals(null, last(Kind.VOTE), "sounded alone");
-        View founding = replica.view();
+        Membership founding = replica.membership();
         replica.onMessage(
                 now,
                 B,
-                ReplicaMessage.of(Kind.PRE_VOTE_REPLY, last(Kind.PRE_VOTE).ballot())
-                        .withOk(true)
-                        .withView(founding));
+                ReplicaMessage.of(Kind.PRE_VOTE_REPLY, last(Kind.PRE_VOTE).epoch())
+                        .withGranted(true)
+                        .withMembership(founding));
         sync();
-        Ballot ballot = last(Kind.VOTE).ballot();
-        assertEquals(1, ballot.number());
-        assertEquals(null, last(Kind.COPY), "granted by itself alone");
-        replica.onMessage(now, B, vote(ballot, founding, Ballot.FOUNDING, 0));
+        Epoch epoch = last(Kind.VOTE).epoch();
+        assertEquals(1, epoch.number());
+        assertEquals(null, last(Kind.REPLICATE), "granted by itself alone");
+        replica.onMessage(now, B, vote(epoch, founding, Epoch.FOUNDING, 0));
         sync();
-        assertEquals(ballot, last(Kind.COPY).ballot());
+        assertEquals(epoch, last(Kind.REPLICATE).epoch());
         assertEquals(null, last(Kind.ACCEPT), "no backup has it");
         ReplicaMessage copied =
-                ReplicaMessage.of(Kind.COPY_REPLY, ballot).withOk(true).withPromise(ballot, false);
-        replica.onMessage(now, B, copied.withCopy(ballot, 1));
+                ReplicaMessage.of(Kind.REPLICATE_REPLY, epoch).withGranted(true).withPromisedEpoch(epoch, false);
+        replica.onMessage(now, B, copied.withLogPosition(epoch, 1));
         assertEquals(null, last(Kind.ACCEPT), "its own vote for the view is not on its disk");
         now += 300;
         replica.onTick(now);
         assertEquals(null, last(Kind.ACCEPT), "nor when it asks again");
         sync();
-        assertEquals(List.of(A, B), last(Kind.ACCEPT).view().copies());
-        assertFalse(replica.primary(), "accepted by itself alone");
+        assertEquals(List.of(A, B), last(Kind.ACCEPT).membership().dataReplicas());
+        assertFalse(replica.isPrimary(), "accepted by itself alone");
         ReplicaMessage accepted =
-                ReplicaMessage.of(Kind.ACCEPT_REPLY, ballot).withOk(true).withPromise(ballot, false);
+                ReplicaMessage.of(Kind.ACCEPT_REPLY, epoch).withGranted(true).withPromisedEpoch(epoch, false);
         replica.onMessage(now, B, accepted);
-        assertTrue(replica.primary());
+        assertTrue(replica.isPrimary());
         answers.clear();
-        replica.confirm(now, 7);
+        replica.read(now, 7);
         assertEquals(List.of(), answers, "a read needs a majority's word");
         ReplicaMessage heartbeat = last(Kind.HEARTBEAT);
-        ReplicaMessage acknowledged = ReplicaMessage.of(Kind.HEARTBEAT_REPLY, ballot)
-                .withOk(true)
-                .withPromise(ballot, false)
-                .withCopy(ballot, 1);
+        ReplicaMessage acknowledged = ReplicaMessage.of(Kind.HEARTBEAT_REPLY, epoch)
+                .withGranted(true)
+                .withPromisedEpoch(epoch, false)
+                .withLogPosition(epoch, 1);
         replica.onMessage(now, C, acknowledged.withNonce(heartbeat.nonce() - 1));
         assertEquals(List.of(), answers, "an answer to a heartbeat before the question");
         replica.onMessage(now, C, acknowledged.withNonce(heartbeat.nonce()));
         assertEquals(List.of("7 yes"), answers);
-        replica.change(now, 8, new Change(Change.Kind.REPLACE, 0, SimulatedCluster.document(5)));
+        replica.submit(now, 8, new Change(Change.Kind.REPLACE, 0, SimulatedCluster.document(5)));
         sync();
-        replica.onMessage(now, C, copied.withCopy(ballot, 2));
+        replica.onMessage(now, C, copied.withLogPosition(epoch, 2));
         assertEquals(1, answers.size(), "a witness is no backup");
-        replica.onMessage(now, B, copied.withCopy(ballot, 2));
+        replica.onMessage(now, B, copied.withLogPosition(epoch, 2));
         assertEquals(List.of("7 yes", "in force 2", "8 yes"), answers);
         now += 800;
         replica.onTick(now);
-        assertFalse(replica.primary(), "no majority for long: nobody's primary");
+        assertFalse(replica.isPrimary(), "no majority for long: nobody's primary");
     }
 
     /** Found by the local run: with one voter its own word is a majority, and it deposed itself for want of others. */
@@ -518,7 +527,7 @@
             }
 
             @Override
-            public void done(long ticket, FleetException why, ControlState state) {}
+            public void done(long requestId, FleetException why, ControlState state) {}
 
             @Override
             public void committed(long index, ControlState state, ChangeHistory history) {}
@@ -529,7 +538,7 @@
             replica.onTick(now);
             sync();
         }
-        assertTrue(replica.primary());
-        assertEquals(1, replica.view().ballot().number());
+        assertTrue(replica.isPrimary());
+        assertEquals(1, replica.membership().epoch().number());
     }
 }
--- a/src/test/java/quartzspan/replication/ReplicaSimulationTest.java
+++ b/src/test/java/quartzspan/replication/ReplicaSimulationTest.java
@@ -66,8 +66,8 @@
                 .map(m -> m.name + "="
                         + (m.replica == null
                                 ? "down"
-                                : m.replica.role() + " " + m.replica.promised() + " "
-                                        + m.replica.view().text()))
+                                : m.replica.role() + " " + m.replica.promisedEpoch() + " "
+                                        + m.replica.membership().text()))
                 .toList()
                 .toString();
     }
