--- a/src/test/java/quartzspan/replication/SimulatedCluster.java
+++ b/src/test/java/quartzspan/replication/SimulatedCluster.java
@@ -103,8 +103,8 @@
         }
 
         @Override
-        public void done(long ticket, FleetException why, ControlState state) {
-            Asked a = asked.remove(ticket);
+        public void done(long requestId, FleetException why, ControlState state) {
+            Asked a = asked.remove(requestId);
             if (a != null && why == null) {
                 a.granted(state);
             }
@@ -113,9 +113,9 @@
         @Override
         public void committed(long index, ControlState state, ChangeHistory history) {
             long[] key = {index};
-            Ballot ballot = replica.view().ballot();
-            String by = committedBy.putIfAbsent(ballot, name);
-            need(by == null || by.equals(name), "two primaries in ballot " + ballot);
+            Epoch epoch = replica.membership().epoch();
+            String by = committedBy.putIfAbsent(epoch, name);
+            need(by == null || by.equals(name), "two primaries in epoch " + epoch);
             Long other = committed.get(key);
             need(other == null || other == state.configuration().version(), "two states at index " + index);
             long version = state.configuration().version();
@@ -141,11 +141,11 @@
     int lossPerMille;
     long now = 1_000_000;
     private long order;
-    private long tickets;
+    private long requestIds;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
     private final TreeMap<long[], Long> committed = new TreeMap<>(Arrays::compare);
-    private final Map<Ballot, String> committedBy = new HashMap<>();
+    private final Map<Epoch, String> committedBy = new HashMap<>();
     /** Acknowledged changes: base, by version. */
     final TreeMap<Long, Change> acked = new TreeMap<>();
 
@@ -227,16 +227,16 @@
         }
         for (Machine m : machines.values()) {
             // The operator is sent from one to the other until one says that it decides; a cut-off one may say so too.
-            if (m.replica != null && m.replica.primary() && !m.frozen) {
-                long ticket = ++tickets;
-                m.asked.put(ticket, state -> {
+            if (m.replica != null && m.replica.isPrimary() && !m.frozen) {
+                long requestId = ++requestIds;
+                m.asked.put(requestId, state -> {
                     if (!acked.containsKey(version)) {
                         need(bases.add(change.base()), "two changes on version " + change.base());
                     }
                     acked.put(version, change);
                     knownVersion = Math.max(knownVersion, version);
                 });
-                m.replica.change(now, ticket, change);
+                m.replica.submit(now, requestId, change);
             }
         }
         after(300 + random.nextInt(500), () -> {
@@ -250,23 +250,23 @@
     void read() {
         long most = acked.isEmpty() ? 0 : acked.lastKey();
         for (Machine m : machines.values()) {
-            if (m.replica != null && m.replica.primary() && !m.frozen) {
-                long ticket = ++tickets;
-                m.asked.put(ticket, state -> {
+            if (m.replica != null && m.replica.isPrimary() && !m.frozen) {
+                long requestId = ++requestIds;
+                m.asked.put(requestId, state -> {
                     reads++;
                     need(
                             state.configuration().version() >= most,
                             "read " + state.configuration().version() + " after " + most);
                     knownVersion = Math.max(knownVersion, state.configuration().version());
                 });
-                m.replica.confirm(now, ticket);
+                m.replica.read(now, requestId);
             }
         }
     }
 
     Machine primary() {
         return machines.values().stream()
-                .filter(m -> m.replica != null && m.replica.primary())
+                .filter(m -> m.replica != null && m.replica.isPrimary())
                 .findFirst()
                 .orElse(null);
     }
--- a/src/test/java/quartzspan/replication/StoredStateCompatibilityTest.java
+++ b/src/test/java/quartzspan/replication/StoredStateCompatibilityTest.java
@@ -101,11 +101,11 @@
         Replica replica = new Replica(name, List.of(A, B, C), 1, false, kept, 1, 1, new IgnoredOutput());
         byte[] state = replica.state().bytes();
         assertArrayEquals(state, ControlState.parse(state).bytes());
-        View view = replica.view();
-        assertEquals(view, View.parse(view.text()));
+        Membership view = replica.membership();
+        assertEquals(view, Membership.parse(view.text()));
         return name + ": " + kept.size() + " records, " + replica.role() + ", promised "
-                + replica.promised().text() + ", view " + view.text() + ", copy "
-                + replica.copyBallot().text() + " at " + replica.copyIndex() + ", "
+                + replica.promisedEpoch().text() + ", view " + view.text() + ", copy "
+                + replica.logEpoch().text() + " at " + replica.logIndex() + ", "
                 + new String(replica.state().configuration().bytes(), StandardCharsets.UTF_8) + " "
                 + replica.state().weights() + " " + replica.state().holder() + " "
                 + replica.state().fence();
@@ -139,7 +139,7 @@
         public void persist(long number, byte[] record) {}
 
         @Override
-        public void done(long ticket, FleetException refusal, ControlState state) {}
+        public void done(long requestId, FleetException refusal, ControlState state) {}
 
         @Override
         public void committed(long index, ControlState state, ChangeHistory history) {}
--- a/src/test/java/quartzspan/replication/simulation/OperatorClients.java
+++ b/src/test/java/quartzspan/replication/simulation/OperatorClients.java
@@ -24,7 +24,7 @@
 
     /** One try at one machine. */
     private interface Attempt {
-        void ask(ReplicaAdapter replica, long now, long ticket);
+        void ask(ReplicaAdapter replica, long now, long requestId);
 
         void answered(String by, FleetException refusal, ControlState state);
     }
@@ -67,9 +67,9 @@
 
         private void handle(SimulatedMachine at, long now, int mine, int redirects) {
             ReplicaAdapter replica = at.replica();
-            if (replica.primary()) {
+            if (replica.isPrimary()) {
                 Attempt attempt = request.begin();
-                long ticket = at.ticket(new SimulatedMachine.Reply() {
+                long requestId = at.requestId(new SimulatedMachine.Reply() {
                     @Override
                     public void answered(FleetException refusal, ControlState state) {
                         attempt.answered(at.name, refusal, state);
@@ -84,10 +84,10 @@
                         back(mine, () -> failed(mine));
                     }
                 });
-                attempt.ask(replica, now, ticket);
+                attempt.ask(replica, now, requestId);
                 return;
             }
-            String leader = replica.leader(now);
+            String leader = replica.knownPrimary(now);
             SimulatedMachine there = leader == null ? null : simulation.machine(leader);
             back(mine, () -> {
                 if (there == null || redirects == 0) {
@@ -176,8 +176,8 @@
         simulation.trace(() -> "an operator sends " + operation);
         Attempt attempt = new Attempt() {
             @Override
-            public void ask(ReplicaAdapter replica, long now, long ticket) {
-                replica.change(now, ticket, operation.change);
+            public void ask(ReplicaAdapter replica, long now, long requestId) {
+                replica.submit(now, requestId, operation.change);
             }
 
             @Override
@@ -207,8 +207,8 @@
         private final Map<String, Long> weightsThen = history.weightsFloor();
 
         @Override
-        public void ask(ReplicaAdapter replica, long now, long ticket) {
-            replica.read(now, ticket);
+        public void ask(ReplicaAdapter replica, long now, long requestId) {
+            replica.read(now, requestId);
         }
 
         @Override
@@ -227,8 +227,8 @@
         Change change = new Change(Change.Kind.WEIGHTS, 0, body.getBytes(StandardCharsets.UTF_8));
         Attempt attempt = new Attempt() {
             @Override
-            public void ask(ReplicaAdapter replica, long now, long ticket) {
-                replica.change(now, ticket, change);
+            public void ask(ReplicaAdapter replica, long now, long requestId) {
+                replica.submit(now, requestId, change);
             }
 
             @Override
--- a/src/test/java/quartzspan/replication/simulation/ReplicaAdapter.java
+++ b/src/test/java/quartzspan/replication/simulation/ReplicaAdapter.java
@@ -2,14 +2,14 @@
 
 import java.util.List;
 import quartzspan.common.FleetException;
-import quartzspan.replication.Ballot;
 import quartzspan.replication.Change;
 import quartzspan.replication.ChangeHistory;
 import quartzspan.replication.ControlState;
+import quartzspan.replication.Epoch;
+import quartzspan.replication.Membership;
 import quartzspan.replication.Replica;
 import quartzspan.replication.ReplicaMessage;
 import quartzspan.replication.ReplicaStore;
-import quartzspan.replication.View;
 import quartzspan.store.SlotStore;
 
 /**
@@ -23,7 +23,7 @@
 
         void persist(long number, byte[] record);
 
-        void answered(long ticket, FleetException refusal, ControlState state);
+        void answered(long requestId, FleetException refusal, ControlState state);
 
         void committed(Position position, ControlState state);
     }
@@ -63,8 +63,8 @@
             }
 
             @Override
-            public void done(long ticket, FleetException why, ControlState state) {
-                host.answered(ticket, why, state);
+            public void done(long requestId, FleetException why, ControlState state) {
+                host.answered(requestId, why, state);
             }
 
             @Override
@@ -89,85 +89,87 @@
 
     static String describe(Object message) {
         ReplicaMessage m = (ReplicaMessage) message;
-        return m.kind() + " " + m.ballot().text() + " copy " + m.copyBallot().text() + " at " + m.index() + " promised "
-                + m.promised().text() + (m.ok() ? " ok" : "") + (m.blank() ? " blank" : "") + " generation "
-                + m.generation() + " nonce " + m.nonce() + " view [" + m.view().text() + "]";
+        return m.kind() + " " + m.epoch().text() + " copy " + m.logEpoch().text() + " at " + m.logIndex() + " promised "
+                + m.promisedEpoch().text() + (m.granted() ? " ok" : "") + (m.recovering() ? " blank" : "")
+                + " generation "
+                + m.generation() + " nonce " + m.nonce() + " view ["
+                + m.membership().text() + "]";
     }
 
     void persisted(long now, long number, boolean ok) {
         replica.onPersisted(now, number, ok);
     }
 
-    void change(long now, long ticket, Change change) {
-        replica.change(now, ticket, change);
+    void submit(long now, long requestId, Change change) {
+        replica.submit(now, requestId, change);
     }
 
-    void read(long now, long ticket) {
-        replica.confirm(now, ticket);
+    void read(long now, long requestId) {
+        replica.read(now, requestId);
     }
 
     /** SIGTERM: the machine is to end soon. */
-    void leave(long now) {
-        replica.leave(now);
+    void beginHandover(long now) {
+        replica.beginHandover(now);
     }
 
-    /** Whether the process may end after {@link #leave}. */
-    boolean left(long now) {
-        return replica.left(now);
+    /** Whether the process may end after {@link #beginHandover}. */
+    boolean isHandoverComplete(long now) {
+        return replica.isHandoverComplete(now);
     }
 
-    boolean primary() {
-        return replica.primary();
+    boolean isPrimary() {
+        return replica.isPrimary();
     }
 
-    String leader(long now) {
-        return replica.leader(now);
+    String knownPrimary(long now) {
+        return replica.knownPrimary(now);
     }
 
     String role() {
         return replica.role();
     }
 
-    boolean blank() {
-        return replica.blank();
+    boolean isRecovering() {
+        return replica.isRecovering();
     }
 
-    /** The ballot of the view known here. */
-    String ballot() {
-        return replica.view().ballot().text();
+    /** The epoch of the view known here. */
+    String epoch() {
+        return replica.membership().epoch().text();
     }
 
-    /** The order of ballots as {@link #ballot} gives them. */
-    static int compareBallots(String one, String other) {
-        return Ballot.parse(one).compareTo(Ballot.parse(other));
+    /** The order of epochs as {@link #epoch} gives them. */
+    static int compareEpochs(String one, String other) {
+        return Epoch.parse(one).compareTo(Epoch.parse(other));
     }
 
     /** Primary, copies and voters of the view known here. */
-    String view() {
-        View view = replica.view();
-        return view.primary() + " copies " + view.copies() + " voters " + view.voters();
+    String membership() {
+        Membership membership = replica.membership();
+        return membership.primary() + " copies " + membership.dataReplicas() + " voters " + membership.voters();
     }
 
     /** Identifies the view known here: another view is another object. */
-    Object viewObject() {
-        return replica.view();
+    Object membershipObject() {
+        return replica.membership();
     }
 
     /** Whether a change of voters is under way. */
     boolean changingVoters() {
-        return replica.view().joint();
+        return replica.membership().joint();
     }
 
-    List<String> copies() {
-        return replica.view().copies();
+    List<String> dataReplicas() {
+        return replica.membership().dataReplicas();
     }
 
     List<String> voters() {
-        return replica.view().voters();
+        return replica.membership().voters();
     }
 
     Position copyPosition() {
-        return new Position(replica.copyIndex());
+        return new Position(replica.logIndex());
     }
 
     ControlState inForce() {
@@ -175,7 +177,7 @@
     }
 
     String describe() {
-        return role() + " promised " + replica.promised().text() + " view ["
-                + replica.view().text() + "] copy " + replica.copyBallot().text() + " at " + replica.copyIndex();
+        return role() + " promised " + replica.promisedEpoch().text() + " view ["
+                + replica.membership().text() + "] copy " + replica.logEpoch().text() + " at " + replica.logIndex();
     }
 }
--- a/src/test/java/quartzspan/replication/simulation/SimulatedMachine.java
+++ b/src/test/java/quartzspan/replication/simulation/SimulatedMachine.java
@@ -41,7 +41,7 @@
     private long stalledUntil;
     private final ArrayDeque<Write> writes = new ArrayDeque<>();
     private final Map<Long, Reply> replies = new TreeMap<>();
-    private long tickets;
+    private long requestIds;
     private long clockOffset;
     private boolean removed;
     private int powerCycles;
@@ -116,7 +116,7 @@
     private void tick(int mine) {
         event(mine, now -> {
             replica.tick(now);
-            if (leaving && replica.left(now)) {
+            if (leaving && replica.isHandoverComplete(now)) {
                 simulation.trace(() -> lifeName() + " has left");
                 leftInOrder = true;
                 end(false);
@@ -139,7 +139,7 @@
         event(mine, now -> {
             leaving = true;
             simulation.trace(() -> lifeName() + " is told to leave");
-            replica.leave(now);
+            replica.beginHandover(now);
         });
     }
 
@@ -276,9 +276,9 @@
         }
     }
 
-    long ticket(Reply reply) {
-        replies.put(++tickets, reply);
-        return tickets;
+    long requestId(Reply reply) {
+        replies.put(++requestIds, reply);
+        return requestIds;
     }
 
     @Override
@@ -288,8 +288,8 @@
     }
 
     @Override
-    public void answered(long ticket, FleetException refusal, ControlState state) {
-        Reply reply = replies.remove(ticket);
+    public void answered(long requestId, FleetException refusal, ControlState state) {
+        Reply reply = replies.remove(requestId);
         if (reply != null) {
             reply.answered(refusal, state);
         }
--- a/src/test/java/quartzspan/replication/simulation/Simulation.java
+++ b/src/test/java/quartzspan/replication/simulation/Simulation.java
@@ -134,7 +134,10 @@
     }
 
     SimulatedMachine primary() {
-        return running().stream().filter(m -> m.replica().primary()).findFirst().orElse(null);
+        return running().stream()
+                .filter(m -> m.replica().isPrimary())
+                .findFirst()
+                .orElse(null);
     }
 
     void acknowledgedBy(SimulatedMachine machine) {
@@ -217,7 +220,7 @@
     private void checkRedundancy() {
         ReplicaAdapter primary = primary().replica();
         int machinesLeft = members().size();
-        List<String> copies = primary.copies();
+        List<String> copies = primary.dataReplicas();
         List<String> voters = primary.voters();
         require(
                 copies.size() >= Math.min(scenario.losses() + 1, machinesLeft)
@@ -229,8 +232,8 @@
             SimulatedMachine machine = machines.get(name);
             require(
                     machine.running()
-                            && !machine.replica().blank()
-                            && machine.replica().ballot().equals(primary.ballot()),
+                            && !machine.replica().isRecovering()
+                            && machine.replica().epoch().equals(primary.epoch()),
                     Rule.CALM_RESTORES_REDUNDANCY,
                     name + " is a voter that is not caught up: " + describe());
         }
--- a/src/test/java/quartzspan/replication/simulation/TroubleInjector.java
+++ b/src/test/java/quartzspan/replication/simulation/TroubleInjector.java
@@ -83,7 +83,7 @@
 
     private SimulatedMachine select(Step.Target target, List<SimulatedMachine> able, SplittableRandom details) {
         SimulatedMachine primary = simulation.primary();
-        List<String> copies = primary == null ? List.of() : primary.replica().copies();
+        List<String> copies = primary == null ? List.of() : primary.replica().dataReplicas();
         List<String> voters = primary == null ? List.of() : primary.replica().voters();
         List<SimulatedMachine> fitting = able.stream()
                 .filter(m -> switch (target) {
--- a/src/test/java/quartzspan/transport/MessageCodecTest.java
+++ b/src/test/java/quartzspan/transport/MessageCodecTest.java
@@ -15,28 +15,28 @@
 import quartzspan.registry.RegistryEntry;
 import quartzspan.registry.SnapshotChunk;
 import quartzspan.registry.StateDelta;
-import quartzspan.replication.Ballot;
+import quartzspan.replication.Epoch;
+import quartzspan.replication.Membership;
 import quartzspan.replication.ReplicaMessage;
-import quartzspan.replication.View;
 import quartzspan.transport.MessageCodec.Hello;
 
 /** What goes in comes out; what is cut or spoilt is refused or read as something, and never worse. */
 class MessageCodecTest {
     private static final Hello HELLO = new Hello(true, "10.0.0.1:70", "10.0.0.1:80", "zône");
     private static final ReplicaMessage REPLICA_MESSAGE = new ReplicaMessage(
-            ReplicaMessage.Kind.COPY,
-            new Ballot(5, "10.0.0.1:7", -9),
+            ReplicaMessage.Kind.REPLICATE,
+            new Epoch(5, "10.0.0.1:7", -9),
             -1,
-            new Ballot(7, "10.0.0.2:7", Long.MIN_VALUE),
-            new Ballot(8, "", 3),
+            new Epoch(7, "10.0.0.2:7", Long.MIN_VALUE),
+            new Epoch(8, "", 3),
             Long.MAX_VALUE,
             true,
             false,
             4,
             Map.of("10.0.0.1:7", 2L),
             new TreeMap<>(Map.of("10.0.0.2:7", 700L, "10.0.0.3:7", 0L)),
-            new View(
-                    new Ballot(5, "10.0.0.1:7", -9),
+            new Membership(
+                    new Epoch(5, "10.0.0.1:7", -9),
                     "10.0.0.1:7",
                     List.of("10.0.0.1:7", "10.0.0.2:7"),
                     List.of("10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7"),
@@ -60,7 +60,7 @@
     void whatGoesInComesOut() {
         assertEquals(HELLO, MessageCodec.decode(MessageCodec.encode(HELLO)));
         ReplicaMessage l = (ReplicaMessage) MessageCodec.decode(MessageCodec.encode(REPLICA_MESSAGE));
-        assertEquals(REPLICA_MESSAGE.view(), l.view());
+        assertEquals(REPLICA_MESSAGE.membership(), l.membership());
         assertArrayEquals(REPLICA_MESSAGE.body(), l.body());
         assertEquals(REPLICA_MESSAGE.toString().split(", body")[0], l.toString().split(", body")[0]);
         GossipMessage t = (GossipMessage) MessageCodec.decode(MessageCodec.encode(GOSSIP));
--- a/src/test/java/quartzspan/transport/MessageCompatibilityTest.java
+++ b/src/test/java/quartzspan/transport/MessageCompatibilityTest.java
@@ -15,15 +15,15 @@
 import quartzspan.registry.RegistryEntry;
 import quartzspan.registry.SnapshotChunk;
 import quartzspan.registry.StateDelta;
-import quartzspan.replication.Ballot;
+import quartzspan.replication.Epoch;
+import quartzspan.replication.Membership;
 import quartzspan.replication.ReplicaMessage;
-import quartzspan.replication.View;
 import quartzspan.transport.MessageCodec.Hello;
 
 /** A message of each kind between processes, as an earlier version has encoded it. */
 class MessageCompatibilityTest {
-    private static final Ballot BALLOT = new Ballot(5, "10.0.0.1:7640", -9);
-    private static final View VIEW = new View(
+    private static final Epoch BALLOT = new Epoch(5, "10.0.0.1:7640", -9);
+    private static final Membership VIEW = new Membership(
             BALLOT,
             "10.0.0.1:7640",
             List.of("10.0.0.1:7640", "10.0.0.2:7640"),
@@ -36,15 +36,15 @@
                 kind,
                 BALLOT,
                 100 + number,
-                new Ballot(7, "10.0.0.2:7640", Long.MIN_VALUE),
-                new Ballot(4, "10.0.0.3:7640", 3),
+                new Epoch(7, "10.0.0.2:7640", Long.MIN_VALUE),
+                new Epoch(4, "10.0.0.3:7640", 3),
                 number - 1,
                 number % 2 == 0,
                 number % 3 == 0,
                 number,
                 new TreeMap<>(Map.of("10.0.0.1:7640", 2L, "10.0.0.2:7640", 0L)),
                 new TreeMap<>(Map.of("10.0.0.2:7640", 700L)),
-                number % 2 == 0 ? VIEW : View.NONE,
+                number % 2 == 0 ? VIEW : Membership.NONE,
                 new byte[] {1, 2, (byte) number});
     }
 
--- a/src/test/java/quartzspan/transport/TransportContractTest.java
+++ b/src/test/java/quartzspan/transport/TransportContractTest.java
@@ -24,9 +24,9 @@
 import org.junit.jupiter.api.Test;
 import quartzspan.registry.GossipMessage;
 import quartzspan.registry.SnapshotChunk;
-import quartzspan.replication.Ballot;
+import quartzspan.replication.Epoch;
+import quartzspan.replication.Membership;
 import quartzspan.replication.ReplicaMessage;
-import quartzspan.replication.View;
 import quartzspan.transport.MessageCodec.Hello;
 
 /** What every post must do, the real one and the one that tests use; and what the real one makes of nonsense. */
@@ -69,18 +69,18 @@
 
     private static ReplicaMessage message(long nonce, int bytes) {
         return new ReplicaMessage(
-                ReplicaMessage.Kind.COPY,
-                Ballot.FOUNDING,
+                ReplicaMessage.Kind.REPLICATE,
+                Epoch.FOUNDING,
                 nonce,
-                Ballot.NONE,
-                Ballot.NONE,
+                Epoch.NONE,
+                Epoch.NONE,
                 0,
                 true,
                 false,
                 0,
                 Map.of(),
                 Map.of(),
-                View.NONE,
+                Membership.NONE,
                 new byte[bytes]);
     }
 
