--- a/src/main/java/quartzspan/clientproxy/ClientProxy.java
+++ b/src/main/java/quartzspan/clientproxy/ClientProxy.java
@@ -23,26 +23,26 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
-import quartzspan.http.Call;
 import quartzspan.http.Clock;
-import quartzspan.http.Framing;
-import quartzspan.http.Frontend;
-import quartzspan.http.Upstream;
-import quartzspan.loadbalancing.Balancer;
-import quartzspan.loadbalancing.Balancer.AttemptEnd;
-import quartzspan.loadbalancing.Balancer.DedupScope;
-import quartzspan.loadbalancing.Balancer.Effect;
-import quartzspan.loadbalancing.Balancer.Endpoint;
-import quartzspan.loadbalancing.Balancer.Outcome;
-import quartzspan.loadbalancing.Balancer.Request;
-import quartzspan.loadbalancing.Balancer.RequestClass;
-import quartzspan.loadbalancing.Balancer.Source;
+import quartzspan.http.ConnectionPool;
+import quartzspan.http.HttpFraming;
+import quartzspan.http.HttpServer;
+import quartzspan.http.OutgoingRequest;
+import quartzspan.loadbalancing.LoadBalancer;
+import quartzspan.loadbalancing.LoadBalancer.AttemptEnd;
+import quartzspan.loadbalancing.LoadBalancer.DedupScope;
+import quartzspan.loadbalancing.LoadBalancer.Effect;
+import quartzspan.loadbalancing.LoadBalancer.Endpoint;
+import quartzspan.loadbalancing.LoadBalancer.Outcome;
+import quartzspan.loadbalancing.LoadBalancer.Request;
+import quartzspan.loadbalancing.LoadBalancer.RequestClass;
+import quartzspan.loadbalancing.LoadBalancer.Source;
 
 /**
  * A client proxy on sockets: turns what happens on them into the module's events and carries out what it
  * decides. One event-loop thread owns all of it, so nothing here is locked and nothing may block.
  */
-public final class ClientProxy implements Balancer.Actions, Frontend.Desk {
+public final class ClientProxy implements LoadBalancer.Actions, HttpServer.RequestHandler {
     /** We are done this long before the client's time is up: the way back and a busy core take time. */
     private static final long MARGIN_US = 25_000;
     /** What the module is told ends this much earlier still, so that its own last word comes first. */
@@ -74,14 +74,14 @@
     /** What the agent has counts as told from our first moment: so long its list is waited for at a start. */
     private static final long AGENT_FIRST_MS = 1_000;
 
-    private final Config config;
+    private final ClientProxyConfig config;
     private final EventLoopGroup group;
     private final EventLoop loop;
     private final Clock clock = new Clock();
-    private final Upstream upstream;
+    private final ConnectionPool upstream;
     private final Discovery discovery;
-    private final Frontend.Terms terms;
-    private final Frontend frontend;
+    private final HttpServer.ConnectionLimits connectionLimits;
+    private final HttpServer frontend;
     private final Map<String, Integer> classes = new HashMap<>();
     private final Map<String, Exchange> open = new HashMap<>();
     /** Events for the module and its actions, in order; see {@link #run}. */
@@ -95,21 +95,21 @@
 
     private long killAt = Long.MAX_VALUE;
     private final Maker maker;
-    private Balancer balancer;
+    private LoadBalancer balancer;
     private ScheduledFuture<?> wake;
 
     /** Makes the module; a test's own can do what the real one never would. */
     interface Maker {
-        Balancer create(Balancer.Settings settings, long seed, long now, Balancer.Actions actions);
+        LoadBalancer create(LoadBalancer.Settings settings, long seed, long now, LoadBalancer.Actions actions);
     }
 
-    private ClientProxy(Config config, Maker maker, EventLoopGroup group) {
+    private ClientProxy(ClientProxyConfig config, Maker maker, EventLoopGroup group) {
         this.config = config;
         this.maker = maker;
         this.group = group;
         this.loop = group.next();
         int half = Math.max(1, (config.sockets() - OWN_SOCKETS) / 2);
-        this.upstream = new Upstream(
+        this.upstream = new ConnectionPool(
                 loop, config.dialTimeoutUs(), config.settings().limits().connIdleUs(), half);
         this.discovery = new Discovery(config, loop, upstream, new Discovery.Listener() {
             @Override
@@ -127,8 +127,9 @@
                 watchFailed();
             }
         });
-        this.terms = new Frontend.Terms(half, Framing.MOST_HEAD, Framing.MOST_BODY, QUIET_MS, QUIET_MS);
-        this.frontend = new Frontend(this, loop);
+        this.connectionLimits = new HttpServer.ConnectionLimits(
+                half, HttpFraming.MAX_HEADER_BYTES, HttpFraming.MAX_BODY_BYTES, QUIET_MS, QUIET_MS);
+        this.frontend = new HttpServer(this, loop);
         List<RequestClass> all = config.settings().classes();
         for (int i = 0; i < all.size(); i++) {
             classes.put(all.get(i).name(), i);
@@ -137,22 +138,27 @@
 
     /** A request taken and not yet forgotten. */
     static final class Exchange {
-        private final Frontend.Client client;
+        private final HttpServer.ClientConnection client;
         private final Request request;
         private final RequestClass type;
-        private final Call call;
+        private final OutgoingRequest call;
         private final long endAt;
         /** When it is answered whatever the module does. */
         private long guardAt = Long.MAX_VALUE;
 
         private ScheduledFuture<?> guard;
-        private Upstream.Attempt out;
+        private ConnectionPool.Attempt out;
         private int outNumber;
         private int attempts;
         private boolean mayHaveRun;
         private boolean answered;
 
-        Exchange(Frontend.Client client, Request request, RequestClass type, Call call, long endAt) {
+        Exchange(
+                HttpServer.ClientConnection client,
+                Request request,
+                RequestClass type,
+                OutgoingRequest call,
+                long endAt) {
             this.client = client;
             this.request = request;
             this.type = type;
@@ -166,14 +172,14 @@
      *
      * @param listening told of the client proxy before it listens: from then on an end must be a drain
      */
-    public static ClientProxy start(Config config, Consumer<ClientProxy> listening) throws Exception {
+    public static ClientProxy start(ClientProxyConfig config, Consumer<ClientProxy> listening) throws Exception {
         WarmUp.decide(config.settings());
         warmUp(config);
-        return start(config, Balancer::create, listening);
+        return start(config, LoadBalancer::create, listening);
     }
 
     /** Is its own host for a moment, and not ready; ends before the real one begins. */
-    private static void warmUp(Config config) throws Exception {
+    private static void warmUp(ClientProxyConfig config) throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try {
             ClientProxy proxy = new ClientProxy(config, null, group);
@@ -197,7 +203,7 @@
         }
     }
 
-    static ClientProxy start(Config config, Maker maker, Consumer<ClientProxy> listening) throws Exception {
+    static ClientProxy start(ClientProxyConfig config, Maker maker, Consumer<ClientProxy> listening) throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         ClientProxy proxy = new ClientProxy(config, maker, group);
         try {
@@ -273,7 +279,7 @@
      * Takes up what may change while it serves: where discovery is. The rest of a configuration holds from
      * start to end.
      */
-    public void reload(Config changed) {
+    public void reload(ClientProxyConfig changed) {
         loop.execute(() -> run(() -> discovery.move(changed.discovery())));
     }
 
@@ -288,8 +294,8 @@
     }
 
     @Override
-    public Frontend.Terms terms() {
-        return terms;
+    public HttpServer.ConnectionLimits limits() {
+        return connectionLimits;
     }
 
     boolean ready() {
@@ -337,7 +343,7 @@
 
     /** Takes a request that is as the protocol says, and answers for it at once if it is not. */
     @Override
-    public void take(Frontend.Client client, HttpRequest in, byte[] body, long at) {
+    public void take(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
         String path = in.uri().split("\\?", 2)[0];
         if (path.equals("/-/ready")) {
             client.answer(
@@ -349,11 +355,11 @@
         }
     }
 
-    private void call(Frontend.Client client, HttpRequest in, byte[] body, long at) {
+    private void call(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
         HttpHeaders h = in.headers();
         String id = single(h, "X-Request-Id");
         Integer classIndex = classes.get(single(h, "X-Class"));
-        long deadlineMs = Framing.number(single(h, Call.DEADLINE));
+        long deadlineMs = HttpFraming.number(single(h, OutgoingRequest.DEADLINE));
         String tenantName = single(h, "X-Tenant");
         int tenant = config.tenants().indexOf(tenantName);
         boolean known = !h.contains("X-Tenant") || config.tenants().isEmpty() || tenant >= 0;
@@ -372,7 +378,7 @@
         long patience = Math.min(deadlineUs - Math.min(MARGIN_US, deadlineUs / 4), killAt - KILL_MARGIN_US - at);
         long budget = patience - Math.min(LAST_WORD_US, deadlineUs / 8) - (now() - at);
         if (budget <= 0) {
-            client.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, Upstream.Answer.EMPTY, comeBackUs());
+            client.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, ConnectionPool.Response.EMPTY, comeBackUs());
             return;
         }
         String key = h.contains("X-Key") ? String.join(",", h.getAll("X-Key")) : null;
@@ -381,10 +387,10 @@
                 classIndex,
                 key,
                 budget,
-                Math.max(0, Framing.number(h.get("X-Cost-Hint"))),
+                Math.max(0, HttpFraming.number(h.get("X-Cost-Hint"))),
                 tenant,
                 "1".equals(h.get("X-Retry")));
-        Exchange x = new Exchange(client, request, type, Call.of(in, body), now() + budget);
+        Exchange x = new Exchange(client, request, type, OutgoingRequest.of(in, body), now() + budget);
         open.put(id, x);
         guard(x, at + patience);
         client.opened(() -> gone(x));
@@ -441,7 +447,7 @@
                     || x.type.effect() == Effect.DEDUP && x.type.scope() == DedupScope.ALL;
             x.client.answer(
                     harmless ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.GATEWAY_TIMEOUT,
-                    Upstream.Answer.EMPTY,
+                    ConnectionPool.Response.EMPTY,
                     harmless ? comeBackUs() : 0);
             tellGone(x);
         }
@@ -479,7 +485,7 @@
         });
     }
 
-    private void attempt(Exchange x, Upstream.Host host, long timeoutUs) {
+    private void attempt(Exchange x, ConnectionPool.Endpoint host, long timeoutUs) {
         int number = x.attempts++;
         long sentAt = now();
         long left = x.endAt - sentAt;
@@ -542,7 +548,7 @@
         Exchange x = open.get(requestId);
         if (x != null && !x.answered) {
             over(x);
-            x.client.answer(status, Upstream.Answer.EMPTY, retryAfterUs);
+            x.client.answer(status, ConnectionPool.Response.EMPTY, retryAfterUs);
             forget(x);
         }
     }
@@ -551,13 +557,13 @@
     public void probe(String endpointId) {
         work.add(() -> {
             long sentAt = now();
-            Upstream.Host host = discovery.host(endpointId);
-            Upstream.End end =
+            ConnectionPool.Endpoint host = discovery.host(endpointId);
+            ConnectionPool.CompletionListener end =
                     (outcome, answer) -> run(() -> balancer.onProbeEnded(now(), endpointId, outcome, now() - sentAt));
             if (host == null) {
                 end.ended(Outcome.IGNORED, null);
             } else {
-                upstream.attempt(host, Call.health(), config.dialTimeoutUs(), () -> true, end)
+                upstream.attempt(host, OutgoingRequest.health(), config.dialTimeoutUs(), () -> true, end)
                         .start();
             }
         });
--- a/src/main/java/quartzspan/clientproxy/Config.java
+++ b/src/main/java/quartzspan/clientproxy/ClientProxyConfig.java
@@ -7,7 +7,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import quartzspan.loadbalancing.Balancer.Settings;
+import quartzspan.loadbalancing.LoadBalancer.Settings;
 import quartzspan.simulator.SettingsReader;
 
 /**
@@ -24,7 +24,7 @@
  * @param dialTimeoutUs time within which a connection must have come up
  * @param known the list of hosts as last held, perhaps old; null if there is none
  */
-public record Config(
+public record ClientProxyConfig(
         InetSocketAddress listen,
         InetSocketAddress discovery,
         long seed,
@@ -34,7 +34,7 @@
         List<String> tenants,
         int sockets,
         long dialTimeoutUs,
-        Listing known) {
+        EndpointList known) {
 
     /** What the program is sized for; a lower limit is kept, a higher one not used. */
     private static final int MOST_SOCKETS = 1024;
@@ -44,7 +44,7 @@
      *
      * @throws IOException or {@link IllegalArgumentException}, saying what is wrong with it
      */
-    public static Config load(String path) throws IOException {
+    public static ClientProxyConfig load(String path) throws IOException {
         if (path == null) {
             throw new IOException("NODE_CONFIG is not set");
         }
@@ -54,14 +54,14 @@
         return parse(Files.readAllBytes(Path.of(path)));
     }
 
-    public static Config parse(byte[] json) throws IOException {
+    public static ClientProxyConfig parse(byte[] json) throws IOException {
         InetSocketAddress listen = null;
         InetSocketAddress discovery = null;
         String seed = null;
-        Listing known = null;
+        EndpointList known = null;
         int sockets = MOST_SOCKETS;
         SettingsReader settings = null;
-        try (JsonParser in = Listing.JSON.createParser(json)) {
+        try (JsonParser in = EndpointList.JSON.createParser(json)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
                 throw new IOException("configuration: must be an object");
             }
@@ -71,11 +71,11 @@
                     continue;
                 }
                 switch (name) {
-                    case "listen" -> listen = Listing.address(in.getText());
-                    case "discovery" -> discovery = Listing.address(in.getText());
+                    case "listen" -> listen = EndpointList.address(in.getText());
+                    case "discovery" -> discovery = EndpointList.address(in.getText());
                     case "seed" -> seed = in.getText();
                     case "limits" -> sockets = sockets(in);
-                    case "known" -> known = Listing.read(in);
+                    case "known" -> known = EndpointList.read(in);
                     case "settings" -> settings = SettingsReader.read(in);
                     default -> in.skipChildren();
                 }
@@ -85,7 +85,7 @@
         need(discovery, "discovery");
         need(settings, "settings");
         need(seed, "seed");
-        return new Config(
+        return new ClientProxyConfig(
                 listen,
                 discovery,
                 seed(seed),
--- a/src/main/java/quartzspan/clientproxy/Discovery.java
+++ b/src/main/java/quartzspan/clientproxy/Discovery.java
@@ -29,10 +29,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import quartzspan.http.Upstream;
-import quartzspan.loadbalancing.Balancer.Availability;
-import quartzspan.loadbalancing.Balancer.Endpoint;
-import quartzspan.loadbalancing.Balancer.Source;
+import quartzspan.http.ConnectionPool;
+import quartzspan.loadbalancing.LoadBalancer.Availability;
+import quartzspan.loadbalancing.LoadBalancer.Endpoint;
+import quartzspan.loadbalancing.LoadBalancer.Source;
 
 /**
  * Discovery's watch, and the hosts as last listed. A watch that ends, falls silent or talks nonsense has
@@ -59,9 +59,9 @@
 
     private InetSocketAddress address;
     private final Bootstrap bootstrap;
-    private final Upstream upstream;
+    private final ConnectionPool upstream;
     private final Listener listener;
-    private final Map<String, Upstream.Host> hosts = new HashMap<>();
+    private final Map<String, ConnectionPool.Endpoint> hosts = new HashMap<>();
     /** Numbers by name. A name that the settings lack gets a number of its own: zones must not merge. */
     private final Map<String, Integer> zones = new HashMap<>();
 
@@ -70,7 +70,7 @@
     private Watch watch;
     private boolean stopped;
 
-    Discovery(Config config, EventLoop loop, Upstream upstream, Listener listener) {
+    Discovery(ClientProxyConfig config, EventLoop loop, ConnectionPool upstream, Listener listener) {
         this.address = config.discovery();
         this.upstream = upstream;
         this.listener = listener;
@@ -78,12 +78,12 @@
         config.kinds().forEach(name -> kinds.put(name, kinds.size()));
         this.bootstrap = new Bootstrap()
                 .group(loop)
-                .option(ChannelOption.ALLOCATOR, Upstream.BUFFERS)
+                .option(ChannelOption.ALLOCATOR, ConnectionPool.BUFFERS)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS);
     }
 
     /** The host of this id, or null if it is not listed. */
-    Upstream.Host host(String id) {
+    ConnectionPool.Endpoint host(String id) {
         return hosts.get(id);
     }
 
@@ -148,11 +148,11 @@
     }
 
     /** Takes over a list, first for the sockets and then for the module. */
-    void take(Listing listing, Source source) {
+    void take(EndpointList listing, Source source) {
         version = listing.version();
         List<Endpoint> endpoints = new ArrayList<>();
-        Map<String, Upstream.Host> left = source == Source.DELTA ? new HashMap<>() : new HashMap<>(hosts);
-        for (Listing.Entry e : listing.entries()) {
+        Map<String, ConnectionPool.Endpoint> left = source == Source.DELTA ? new HashMap<>() : new HashMap<>(hosts);
+        for (EndpointList.Entry e : listing.entries()) {
             left.remove(e.id());
             endpoints.add(new Endpoint(
                     e.id(),
@@ -166,23 +166,23 @@
                 drop(hosts.get(e.id()));
                 continue;
             }
-            Upstream.Host host = hosts.computeIfAbsent(e.id(), Upstream.Host::new);
+            ConnectionPool.Endpoint host = hosts.computeIfAbsent(e.id(), ConnectionPool.Endpoint::new);
             boolean moved = host.address() != null && !host.address().equals(e.address());
             boolean ready = e.availability() == Availability.READY;
-            host.listed(e.address(), ready, Upstream.Host.UNBOUNDED);
+            host.listed(e.address(), ready, ConnectionPool.Endpoint.UNBOUNDED);
             if (moved || !ready) {
-                upstream.hangUp(host);
+                upstream.closeIdle(host);
             }
         }
         left.values().forEach(this::drop);
         listener.listed(source, endpoints);
     }
 
-    private void drop(Upstream.Host host) {
+    private void drop(ConnectionPool.Endpoint host) {
         if (host != null) {
             host.drain();
             hosts.remove(host.id());
-            upstream.hangUp(host);
+            upstream.closeIdle(host);
         }
     }
 
@@ -226,7 +226,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf list) throws IOException {
             if (watch == this && list.isReadable()) {
-                Listing listing = Listing.parse(ByteBufUtil.getBytes(list));
+                EndpointList listing = EndpointList.parse(ByteBufUtil.getBytes(list));
                 if (!heard) {
                     heard = true;
                     ctx.pipeline()
--- a/src/main/java/quartzspan/clientproxy/Listing.java
+++ b/src/main/java/quartzspan/clientproxy/EndpointList.java
@@ -9,10 +9,10 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import quartzspan.loadbalancing.Balancer.Availability;
+import quartzspan.loadbalancing.LoadBalancer.Availability;
 
 /** A list of hosts in discovery's form: the whole one or, with {@code full} false, what has changed. */
-record Listing(long version, boolean full, List<Entry> entries) {
+record EndpointList(long version, boolean full, List<Entry> entries) {
     static final JsonFactory JSON = new JsonFactory();
 
     /** One host, its zone and kind by name. */
@@ -27,17 +27,17 @@
             long startedMs) {}
 
     /** Reads a line of a watch; anything but one well-formed list is an {@link IOException}. */
-    static Listing parse(byte[] line) throws IOException {
+    static EndpointList parse(byte[] line) throws IOException {
         try (JsonParser in = JSON.createParser(line)) {
             in.nextToken();
-            Listing listing = read(in);
+            EndpointList listing = read(in);
             need(in.nextToken() == null, "text after the list");
             return listing;
         }
     }
 
     /** Reads the object at the parser's place. */
-    static Listing read(JsonParser in) throws IOException {
+    static EndpointList read(JsonParser in) throws IOException {
         need(in.currentToken() == JsonToken.START_OBJECT, "a list must be an object");
         long version = -1;
         boolean full = false;
@@ -55,7 +55,7 @@
         need(in.currentToken() == JsonToken.END_OBJECT, "the list ends early");
         need(version >= 0, "version is missing");
         need(entries != null, "servers is missing");
-        return new Listing(version, full, entries);
+        return new EndpointList(version, full, entries);
     }
 
     private static List<Entry> entries(JsonParser in) throws IOException {
--- a/src/main/java/quartzspan/clientproxy/Main.java
+++ b/src/main/java/quartzspan/clientproxy/Main.java
@@ -61,7 +61,7 @@
                 proxy.drain().awaitUninterruptibly();
             }
         }));
-        ClientProxy.start(Config.load(file), started::complete);
+        ClientProxy.start(ClientProxyConfig.load(file), started::complete);
     }
 
     /**
@@ -71,7 +71,7 @@
     private static void warmUp() throws Exception {
         logPlainly();
         try (InputStream sample = Main.class.getResourceAsStream("/warmup.json")) {
-            ClientProxy proxy = ClientProxy.start(Config.parse(sample.readAllBytes()), starting -> {});
+            ClientProxy proxy = ClientProxy.start(ClientProxyConfig.parse(sample.readAllBytes()), starting -> {});
             try (Socket client = new Socket(InetAddress.getLoopbackAddress(), proxy.port())) {
                 client.getOutputStream()
                         .write(("GET /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: a\r\n"
@@ -86,7 +86,7 @@
     /** One at a time, since each signal has its own thread: the file as it is last must be taken last. */
     private static synchronized void reload(ClientProxy proxy, String file) {
         try {
-            proxy.reload(Config.load(file));
+            proxy.reload(ClientProxyConfig.load(file));
         } catch (IOException | RuntimeException e) {
             System.err.println("quartzspan: the configuration stays as it was: " + Adapter.plain(e));
         }
--- a/src/main/java/quartzspan/clientproxy/WarmUp.java
+++ b/src/main/java/quartzspan/clientproxy/WarmUp.java
@@ -10,25 +10,25 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import quartzspan.http.Call;
-import quartzspan.http.Frontend;
-import quartzspan.http.Upstream;
-import quartzspan.loadbalancing.Balancer;
-import quartzspan.loadbalancing.Balancer.AttemptEnd;
-import quartzspan.loadbalancing.Balancer.Availability;
-import quartzspan.loadbalancing.Balancer.Effect;
-import quartzspan.loadbalancing.Balancer.Endpoint;
-import quartzspan.loadbalancing.Balancer.Outcome;
-import quartzspan.loadbalancing.Balancer.Request;
-import quartzspan.loadbalancing.Balancer.RequestClass;
-import quartzspan.loadbalancing.Balancer.Source;
+import quartzspan.http.ConnectionPool;
+import quartzspan.http.HttpServer;
+import quartzspan.http.OutgoingRequest;
+import quartzspan.loadbalancing.LoadBalancer;
+import quartzspan.loadbalancing.LoadBalancer.AttemptEnd;
+import quartzspan.loadbalancing.LoadBalancer.Availability;
+import quartzspan.loadbalancing.LoadBalancer.Effect;
+import quartzspan.loadbalancing.LoadBalancer.Endpoint;
+import quartzspan.loadbalancing.LoadBalancer.Outcome;
+import quartzspan.loadbalancing.LoadBalancer.Request;
+import quartzspan.loadbalancing.LoadBalancer.RequestClass;
+import quartzspan.loadbalancing.LoadBalancer.Source;
 
 /**
  * Runs the code of a request's way some hundred times before the first one comes: what the JVM has not yet
  * compiled takes ten times the CPU, and there is little of that. Nothing of it is kept but the compiled code.
  *
  * <p>The decisions are made by a module of its own that sees all its attempts served. The sockets are those
- * of a client proxy that is its own only host: a request goes from {@link Upstream} to its {@link Frontend},
+ * of a client proxy that is its own only host: a request goes from {@link ConnectionPool} to its {@link HttpServer},
  * on to itself once more, where its id is already open and it is refused, and all the way back. So nothing
  * listens or is spoken to but the address where clients will connect.
  */
@@ -43,10 +43,10 @@
     private WarmUp() {}
 
     /** Requests and outcomes through a module. */
-    static void decide(Balancer.Settings settings) {
+    static void decide(LoadBalancer.Settings settings) {
         ArrayDeque<AttemptEnd> ends = new ArrayDeque<>();
         long now = 1_000_000;
-        Balancer module = Balancer.create(settings, 1, now, new Silent() {
+        LoadBalancer module = LoadBalancer.create(settings, 1, now, new Silent() {
             @Override
             public void send(String requestId, String endpointId, long timeoutUs) {
                 ends.add(new AttemptEnd(requestId, 0, Outcome.OK, true, 20_000));
@@ -78,17 +78,17 @@
     }
 
     /** A list whose one host is the client proxy itself. */
-    static Listing self(InetAddress address, int port) {
-        return new Listing(
+    static EndpointList self(InetAddress address, int port) {
+        return new EndpointList(
                 0,
                 true,
-                List.of(new Listing.Entry(
+                List.of(new EndpointList.Entry(
                         SELF, new InetSocketAddress(address, port), "", "", 0, Availability.READY, 1, 0)));
     }
 
     /** Sends each request on to itself, and fails it when that comes back refused. */
-    static Balancer module(Balancer.Actions actions) {
-        return new Balancer() {
+    static LoadBalancer module(LoadBalancer.Actions actions) {
+        return new LoadBalancer() {
             @Override
             public void onEndpoints(long now, Source source, List<Endpoint> endpoints) {}
 
@@ -122,12 +122,12 @@
     /** Requests through the sockets, one after the other; on the event loop, all but the wait. */
     static final class Rounds {
         private final EventLoop loop;
-        private final Upstream upstream;
-        private final Upstream.Host self;
+        private final ConnectionPool upstream;
+        private final ConnectionPool.Endpoint self;
         private final RequestClass type;
         private final CountDownLatch left = new CountDownLatch(ROUNDS);
 
-        Rounds(EventLoop loop, Upstream upstream, Upstream.Host self, RequestClass type) {
+        Rounds(EventLoop loop, ConnectionPool upstream, ConnectionPool.Endpoint self, RequestClass type) {
             this.loop = loop;
             this.upstream = upstream;
             this.self = self;
@@ -143,7 +143,8 @@
             if (type.effect() == Effect.DEDUP) {
                 headers.set("Idempotency-Key", "key");
             }
-            Call call = new Call(type.effect() == Effect.RETRYABLE ? "GET" : "POST", "/api", headers, new byte[0]);
+            OutgoingRequest call = new OutgoingRequest(
+                    type.effect() == Effect.RETRYABLE ? "GET" : "POST", "/api", headers, new byte[0]);
             upstream.attempt(self, call, type.deadlineUs(), () -> true, (outcome, answer) -> {
                         left.countDown();
                         if (left.getCount() > 0) {
@@ -160,7 +161,7 @@
     }
 
     /** Decisions that go nowhere. */
-    private static class Silent implements Balancer.Actions {
+    private static class Silent implements LoadBalancer.Actions {
         @Override
         public void send(String requestId, String endpointId, long timeoutUs) {}
 
--- a/src/main/java/quartzspan/controlplane/ControlPlane.java
+++ b/src/main/java/quartzspan/controlplane/ControlPlane.java
@@ -25,9 +25,9 @@
 import quartzspan.common.Settings;
 import quartzspan.configuration.Configuration;
 import quartzspan.http.Clock;
-import quartzspan.http.Frontend;
-import quartzspan.http.Upstream;
-import quartzspan.promptindex.PromptIndexUpdate;
+import quartzspan.http.ConnectionPool;
+import quartzspan.http.HttpServer;
+import quartzspan.prefixcache.PrefixCacheUpdate;
 import quartzspan.registry.CoreMachine;
 import quartzspan.registry.Gossip;
 import quartzspan.registry.GossipMessage;
@@ -51,17 +51,17 @@
  * A core machine's process: keeps the control state with the others, takes servers' and operators' calls, and tells proxies.
  * One event loop owns all of it; only the disk has a thread of its own.
  */
-public final class ControlPlane implements Frontend.Desk {
+public final class ControlPlane implements HttpServer.RequestHandler {
     private static final Logger LOG = LoggerFactory.getLogger(ControlPlane.class);
     private static final int TICK_MS = 50;
-    private static final int MOST_BODY = 12 * 1024 * 1024;
+    private static final int MAX_BODY_BYTES = 12 * 1024 * 1024;
     /** Older knowledge than this is no ground to count anybody as lost. */
-    private static final long IN_TOUCH_MS = 1_000;
+    private static final long MAX_STALENESS_MS = 1_000;
 
     private static final int DIAL_US = 500_000;
     private static final int IDLE_US = 2_000_000;
     private static final int MOST_CONNECTIONS = 256;
-    private static final int UNUSED_LINK_MS = 10_000;
+    private static final int IDLE_CONNECTION_MS = 10_000;
     /** A core machine not heard for so long counts as away. */
     private static final long CORE_ALIVE_MS = 1_500;
 
@@ -76,17 +76,17 @@
     private final TcpTransport transport;
     private final ReplicaStore replicaStore;
     private final Replica replica;
-    private final Frontend frontend;
-    private final Upstream upstream;
-    private final Frontend.Terms terms;
-    private final CallTable calls;
+    private final HttpServer frontend;
+    private final ConnectionPool upstream;
+    private final HttpServer.ConnectionLimits connectionLimits;
+    private final RequestRouter calls;
     private final String self;
-    private final ReplicaTickets requestIds = new ReplicaTickets();
-    private final LeaveAcknowledgements leaves;
+    private final PendingReplicaRequests requestIds = new PendingReplicaRequests();
+    private final DrainAcknowledger leaves;
     private final ServerClient servers;
-    private final RolloutDuty rollout;
-    private final PromptIndexFollowing promptIndex;
-    private final GracefulStop ending;
+    private final RolloutCoordinator rollout;
+    private final PrefixCacheIndexer prefixCacheIndex;
+    private final GracefulShutdown ending;
     private final CountDownLatch ended = new CountDownLatch(1);
     /** When other core machines were last heard. */
     private final Map<String, Long> coreHeard = new HashMap<>();
@@ -103,15 +103,16 @@
         List<String> seeds = settings.seeds().stream()
                 .map(s -> s.getHostString() + ':' + settings.internalPort())
                 .toList();
-        this.terms = new Frontend.Terms(Math.max(64, settings.descriptors() / 2), 32 * 1024, MOST_BODY, 30_000, 30_000);
+        this.connectionLimits = new HttpServer.ConnectionLimits(
+                Math.max(64, settings.descriptors() / 2), 32 * 1024, MAX_BODY_BYTES, 30_000, 30_000);
         this.replicaStore = new ReplicaStore(new SlotStore(new FileDisk(settings.disk())));
         List<byte[]> kept = open(replicaStore);
-        this.upstream = new Upstream(loop, DIAL_US, IDLE_US, MOST_CONNECTIONS);
+        this.upstream = new ConnectionPool(loop, DIAL_US, IDLE_US, MOST_CONNECTIONS);
         this.servers = new ServerClient(upstream);
         this.transport = new TcpTransport(loop, new Hello(true, self, text(control), settings.zone()), this::received);
         this.heartbeats = new HeartbeatTracker(registry, settings.heartbeatMs());
         this.gossip = new Gossip(self, true, seeds, registry, transport::send, Gossip.firstNonce(System.nanoTime()));
-        this.frontend = new Frontend(this, loop);
+        this.frontend = new HttpServer(this, loop);
         this.replica = new Replica(
                 self,
                 seeds,
@@ -144,16 +145,17 @@
                         inForce(index, state);
                     }
                 });
-        this.leaves = new LeaveAcknowledgements(gossip);
-        Rollout schedule = new Rollout(settings.bounds().versionApplyMs());
-        this.rollout = new RolloutDuty(self, settings.bounds().leaseMs(), schedule, this::term, new RolloutOrders());
-        this.promptIndex = new PromptIndexFollowing(this::ms, self, registry, gossip, transport, servers);
-        this.ending =
-                new GracefulStop(new ReplicaMember(), (long) (settings.bounds().gracePeriodS() * 1000));
-        ServerCalls fromServers = new ServerCalls(
-                this::ms, new HeartbeatReceiver(registry, heartbeats, gossip), leaves, this::holdersOfLeaves);
-        OperatorCalls fromOperators = new OperatorCalls(this::ms, replica, registry, requestIds);
-        this.calls = new CallTable()
+        this.leaves = new DrainAcknowledger(gossip);
+        RolloutPlanner schedule = new RolloutPlanner(settings.bounds().versionApplyMs());
+        this.rollout = new RolloutCoordinator(
+                self, settings.bounds().leaseMs(), schedule, this::leadership, new RolloutOrders());
+        this.prefixCacheIndex = new PrefixCacheIndexer(this::ms, self, registry, gossip, transport, servers);
+        this.ending = new GracefulShutdown(
+                new ReplicaHandover(), (long) (settings.bounds().gracePeriodS() * 1000));
+        ServerApi fromServers = new ServerApi(
+                this::ms, new HeartbeatHandler(registry, heartbeats, gossip), leaves, this::holdersOfLeaves);
+        OperatorApi fromOperators = new OperatorApi(this::ms, replica, registry, requestIds);
+        this.calls = new RequestRouter()
                 .on("POST", "/quartzspan/Instances.Heartbeat/", fromServers::heartbeat)
                 .on("POST", "/quartzspan/Instances.Deregister/", fromServers::deregister)
                 .on("POST", "/quartzspan/Configuration.Replace", fromOperators::replace)
@@ -205,7 +207,7 @@
         }
         c.loop.submit(() -> {
                     c.upstream.begin();
-                    c.registry.take(
+                    c.registry.merge(
                             c.ms(),
                             new CoreMachine(c.self, text(settings.listens("control_plane")), settings.zone()).entry());
                     c.loop.scheduleWithFixedDelay(c::tick, 1, TICK_MS, TimeUnit.MILLISECONDS);
@@ -238,12 +240,12 @@
     }
 
     @Override
-    public Frontend.Terms terms() {
-        return terms;
+    public HttpServer.ConnectionLimits limits() {
+        return connectionLimits;
     }
 
     @Override
-    public void take(Frontend.Client client, HttpRequest in, byte[] body, long at) {
+    public void take(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
         calls.take(client, in, body);
     }
 
@@ -264,29 +266,29 @@
                 }
             }
             if (replica.isPrimary()) {
-                registry.fresh(replica.confirmedAt());
+                registry.confirmFresh(replica.confirmedAt());
             }
             gossip.onTick(now, replica.isPrimary() ? null : replica.knownPrimary(now));
-            List<RegistryEntry> heard = heartbeats.untold(now);
+            List<RegistryEntry> heard = heartbeats.takeUnreported(now);
             if (!heard.isEmpty()) {
-                GossipMessage t = GossipMessage.heard(heard);
+                GossipMessage t = GossipMessage.heartbeats(heard);
                 gossip.cores().forEach(c -> transport.send(c, t));
             }
-            if (now - registry.freshAt() > IN_TOUCH_MS) {
-                heartbeats.excuse(now);
+            if (now - registry.freshAt() > MAX_STALENESS_MS) {
+                heartbeats.restartTimeouts(now);
             } else {
-                List<RegistryEntry> lost = heartbeats.lost(now);
+                List<RegistryEntry> lost = heartbeats.expireSilent(now);
                 if (!lost.isEmpty()) {
                     LOG.info("lost: {}", lost.stream().map(RegistryEntry::key).toList());
-                    gossip.tell(now, new Registry.News(lost, false), null);
+                    gossip.broadcast(now, new Registry.Update(lost, false), null);
                 }
             }
-            registry.tidy(now);
-            transport.tidy(UNUSED_LINK_MS);
+            registry.expire(now);
+            transport.closeIdle(IDLE_CONNECTION_MS);
             servers.tidy(this::gone);
             leaves.onTick(now);
             rollout.onTick(now, registry::servers);
-            promptIndex.onTick(now, coresHeard(now));
+            prefixCacheIndex.onTick(now, coresHeard(now));
             if (ending.over(now, leaves.idle() && requestIds.idle())) {
                 ended.countDown();
             }
@@ -310,17 +312,17 @@
         if (from.core()) {
             coreHeard.put(from.address(), now);
         }
-        if (message instanceof PromptIndexUpdate c) {
-            promptIndex.received(from.address(), from.core(), c);
+        if (message instanceof PrefixCacheUpdate c) {
+            prefixCacheIndex.received(from.address(), from.core(), c);
         } else if (message instanceof ReplicaMessage step && from.core()) {
             replica.onMessage(now, from.address(), step);
         } else if (message instanceof GossipMessage update) {
-            if (update.kind() == GossipMessage.Kind.HEARD) {
-                heartbeats.heard(now, update.entries());
+            if (update.kind() == GossipMessage.Kind.HEARTBEATS) {
+                heartbeats.onPeerReport(now, update.entries());
                 return;
             }
             if (!from.core()) {
-                tell(heartbeats.proxy(now, from.address(), from.zone()));
+                tell(heartbeats.onProxyMessage(now, from.address(), from.zone()));
             }
             gossip.onGossip(now, from.address(), update);
         }
@@ -329,13 +331,13 @@
     private void inForce(long index, ControlState state) {
         long now = ms();
         if (registry.publish(index, state)) {
-            gossip.published(now);
+            gossip.onPublished(now);
         }
     }
 
-    private void tell(RegistryEntry news) {
-        if (news != null) {
-            gossip.tell(ms(), news);
+    private void tell(RegistryEntry update) {
+        if (update != null) {
+            gossip.broadcast(ms(), update);
         }
     }
 
@@ -345,53 +347,58 @@
         return others < 0 ? settings.losses() : Math.min(settings.losses(), others);
     }
 
-    private void status(Frontend.Client client, HttpRequest in, byte[] body, String rest) {
-        CallTable.answer(
+    private void status(HttpServer.ClientConnection client, HttpRequest in, byte[] body, String rest) {
+        RequestRouter.answer(
                 client, HttpResponseStatus.OK, StatusReport.json(ms(), settings.nodeName(), replica, registry));
     }
 
     // ---- the rollout of weights ----------------------------------------------------------------------
 
-    private Optional<RolloutDuty.Term> term() {
+    private Optional<RolloutCoordinator.Leadership> leadership() {
         if (!replica.isPrimary()) {
             return Optional.empty();
         }
         ControlState state = replica.state();
-        return Optional.of(new RolloutDuty.Term(
-                replica.membership().epoch(), replica.confirmedAt(), state.holder(), state.fence(), state.weights()));
+        return Optional.of(new RolloutCoordinator.Leadership(
+                replica.membership().epoch(),
+                replica.confirmedAt(),
+                state.rolloutHolder(),
+                state.fencingToken(),
+                state.weights()));
     }
 
     /** What the rollout does, in calls to servers and news to proxies. */
-    private final class RolloutOrders implements RolloutDuty.Out {
+    private final class RolloutOrders implements RolloutCoordinator.Out {
         @Override
-        public void claim(Epoch term) {
+        public void claim(Epoch leadership) {
             long requestId = requestIds.issue((why, state) -> {
-                boolean granted = why == null && state.holder().equals(self);
-                rollout.claimed(term, granted, granted ? state.fence() : 0);
+                boolean granted = why == null && state.rolloutHolder().equals(self);
+                rollout.claimed(leadership, granted, granted ? state.fencingToken() : 0);
             });
-            replica.submit(ms(), requestId, new Change(Change.Kind.DUTY, 0, self.getBytes(StandardCharsets.UTF_8)));
+            replica.submit(
+                    ms(), requestId, new Change(Change.Kind.ROLLOUT_CLAIM, 0, self.getBytes(StandardCharsets.UTF_8)));
         }
 
         @Override
         public void announce(Server server, long version) {
-            tell(heartbeats.loads(ms(), server.id(), version));
+            tell(heartbeats.onLoadOrdered(ms(), server.id(), version));
         }
 
         @Override
-        public void order(RolloutDuty.Order order) {
+        public void order(RolloutCoordinator.Order order) {
             Server server = order.server();
             LOG.info("{} is ordered to load version {} of {}", server.id(), order.version(), order.model());
             servers.post(
                     server,
                     "/quartzspan/order",
-                    RolloutDuty.json(order, settings.nodeName()),
-                    RolloutDuty.DELIVERY_MS,
-                    () -> rollout.permits(ms(), order),
+                    RolloutCoordinator.json(order, settings.nodeName()),
+                    RolloutCoordinator.ORDER_TIMEOUT_MS,
+                    () -> rollout.mayOrder(ms(), order),
                     (status, body) -> {
                         if (status != 200 && status != 202) {
                             LOG.info("{} answers an order with {}", server.id(), status);
                         }
-                        rollout.answered(ms(), order, status);
+                        rollout.onResponse(ms(), order, status);
                     });
         }
 
@@ -404,7 +411,7 @@
                             && report.get("models") instanceof JsonArray models
                             && !models.isEmpty()) {
                         long version = Configuration.whole(models.getJsonObject(0), "version", 0);
-                        tell(heartbeats.weighs(ms(), server.id(), version));
+                        tell(heartbeats.onWeightsReported(ms(), server.id(), version));
                     }
                 }
             });
@@ -412,16 +419,16 @@
     }
 
     /** This machine's part in the control state, when it ends as planned. */
-    private final class ReplicaMember implements GracefulStop.Member {
+    private final class ReplicaHandover implements GracefulShutdown.HandoverParticipant {
         @Override
-        public void leave(long now) {
+        public void beginHandover(long now) {
             LOG.info("told to end as {}", replica.role());
-            gossip.leave();
+            gossip.stopAcknowledging();
             replica.beginHandover(now);
         }
 
         @Override
-        public boolean left(long now) {
+        public boolean isHandoverComplete(long now) {
             return replica.isHandoverComplete(now);
         }
     }
--- a/src/main/java/quartzspan/controlplane/LeaveAcknowledgements.java
+++ b/src/main/java/quartzspan/controlplane/DrainAcknowledger.java
@@ -15,9 +15,9 @@
  * acknowledged among them. So it is given only when that many others hold the entry; else the caller is refused in time to
  * call another machine. No clock, no I/O; times are milliseconds of a steady clock.
  */
-final class LeaveAcknowledgements {
+final class DrainAcknowledger {
     /** A server waits a second for its answer; a refusal has to reach it before. */
-    static final long BUDGET_MS = 800;
+    static final long ACKNOWLEDGEMENT_TIMEOUT_MS = 800;
 
     /** The server that waits for its answer. */
     interface Caller {
@@ -27,33 +27,33 @@
     }
 
     /** One call that waits; {@link #hangUp} ends it without an answer. */
-    final class Waiting {
+    final class Pending {
         private final Caller caller;
-        private final long endAt;
-        private long receipt;
+        private final long deadlineMs;
+        private long broadcast;
 
-        private Waiting(Caller caller, long endAt) {
+        private Pending(Caller caller, long deadlineMs) {
             this.caller = caller;
-            this.endAt = endAt;
+            this.deadlineMs = deadlineMs;
         }
 
         /** Whether the caller still waits. */
-        boolean open() {
-            return open.contains(this);
+        boolean isPending() {
+            return pending.contains(this);
         }
 
         /** The caller has gone away. */
-        void hangUp() {
-            if (open.remove(this)) {
-                gossip.cancelReceipt(receipt);
+        void cancel() {
+            if (pending.remove(this)) {
+                gossip.cancelBroadcast(broadcast);
             }
         }
     }
 
     private final Gossip gossip;
-    private final Set<Waiting> open = new LinkedHashSet<>();
+    private final Set<Pending> pending = new LinkedHashSet<>();
 
-    LeaveAcknowledgements(Gossip gossip) {
+    DrainAcknowledger(Gossip gossip) {
         this.gossip = gossip;
     }
 
@@ -62,30 +62,30 @@
      *
      * @param holders how many other core machines must hold it
      */
-    Waiting begin(long now, RegistryEntry entry, int holders, Caller caller) {
-        Waiting waiting = new Waiting(caller, now + BUDGET_MS);
-        if (holders == 0) {
-            gossip.tell(now, new Registry.News(List.of(entry), false), null);
+    Pending begin(long now, RegistryEntry entry, int requiredHolders, Caller caller) {
+        Pending call = new Pending(caller, now + ACKNOWLEDGEMENT_TIMEOUT_MS);
+        if (requiredHolders == 0) {
+            gossip.broadcast(now, new Registry.Update(List.of(entry), false), null);
             caller.acknowledge();
-            return waiting;
+            return call;
         }
-        open.add(waiting);
-        waiting.receipt = gossip.tellSurely(now, List.of(entry), holders, () -> {
-            if (open.remove(waiting)) {
+        pending.add(call);
+        call.broadcast = gossip.broadcastUntilAcknowledged(now, List.of(entry), requiredHolders, () -> {
+            if (pending.remove(call)) {
                 caller.acknowledge();
             }
         });
-        return waiting;
+        return call;
     }
 
     /** Refuses those whose time is over; to be called every 50 ms or so. */
     void onTick(long now) {
-        for (Iterator<Waiting> all = open.iterator(); all.hasNext(); ) {
-            Waiting waiting = all.next();
-            if (now >= waiting.endAt) {
+        for (Iterator<Pending> all = pending.iterator(); all.hasNext(); ) {
+            Pending call = all.next();
+            if (now >= call.deadlineMs) {
                 all.remove();
-                gossip.cancelReceipt(waiting.receipt);
-                waiting.caller.refuse(new FleetException(
+                gossip.cancelBroadcast(call.broadcast);
+                call.caller.refuse(new FleetException(
                         FleetException.Code.NOT_PRIMARY,
                         "too few other core machines have confirmed it",
                         "ask another machine of the core"));
@@ -95,6 +95,6 @@
 
     /** Whether nobody waits. */
     boolean idle() {
-        return open.isEmpty();
+        return pending.isEmpty();
     }
 }
--- a/src/main/java/quartzspan/controlplane/HeartbeatReceiver.java
+++ b/src/main/java/quartzspan/controlplane/HeartbeatHandler.java
@@ -11,19 +11,19 @@
 import quartzspan.registry.Server;
 
 /** Takes in what servers say of themselves. No clock, no I/O; times are milliseconds of a steady clock. */
-final class HeartbeatReceiver {
+final class HeartbeatHandler {
     /**
      * Out of touch with the rest of the core for longer than this, a machine takes heartbeats in but sends the server on: the
      * others would count as lost a server that is heard here alone. Together with two heartbeats it has to stay below the
      * silence after which they do.
      */
-    static final long IN_TOUCH_MS = 1_200;
+    static final long MAX_STALENESS_MS = 1_200;
 
     private final Registry registry;
     private final HeartbeatTracker heartbeats;
     private final Gossip gossip;
 
-    HeartbeatReceiver(Registry registry, HeartbeatTracker heartbeats, Gossip gossip) {
+    HeartbeatHandler(Registry registry, HeartbeatTracker heartbeats, Gossip gossip) {
         this.registry = registry;
         this.heartbeats = heartbeats;
         this.gossip = gossip;
@@ -38,19 +38,19 @@
     RegistryEntry heartbeat(long now, String id, byte[] body) {
         JsonObject json = Configuration.json(body);
         boolean draining = json.getString("state", "ready").equals("draining");
-        RegistryEntry news = heartbeats.beat(
+        RegistryEntry update = heartbeats.onServerHeartbeat(
                 now,
                 id,
                 Configuration.whole(json, "call_count", 0),
                 draining ? RegistryEntry.State.DRAINING : RegistryEntry.State.READY,
                 server(id, json));
         if (draining) {
-            return news != null ? news : registry.entry(RegistryEntry.Subject.SERVER, id);
+            return update != null ? update : registry.entry(RegistryEntry.Subject.SERVER, id);
         }
-        if (news != null) {
-            gossip.tell(now, news);
+        if (update != null) {
+            gossip.broadcast(now, update);
         }
-        if (now - registry.freshAt() > IN_TOUCH_MS) {
+        if (now - registry.freshAt() > MAX_STALENESS_MS) {
             throw new FleetException(
                     FleetException.Code.NOT_PRIMARY,
                     "this machine is out of touch with the core",
@@ -61,8 +61,8 @@
 
     /** A server's last word; returns what has to be held by others before it is acknowledged. */
     RegistryEntry deregistration(long now, String id) {
-        RegistryEntry news = heartbeats.gone(now, id);
-        return news != null ? news : registry.entry(RegistryEntry.Subject.SERVER, id);
+        RegistryEntry update = heartbeats.onDeregistered(now, id);
+        return update != null ? update : registry.entry(RegistryEntry.Subject.SERVER, id);
     }
 
     /** What a server says of itself. */
--- a/src/main/java/quartzspan/controlplane/OperatorCalls.java
+++ b/src/main/java/quartzspan/controlplane/OperatorApi.java
@@ -5,8 +5,8 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import quartzspan.common.FleetException;
-import quartzspan.http.Framing;
-import quartzspan.http.Frontend.Client;
+import quartzspan.http.HttpFraming;
+import quartzspan.http.HttpServer.ClientConnection;
 import quartzspan.registry.CoreMachine;
 import quartzspan.registry.Registry;
 import quartzspan.registry.RegistryEntry;
@@ -18,33 +18,33 @@
  * The calls that operators make. Only the primary answers them, and only what a majority has confirmed: a refusal that
  * depends on the state as much as an acknowledgement. Everybody else sends the caller to the primary, or on to another machine.
  */
-final class OperatorCalls {
+final class OperatorApi {
     private final LongSupplier clockMs;
     private final Replica replica;
     private final Registry registry;
-    private final ReplicaTickets requestIds;
+    private final PendingReplicaRequests requestIds;
 
-    OperatorCalls(LongSupplier clockMs, Replica replica, Registry registry, ReplicaTickets requestIds) {
+    OperatorApi(LongSupplier clockMs, Replica replica, Registry registry, PendingReplicaRequests requestIds) {
         this.clockMs = clockMs;
         this.replica = replica;
         this.registry = registry;
         this.requestIds = requestIds;
     }
 
-    void replace(Client client, HttpRequest in, byte[] body, String rest) {
+    void replace(ClientConnection client, HttpRequest in, byte[] body, String rest) {
         change(client, in, Change.Kind.REPLACE, base(in), body);
     }
 
-    void update(Client client, HttpRequest in, byte[] body, String rest) {
+    void update(ClientConnection client, HttpRequest in, byte[] body, String rest) {
         change(client, in, Change.Kind.UPDATE, base(in), body);
     }
 
-    void nameWeights(Client client, HttpRequest in, byte[] body, String rest) {
+    void nameWeights(ClientConnection client, HttpRequest in, byte[] body, String rest) {
         change(client, in, Change.Kind.WEIGHTS, 0, body);
     }
 
     private static long base(HttpRequest in) {
-        long base = Framing.number(in.headers().get("X-Base-Version"));
+        long base = HttpFraming.number(in.headers().get("X-Base-Version"));
         if (base < 0) {
             throw new FleetException(
                     FleetException.Code.CONFIG_INVALID,
@@ -54,25 +54,25 @@
         return base;
     }
 
-    private void change(Client client, HttpRequest in, Change.Kind kind, long base, byte[] body) {
+    private void change(ClientConnection client, HttpRequest in, Change.Kind kind, long base, byte[] body) {
         if (!sentToPrimary(client, in)) {
-            long requestId = requestId(client, state -> CallTable.ok(client));
+            long requestId = requestId(client, state -> RequestRouter.ok(client));
             replica.submit(clockMs.getAsLong(), requestId, new Change(kind, base, body));
         }
     }
 
-    void describe(Client client, HttpRequest in, byte[] body, String rest) {
+    void describe(ClientConnection client, HttpRequest in, byte[] body, String rest) {
         if (!sentToPrimary(client, in)) {
             long requestId = requestId(
                     client,
-                    state -> CallTable.answer(
+                    state -> RequestRouter.answer(
                             client, HttpResponseStatus.OK, state.configuration().bytes()));
             replica.read(clockMs.getAsLong(), requestId);
         }
     }
 
     /** A ticket for the replica's answer, which goes to a client as long as it waits for one. */
-    private long requestId(Client client, Consumer<ControlState> granted) {
+    private long requestId(ClientConnection client, Consumer<ControlState> granted) {
         boolean[] left = {false};
         client.opened(() -> left[0] = true);
         return requestIds.issue((why, state) -> {
@@ -82,13 +82,13 @@
             if (why == null) {
                 granted.accept(state);
             } else {
-                CallTable.refuse(client, why);
+                RequestRouter.refuse(client, why);
             }
         });
     }
 
     /** Sends the caller to the primary, if that is another; whether it did. */
-    private boolean sentToPrimary(Client client, HttpRequest in) {
+    private boolean sentToPrimary(ClientConnection client, HttpRequest in) {
         if (replica.isPrimary()) {
             return false;
         }
@@ -98,7 +98,7 @@
             throw new FleetException(
                     FleetException.Code.NOT_PRIMARY, "nobody decides at present", "ask again in a moment");
         }
-        CallTable.redirect(client, "http://" + CoreMachine.of(there).control() + in.uri());
+        RequestRouter.redirect(client, "http://" + CoreMachine.of(there).control() + in.uri());
         return true;
     }
 }
--- a/src/main/java/quartzspan/controlplane/PromptIndexFollowing.java
+++ b/src/main/java/quartzspan/controlplane/PrefixCacheIndexer.java
@@ -12,9 +12,9 @@
 import java.util.function.LongSupplier;
 import quartzspan.common.FleetException;
 import quartzspan.configuration.Configuration;
-import quartzspan.promptindex.KvEventFollower;
-import quartzspan.promptindex.PromptIndex;
-import quartzspan.promptindex.PromptIndexUpdate;
+import quartzspan.prefixcache.KvEventReader;
+import quartzspan.prefixcache.PrefixCacheIndex;
+import quartzspan.prefixcache.PrefixCacheUpdate;
 import quartzspan.registry.Gossip;
 import quartzspan.registry.Registry;
 import quartzspan.registry.RegistryEntry;
@@ -25,13 +25,13 @@
  * Follows what servers and stores keep. Each is followed by one core machine of those that are heard: all work out the same
  * one. Two at once do no harm.
  */
-final class PromptIndexFollowing {
-    private static final long EVERY_MS = 100;
+final class PrefixCacheIndexer {
+    private static final long INTERVAL_MS = 100;
     private static final String WAIT_MS = "1000";
 
     /** Reads an answer as the reports it makes. */
-    private interface Reading {
-        List<PromptIndexUpdate> read(JsonObject answer);
+    private interface ResponseParser {
+        List<PrefixCacheUpdate> read(JsonObject answer);
     }
 
     private final LongSupplier clockMs;
@@ -40,14 +40,14 @@
     private final Gossip gossip;
     private final Transport transport;
     private final ServerClient servers;
-    private final PromptIndex promptIndex = new PromptIndex();
-    private final Map<String, KvEventFollower> followers = new HashMap<>();
+    private final PrefixCacheIndex prefixCacheIndex = new PrefixCacheIndex();
+    private final Map<String, KvEventReader> followers = new HashMap<>();
     /** Reports to be sent with the next tick, by whom they go to: those to one process cost it one read. */
-    private final Map<String, List<PromptIndexUpdate>> unsent = new LinkedHashMap<>();
+    private final Map<String, List<PrefixCacheUpdate>> unsent = new LinkedHashMap<>();
 
     private long nextAt;
 
-    PromptIndexFollowing(
+    PrefixCacheIndexer(
             LongSupplier clockMs,
             String self,
             Registry registry,
@@ -67,7 +67,7 @@
         if (now < nextAt) {
             return;
         }
-        nextAt = now + EVERY_MS;
+        nextAt = now + INTERVAL_MS;
         unsent.forEach((to, reports) -> reports.forEach(report -> transport.send(to, report)));
         unsent.clear();
         List<String> cores = new ArrayList<>(heard);
@@ -81,13 +81,13 @@
                 ask(
                         now,
                         source,
-                        followers.computeIfAbsent(source.id(), id -> new KvEventFollower(id, System.nanoTime())));
+                        followers.computeIfAbsent(source.id(), id -> new KvEventReader(id, System.nanoTime())));
             }
         }
     }
 
     private static String follower(String server, List<String> cores) {
-        return Registry.few(server, cores, 1).get(0);
+        return Registry.rendezvousSelect(server, cores, 1).get(0);
     }
 
     /** The servers with a model, and the stores. */
@@ -111,7 +111,7 @@
 
     private static Server store(Configuration.Service service) {
         return new Server(
-                PromptIndex.store(service.store()),
+                PrefixCacheIndex.store(service.store()),
                 service.name(),
                 service.store(),
                 service.zone(),
@@ -122,7 +122,7 @@
                 RegistryEntry.State.READY);
     }
 
-    private void ask(long now, Server source, KvEventFollower follower) {
+    private void ask(long now, Server source, KvEventReader follower) {
         switch (follower.due(now)) {
             case EVENTS -> call(
                     source,
@@ -134,7 +134,7 @@
                             Configuration.whole(answer, "epoch", 0),
                             Configuration.whole(answer, "next_token", 0),
                             answer.getBoolean("lost", false),
-                            parts(answer.getJsonArray("events"), 2)));
+                            blocks(answer.getJsonArray("events"), 2)));
             case LIST -> call(
                     source,
                     follower,
@@ -144,67 +144,71 @@
                             clockMs.getAsLong(),
                             Configuration.whole(answer, "epoch", 0),
                             Configuration.whole(answer, "next_token", 0),
-                            parts(answer.getJsonArray("held"), 0))));
+                            blocks(answer.getJsonArray("held"), 0))));
             default -> {}
         }
     }
 
     /** An answer that can't be read counts as a failure: the follower must hear of every call's end, or it asks no more. */
     private void call(
-            Server source, KvEventFollower follower, String path, Map<String, String> headers, Reading reading) {
-        servers.get(source, path, headers, (status, body) -> publish(reports(follower, status, body, reading)));
+            Server source, KvEventReader follower, String path, Map<String, String> headers, ResponseParser parser) {
+        servers.get(source, path, headers, (status, body) -> publish(reports(follower, status, body, parser)));
     }
 
-    private List<PromptIndexUpdate> reports(KvEventFollower follower, int status, byte[] body, Reading reading) {
+    private List<PrefixCacheUpdate> reports(KvEventReader follower, int status, byte[] body, ResponseParser parser) {
         if (status != 200) {
             return follower.failed(clockMs.getAsLong());
         }
         try {
-            return reading.read(Configuration.json(body));
+            return parser.read(Configuration.json(body));
         } catch (FleetException | ClassCastException | NullPointerException | IndexOutOfBoundsException unreadable) {
             return follower.failed(clockMs.getAsLong());
         }
     }
 
     /** Parts as [salt, ID, tokens, model], after {@code skip} other fields. */
-    private static List<KvEventFollower.Event> parts(JsonArray all, int skip) {
-        List<KvEventFollower.Event> parts = new ArrayList<>();
-        for (JsonArray part : all.getValuesAs(JsonArray.class)) {
-            parts.add(new KvEventFollower.Event(
-                    part.getString(skip), part.getString(skip + 1), part.getInt(skip + 2), part.getString(skip + 3)));
+    private static List<KvEventReader.Event> blocks(JsonArray all, int skip) {
+        List<KvEventReader.Event> blocks = new ArrayList<>();
+        for (JsonArray block : all.getValuesAs(JsonArray.class)) {
+            blocks.add(new KvEventReader.Event(
+                    block.getString(skip),
+                    block.getString(skip + 1),
+                    block.getInt(skip + 2),
+                    block.getString(skip + 3)));
         }
-        return parts;
+        return blocks;
     }
 
-    private void publish(List<PromptIndexUpdate> reports) {
+    private void publish(List<PrefixCacheUpdate> reports) {
         Set<String> to = new LinkedHashSet<>(gossip.cores());
-        to.addAll(gossip.askers());
-        for (PromptIndexUpdate report : reports) {
-            promptIndex.take(clockMs.getAsLong(), report);
+        to.addAll(gossip.subscribers());
+        for (PrefixCacheUpdate report : reports) {
+            prefixCacheIndex.take(clockMs.getAsLong(), report);
             to.forEach(other -> send(other, report));
         }
     }
 
-    private void send(String to, PromptIndexUpdate report) {
+    private void send(String to, PrefixCacheUpdate report) {
         unsent.computeIfAbsent(to, other -> new ArrayList<>()).add(report);
     }
 
     /** Another process's report or question. */
-    void received(String from, boolean fromCore, PromptIndexUpdate update) {
-        if (update.kind() == PromptIndexUpdate.Kind.ASK) {
-            PromptIndexUpdate whole = promptIndex.whole(update.server());
-            if (whole != null) {
-                transport.send(from, whole);
+    void received(String from, boolean fromCore, PrefixCacheUpdate update) {
+        if (update.kind() == PrefixCacheUpdate.Kind.SNAPSHOT_REQUEST) {
+            PrefixCacheUpdate snapshot = prefixCacheIndex.snapshot(update.server());
+            if (snapshot != null) {
+                transport.send(from, snapshot);
             }
             return;
         }
-        if (promptIndex.take(clockMs.getAsLong(), update)) {
+        if (prefixCacheIndex.take(clockMs.getAsLong(), update)) {
             transport.send(
                     from,
-                    new PromptIndexUpdate(PromptIndexUpdate.Kind.ASK, update.server(), 0, 0, new long[0], new int[0]));
+                    new PrefixCacheUpdate(
+                            PrefixCacheUpdate.Kind.SNAPSHOT_REQUEST, update.server(), 0, 0, new long[0], new int[0]));
         } else if (fromCore) {
             List<String> cores = gossip.cores();
-            gossip.askers().stream().filter(a -> !cores.contains(a)).forEach(to -> send(to, update));
+            gossip.subscribers().stream().filter(a -> !cores.contains(a)).forEach(to -> send(to, update));
         }
     }
 }
--- a/src/main/java/quartzspan/controlplane/CallTable.java
+++ b/src/main/java/quartzspan/controlplane/RequestRouter.java
@@ -11,23 +11,23 @@
 import org.slf4j.LoggerFactory;
 import quartzspan.common.FleetException;
 import quartzspan.common.JsonLines;
-import quartzspan.http.Frontend.Client;
-import quartzspan.http.Upstream.Answer;
+import quartzspan.http.ConnectionPool.Response;
+import quartzspan.http.HttpServer.ClientConnection;
 
 /** The calls that servers and operators make, each declared beside its handler. */
-final class CallTable {
-    private static final Logger LOG = LoggerFactory.getLogger(CallTable.class);
+final class RequestRouter {
+    private static final Logger LOG = LoggerFactory.getLogger(RequestRouter.class);
 
     /** One call; {@code rest} is what follows the declared path. */
     interface Handler {
-        void handle(Client client, HttpRequest in, byte[] body, String rest);
+        void handle(ClientConnection client, HttpRequest in, byte[] body, String rest);
     }
 
     /** By method and path: a string, for a record's hash and equality are built by the JVM at their first use, during a start. */
     private final Map<String, Handler> calls = new LinkedHashMap<>();
 
     /** Declares a call; a path that ends with a slash takes a name after it. */
-    CallTable on(String method, String path, Handler handler) {
+    RequestRouter on(String method, String path, Handler handler) {
         calls.put(key(method, path), handler);
         return this;
     }
@@ -36,7 +36,7 @@
         return method + ' ' + path;
     }
 
-    void take(Client client, HttpRequest in, byte[] body) {
+    void take(ClientConnection client, HttpRequest in, byte[] body) {
         String path = in.uri().split("\\?", 2)[0];
         int slash = path.lastIndexOf('/');
         Handler whole = calls.get(key(in.method().name(), path));
@@ -70,7 +70,7 @@
     }
 
     /** Says no, with what would mend it. */
-    static void refuse(Client client, FleetException why) {
+    static void refuse(ClientConnection client, FleetException why) {
         error(
                 client,
                 HttpResponseStatus.valueOf(why.code().status()),
@@ -79,7 +79,8 @@
                 why.remedy());
     }
 
-    private static void error(Client client, HttpResponseStatus status, String code, String reason, String remedy) {
+    private static void error(
+            ClientConnection client, HttpResponseStatus status, String code, String reason, String remedy) {
         StringBuilder json = new StringBuilder("{\"code\":");
         JsonLines.quote(json, code);
         JsonLines.quote(json.append(",\"reason\":"), reason);
@@ -87,17 +88,17 @@
         answer(client, status, json.append('}').toString().getBytes(StandardCharsets.UTF_8));
     }
 
-    static void ok(Client client) {
+    static void ok(ClientConnection client) {
         answer(client, HttpResponseStatus.OK, "{}".getBytes(StandardCharsets.UTF_8));
     }
 
-    static void answer(Client client, HttpResponseStatus status, byte[] json) {
-        client.answer(status, new Answer(json, "application/json", null), 0);
+    static void answer(ClientConnection client, HttpResponseStatus status, byte[] json) {
+        client.answer(status, new Response(json, "application/json", null), 0);
     }
 
     /** Sends the caller to another machine. */
-    static void redirect(Client client, String to) {
+    static void redirect(ClientConnection client, String to) {
         HttpHeaders headers = new DefaultHttpHeaders().set("Location", to);
-        client.answer(HttpResponseStatus.TEMPORARY_REDIRECT, new Answer(new byte[0], null, headers), 0);
+        client.answer(HttpResponseStatus.TEMPORARY_REDIRECT, new Response(new byte[0], null, headers), 0);
     }
 }
--- a/src/main/java/quartzspan/controlplane/RolloutDuty.java
+++ b/src/main/java/quartzspan/controlplane/RolloutCoordinator.java
@@ -22,16 +22,16 @@
  *
  * <p>No clock, no I/O; times are milliseconds of a steady clock.
  */
-final class RolloutDuty {
+final class RolloutCoordinator {
     /** An order is sent only by a primary whose place was confirmed within this. */
-    static final long CONFIRMED_MS = 450;
+    static final long CONFIRMATION_VALID_MS = 450;
     /** Longest time for which an order may be on its way: after that it is taken back from its connection. */
-    static final long DELIVERY_MS = 550;
+    static final long ORDER_TIMEOUT_MS = 550;
     /** Between telling proxies that a server will load weights and ordering it to. */
     static final long ANNOUNCE_MS = 60;
 
-    private static final long REPORT_EVERY_MS = 250;
-    private static final long REPORT_FORGET_MS = 10_000;
+    private static final long REPORT_INTERVAL_MS = 250;
+    private static final long REPORT_EXPIRY_MS = 10_000;
 
     /**
      * This machine's place as primary.
@@ -42,20 +42,20 @@
      * @param fence fence of that claim
      * @param weights versions of weights that were named, by model
      */
-    record Term(Epoch epoch, long confirmedAt, String holder, long fence, Map<String, Long> weights) {}
+    record Leadership(Epoch epoch, long confirmedAt, String holder, long fencingToken, Map<String, Long> weights) {}
 
     /** An order to one server. */
     record Order(Server server, String model, long version, long fencingToken) {}
 
     /** What the duty does. */
     interface Out {
-        /** Claims the duty in the control state; {@link RolloutDuty#claimed} tells of it. */
-        void claim(Epoch term);
+        /** Claims the duty in the control state; {@link RolloutCoordinator#claimed} tells of it. */
+        void claim(Epoch leadership);
 
         /** Tells proxies that a server is about to load weights. */
         void announce(Server server, long version);
 
-        /** Sends an order, if {@link RolloutDuty#permits} it right before the write; {@link RolloutDuty#answered} tells. */
+        /** Sends an order, if {@link RolloutCoordinator#permits} it right before the write; {@link RolloutCoordinator#answered} tells. */
         void order(Order order);
 
         /** Asks a server which weights it has. */
@@ -66,30 +66,31 @@
 
     private final String self;
     private final long leaseMs;
-    private final Supplier<Optional<Term>> terms;
+    private final Supplier<Optional<Leadership>> leaderships;
     private final Out out;
-    private final Rollout rollout;
+    private final RolloutPlanner rollout;
     private final List<Announced> announced = new ArrayList<>();
     private final Map<String, Long> reportAt = new HashMap<>();
 
     private Epoch epoch = Epoch.NONE;
-    private long termSince;
+    private long leadershipSinceMs;
     private boolean claiming;
-    private boolean holding;
-    private long fence;
-    private long beginAt;
+    private boolean claimGranted;
+    private long fencingToken;
+    private long leaseBeginsAtMs;
     /** Fence of the claim under which this process was last free to give orders. */
-    private long servedFence = -1;
+    private long servedToken = -1;
 
     /**
      * @param rollout whom to order when
      * @param terms this machine's place at the moment of asking; empty while it is not primary
      */
-    RolloutDuty(String self, long leaseMs, Rollout rollout, Supplier<Optional<Term>> terms, Out out) {
+    RolloutCoordinator(
+            String self, long leaseMs, RolloutPlanner rollout, Supplier<Optional<Leadership>> leaderships, Out out) {
         this.self = self;
         this.leaseMs = leaseMs;
         this.rollout = rollout;
-        this.terms = terms;
+        this.leaderships = leaderships;
         this.out = out;
     }
 
@@ -99,73 +100,79 @@
      * @param known the servers known at present
      */
     void onTick(long now, Supplier<List<Server>> known) {
-        Optional<Term> term = terms.get();
-        if (term.isEmpty()) {
+        Optional<Leadership> leadership = leaderships.get();
+        if (leadership.isEmpty()) {
             resign();
             return;
         }
-        follow(now, term.get());
-        if (term.get().weights().isEmpty()) {
+        follow(now, leadership.get());
+        if (leadership.get().weights().isEmpty()) {
             return;
         }
-        if (!holding) {
-            claim(term.get());
+        if (!claimGranted) {
+            claim(leadership.get());
             return;
         }
-        if (!free(now, term.get())) {
-            rollout.observe(now, term.get().weights(), known.get());
+        if (!holdsLease(now, leadership.get())) {
+            rollout.observe(now, leadership.get().weights(), known.get());
             return;
         }
-        servedFence = fence;
+        servedToken = fencingToken;
         sendAnnounced(now);
         List<Server> servers = known.get();
-        announce(now, term.get(), servers);
+        announce(now, leadership.get(), servers);
         report(now, servers);
     }
 
     private void resign() {
         epoch = Epoch.NONE;
         claiming = false;
-        holding = false;
+        claimGranted = false;
         announced.clear();
     }
 
-    private void follow(long now, Term term) {
-        if (!term.epoch().equals(epoch)) {
+    private void follow(long now, Leadership leadership) {
+        if (!leadership.epoch().equals(epoch)) {
             resign();
-            epoch = term.epoch();
-            termSince = now;
+            epoch = leadership.epoch();
+            leadershipSinceMs = now;
         }
     }
 
-    private void claim(Term term) {
+    private void claim(Leadership leadership) {
         if (claiming) {
             return;
         }
         claiming = true;
-        boolean noOtherSince = term.holder().isEmpty() || term.holder().equals(self) && term.fence() == servedFence;
-        beginAt = noOtherSince ? termSince : termSince + CONFIRMED_MS + DELIVERY_MS + leaseMs;
-        out.claim(term.epoch());
+        boolean noOtherSince = leadership.holder().isEmpty()
+                || leadership.holder().equals(self) && leadership.fencingToken() == servedToken;
+        leaseBeginsAtMs = noOtherSince
+                ? leadershipSinceMs
+                : leadershipSinceMs + CONFIRMATION_VALID_MS + ORDER_TIMEOUT_MS + leaseMs;
+        out.claim(leadership.epoch());
     }
 
     /** What became of the claim made in a term; {@code claimFence} is its fence if it was granted. */
-    void claimed(Epoch term, boolean granted, long claimFence) {
-        if (!term.equals(epoch) || !claiming) {
+    void claimed(Epoch leadership, boolean granted, long grantedToken) {
+        if (!leadership.equals(epoch) || !claiming) {
             return;
         }
         claiming = false;
-        holding = granted;
-        fence = claimFence;
+        claimGranted = granted;
+        fencingToken = grantedToken;
     }
 
-    private boolean free(long now, Term term) {
-        return holding && term.epoch().equals(epoch) && now >= beginAt && now - term.confirmedAt() <= CONFIRMED_MS;
+    private boolean holdsLease(long now, Leadership leadership) {
+        return claimGranted
+                && leadership.epoch().equals(epoch)
+                && now >= leaseBeginsAtMs
+                && now - leadership.confirmedAt() <= CONFIRMATION_VALID_MS;
     }
 
     /** Whether an order may go out at this very moment. */
-    boolean permits(long now, Order order) {
-        Optional<Term> term = terms.get();
-        return term.isPresent() && order.fencingToken() == fence && free(now, term.get());
+    boolean mayOrder(long now, Order order) {
+        Optional<Leadership> leadership = leaderships.get();
+        return leadership.isPresent() && order.fencingToken() == fencingToken && holdsLease(now, leadership.get());
     }
 
     private void sendAnnounced(long now) {
@@ -178,23 +185,24 @@
         }
     }
 
-    private void announce(long now, Term term, List<Server> servers) {
-        for (Rollout.Order due : rollout.due(now, term.weights(), servers)) {
+    private void announce(long now, Leadership leadership, List<Server> servers) {
+        for (RolloutPlanner.Order due : rollout.due(now, leadership.weights(), servers)) {
             rollout.ordered(now, due.server().id());
-            reportAt.put(due.server().id(), now + REPORT_EVERY_MS);
+            reportAt.put(due.server().id(), now + REPORT_INTERVAL_MS);
             out.announce(due.server(), due.version());
-            announced.add(new Announced(now + ANNOUNCE_MS, new Order(due.server(), due.model(), due.version(), fence)));
+            announced.add(new Announced(
+                    now + ANNOUNCE_MS, new Order(due.server(), due.model(), due.version(), fencingToken)));
         }
     }
 
     private void report(long now, List<Server> servers) {
         for (String id : rollout.under(now)) {
             if (now >= reportAt.getOrDefault(id, 0L)) {
-                reportAt.put(id, now + REPORT_EVERY_MS);
+                reportAt.put(id, now + REPORT_INTERVAL_MS);
                 servers.stream().filter(s -> s.id().equals(id)).findFirst().ifPresent(out::report);
             }
         }
-        reportAt.values().removeIf(at -> now - at > REPORT_FORGET_MS);
+        reportAt.values().removeIf(at -> now - at > REPORT_EXPIRY_MS);
     }
 
     /** An order as sent to its server. */
@@ -210,14 +218,14 @@
     }
 
     /** How an order ended; see {@link ServerClient.Answered}. */
-    void answered(long now, Order order, int status) {
+    void onResponse(long now, Order order, int status) {
         boolean refused = status == ServerClient.NOT_SENT || status == 409 || status >= 500;
         if (refused) {
             rollout.refused(now, order.server().id());
         }
-        if (status == 412 && order.fencingToken() == fence) {
+        if (status == 412 && order.fencingToken() == fencingToken) {
             // The server has seen a higher token: only a new claim can be above it.
-            holding = false;
+            claimGranted = false;
         }
     }
 }
--- a/src/main/java/quartzspan/controlplane/Rollout.java
+++ b/src/main/java/quartzspan/controlplane/RolloutPlanner.java
@@ -11,15 +11,15 @@
  * works out whom to order next. One machine does it, the primary, and only after the one before has surely stopped. No
  * clock, no I/O; times are milliseconds of a steady clock.
  */
-final class Rollout {
+final class RolloutPlanner {
     /** An order that was not answered or not seen to take effect is given anew after this. */
-    private static final long AGAIN_MS = 2_500;
+    private static final long RETRY_INTERVAL_MS = 2_500;
     /** Part of a service's servers that load at once while the rollout is on schedule; a load is slower while many do. */
-    private static final double AT_ONCE = 0.28;
+    private static final double CONCURRENT_LOADS = 0.28;
     /** Largest part of a service's servers that load at once, however late the rollout is: the others serve. */
-    private static final double MAX_AT_ONCE = 0.6;
+    private static final double MAX_CONCURRENT_LOADS = 0.6;
     /** Part of the time allowed after which a rollout on schedule has reached all servers; the last ones need the rest. */
-    private static final double SCHEDULE_PART = 0.5;
+    private static final double SCHEDULED_FRACTION = 0.5;
 
     /** Whom to order what. */
     record Order(Server server, String model, long version) {}
@@ -32,7 +32,7 @@
     private final Map<String, Progress> running = new HashMap<>();
 
     /** @param applyMs time within which all servers are to have the weights that were named */
-    Rollout(long applyMs) {
+    RolloutPlanner(long applyMs) {
         this.applyMs = applyMs;
     }
 
@@ -86,15 +86,15 @@
             progress = new Progress(version, now);
             running.put(model, progress);
         }
-        long usual = Math.max(1, Math.round(servers * AT_ONCE));
-        long most = Math.max(usual, Math.round(servers * MAX_AT_ONCE));
-        double scheduled = Math.min(servers, servers * (now - progress.startedAt()) / (SCHEDULE_PART * applyMs));
+        long usual = Math.max(1, Math.round(servers * CONCURRENT_LOADS));
+        long most = Math.max(usual, Math.round(servers * MAX_CONCURRENT_LOADS));
+        double scheduled = Math.min(servers, servers * (now - progress.startedAt()) / (SCHEDULED_FRACTION * applyMs));
         long late = (long) scheduled - (servers - behind) - usual;
         return Math.min(most, usual + Math.max(0, late));
     }
 
     private boolean busy(long now, Server s) {
-        return now - orderedAt.getOrDefault(s.id(), Long.MIN_VALUE / 2) < AGAIN_MS;
+        return now - orderedAt.getOrDefault(s.id(), Long.MIN_VALUE / 2) < RETRY_INTERVAL_MS;
     }
 
     /** An order is about to be sent. */
@@ -105,13 +105,13 @@
     /** Servers under an order. */
     List<String> under(long now) {
         return orderedAt.entrySet().stream()
-                .filter(e -> now - e.getValue() < AGAIN_MS)
+                .filter(e -> now - e.getValue() < RETRY_INTERVAL_MS)
                 .map(Map.Entry::getKey)
                 .toList();
     }
 
     /** The server takes no order now; it is asked again soon. */
     void refused(long now, String id) {
-        orderedAt.put(id, now - AGAIN_MS + 400);
+        orderedAt.put(id, now - RETRY_INTERVAL_MS + 400);
     }
 }
--- a/src/main/java/quartzspan/controlplane/ServerClient.java
+++ b/src/main/java/quartzspan/controlplane/ServerClient.java
@@ -12,15 +12,15 @@
 import java.util.function.Predicate;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import quartzspan.http.Call;
-import quartzspan.http.Upstream;
-import quartzspan.loadbalancing.Balancer.Outcome;
+import quartzspan.http.ConnectionPool;
+import quartzspan.http.OutgoingRequest;
+import quartzspan.loadbalancing.LoadBalancer.Outcome;
 import quartzspan.registry.Server;
 
 /** The core machine's own calls to servers, over connections that are kept: a new one costs a server as much as a small request. */
 final class ServerClient {
     private static final Logger LOG = LoggerFactory.getLogger(ServerClient.class);
-    private static final long QUESTION_MS = 2_000;
+    private static final long CALL_TIMEOUT_MS = 2_000;
     private static final int CONNECTIONS_PER_SERVER = 4;
     /** Status of a call that ended without an answer: it may have been carried out. */
     static final int NO_ANSWER = 0;
@@ -28,33 +28,33 @@
     static final int NOT_SENT = -1;
 
     /** Told once how a call ended: a status of HTTP, {@link #NO_ANSWER} or {@link #NOT_SENT}. */
-    interface Answered {
-        void answered(int status, byte[] body);
+    interface ResponseListener {
+        void onResponse(int status, byte[] body);
     }
 
-    private final Upstream upstream;
-    private final Map<String, Upstream.Host> hosts = new HashMap<>();
+    private final ConnectionPool upstream;
+    private final Map<String, ConnectionPool.Endpoint> endpoints = new HashMap<>();
 
-    ServerClient(Upstream upstream) {
+    ServerClient(ConnectionPool upstream) {
         this.upstream = upstream;
         // An order that was given up must not reach its server after the orders of the next holder.
-        upstream.dropUnsentOnClose();
+        upstream.discardUnsentOnClose();
     }
 
     /** Forgets the connections to servers that are gone. */
     void tidy(Predicate<String> gone) {
-        hosts.entrySet().removeIf(e -> {
+        endpoints.entrySet().removeIf(e -> {
             if (!gone.test(e.getKey())) {
                 return false;
             }
-            upstream.hangUp(e.getValue());
+            upstream.closeIdle(e.getValue());
             return true;
         });
     }
 
     /** Asks for something. */
-    void get(Server server, String path, Map<String, String> headers, Answered then) {
-        call(server, "GET", path, headers, "", QUESTION_MS, () -> true, then);
+    void get(Server server, String path, Map<String, String> headers, ResponseListener then) {
+        call(server, "GET", path, headers, "", CALL_TIMEOUT_MS, () -> true, then);
     }
 
     /**
@@ -63,7 +63,8 @@
      * @param timeoutMs time after which it is given up and can't arrive any more
      * @param permitted asked right before each write to the socket, when the connection stands
      */
-    void post(Server server, String path, String json, long timeoutMs, BooleanSupplier permitted, Answered then) {
+    void post(
+            Server server, String path, String json, long timeoutMs, BooleanSupplier permitted, ResponseListener then) {
         Map<String, String> headers = Map.of("Content-Type", "application/json");
         call(server, "POST", path, headers, json, timeoutMs, permitted, then);
     }
@@ -76,16 +77,16 @@
             String body,
             long timeoutMs,
             BooleanSupplier permitted,
-            Answered then) {
+            ResponseListener then) {
         HttpHeaders headers = new DefaultHttpHeaders().set("Host", server.address());
         if (!server.model().isEmpty()) {
             headers.set("X-Expected-Instance", server.id());
         }
         more.forEach(headers::set);
-        WholeAnswer reading = new WholeAnswer();
-        Upstream.End end = (outcome, answer) -> {
+        AnyResponse reading = new AnyResponse();
+        ConnectionPool.CompletionListener end = (outcome, answer) -> {
             try {
-                then.answered(
+                then.onResponse(
                         answer != null ? reading.status : outcome.neverRan() ? NOT_SENT : NO_ANSWER,
                         answer != null ? answer.body() : new byte[0]);
             } catch (RuntimeException e) {
@@ -93,10 +94,10 @@
             }
         };
         // Servers' answers to these calls bear no id: one too many on a kept connection would be taken for an order's.
-        Upstream.Reuse reuse = method.equals("POST") ? Upstream.Reuse.NONE : Upstream.Reuse.ANY;
+        ConnectionPool.Reuse reuse = method.equals("POST") ? ConnectionPool.Reuse.NONE : ConnectionPool.Reuse.ANY;
         upstream.attempt(
-                        host(server),
-                        new Call(method, path, headers, body.getBytes(StandardCharsets.UTF_8)),
+                        endpoint(server),
+                        new OutgoingRequest(method, path, headers, body.getBytes(StandardCharsets.UTF_8)),
                         TimeUnit.MILLISECONDS.toMicros(timeoutMs),
                         permitted,
                         reading,
@@ -104,20 +105,20 @@
                 .start(reuse);
     }
 
-    private Upstream.Host host(Server server) {
-        Upstream.Host host = hosts.computeIfAbsent(server.id(), Upstream.Host::new);
+    private ConnectionPool.Endpoint endpoint(Server server) {
+        ConnectionPool.Endpoint endpoint = endpoints.computeIfAbsent(server.id(), ConnectionPool.Endpoint::new);
         int colon = server.address().lastIndexOf(':');
-        host.listed(
+        endpoint.listed(
                 new InetSocketAddress(
                         server.address().substring(0, colon),
                         Integer.parseInt(server.address().substring(colon + 1))),
                 true,
                 CONNECTIONS_PER_SERVER);
-        return host;
+        return endpoint;
     }
 
     /** The whole answer of a server, whatever it is. */
-    private static final class WholeAnswer implements Upstream.Reading {
+    private static final class AnyResponse implements ConnectionPool.ResponseHandler {
         private int status;
 
         @Override
--- a/src/main/java/quartzspan/controlplane/StatusReport.java
+++ b/src/main/java/quartzspan/controlplane/StatusReport.java
@@ -17,7 +17,7 @@
         JsonLines.quote(json.append(",\"role\":"), replica.role());
         JsonLines.quote(json.append(",\"leader\":"), String.valueOf(replica.knownPrimary(now)));
         JsonLines.quote(json.append(",\"view\":"), replica.membership().text());
-        JsonLines.quote(json.append(",\"duty\":"), registry.state().holder());
+        JsonLines.quote(json.append(",\"duty\":"), registry.state().rolloutHolder());
         json.append(",\"promised\":")
                 .append(replica.promisedEpoch().number())
                 .append(",\"copy_epoch\":")
--- a/src/main/java/quartzspan/frontend/FrontendProxy.java
+++ b/src/main/java/quartzspan/frontend/FrontendProxy.java
@@ -29,14 +29,14 @@
 import quartzspan.configuration.Configuration.Service;
 import quartzspan.configuration.Configuration.Share;
 import quartzspan.configuration.Configuration.Tenant;
-import quartzspan.http.Call;
 import quartzspan.http.Clock;
-import quartzspan.http.Framing;
-import quartzspan.http.Frontend;
-import quartzspan.http.Upstream;
-import quartzspan.loadbalancing.Placement;
-import quartzspan.promptindex.PromptIndex;
-import quartzspan.promptindex.PromptIndexUpdate;
+import quartzspan.http.ConnectionPool;
+import quartzspan.http.HttpFraming;
+import quartzspan.http.HttpServer;
+import quartzspan.http.OutgoingRequest;
+import quartzspan.loadbalancing.PrefixAwarePlacement;
+import quartzspan.prefixcache.PrefixCacheIndex;
+import quartzspan.prefixcache.PrefixCacheUpdate;
 import quartzspan.registry.Gossip;
 import quartzspan.registry.GossipMessage;
 import quartzspan.registry.Registry;
@@ -49,7 +49,7 @@
  * A frontend machine's process: takes clients' requests, finds their route and tenant in the configuration, and carries them
  * to the server that the decision module names. One event loop owns all of it.
  */
-public final class FrontendProxy implements Frontend.Desk {
+public final class FrontendProxy implements HttpServer.RequestHandler {
     private static final Logger LOG = LoggerFactory.getLogger(FrontendProxy.class);
     private static final int TICK_MS = 100;
     private static final int OWN_DESCRIPTORS = 300;
@@ -71,17 +71,17 @@
     private final Registry registry = new Registry();
     private final Gossip gossip;
     private final TcpTransport transport;
-    private final Frontend frontend;
-    private final Frontend readiness;
-    private final Upstream upstream;
-    private final Placement placement;
+    private final HttpServer frontend;
+    private final HttpServer readiness;
+    private final ConnectionPool upstream;
+    private final PrefixAwarePlacement placement;
     private final SplittableRandom random = new SplittableRandom(System.nanoTime());
-    private final Map<String, Upstream.Host> hosts = new HashMap<>();
+    private final Map<String, ConnectionPool.Endpoint> hosts = new HashMap<>();
     private final Map<String, String> addresses = new HashMap<>();
     /** Version of the weights of each server, as last heard or seen. */
     private final Map<String, Long> weights = new HashMap<>();
 
-    private final PromptIndex promptIndex = new PromptIndex();
+    private final PrefixCacheIndex prefixCacheIndex = new PrefixCacheIndex();
     private final Set<ProxiedRequest> open = new HashSet<>();
     /** The services by which servers' connections are bounded at present. */
     private Map<String, Service> services = Map.of();
@@ -96,13 +96,13 @@
         this.loop = loop;
         this.shutdown = new ShutdownSchedule(gracePeriodMs(settings), ms());
         String self = text(settings.internal());
-        this.upstream =
-                new Upstream(loop, DIAL_US, IDLE_US, Math.max(64, (settings.descriptors() - OWN_DESCRIPTORS) / 3));
+        this.upstream = new ConnectionPool(
+                loop, DIAL_US, IDLE_US, Math.max(64, (settings.descriptors() - OWN_DESCRIPTORS) / 3));
         this.transport = new TcpTransport(loop, new Hello(false, self, "", settings.zone()), this::received);
         this.gossip = new Gossip(self, false, seeds, registry, transport::send, Gossip.firstNonce(System.nanoTime()));
         gossip.preferZone(settings.zone());
-        this.frontend = new Frontend(this, loop);
-        this.placement = new Placement(System.nanoTime(), new Placement.Connections() {
+        this.frontend = new HttpServer(this, loop);
+        this.placement = new PrefixAwarePlacement(System.nanoTime(), new PrefixAwarePlacement.Connections() {
             @Override
             public boolean connected(String server) {
                 return hosts.get(server).connected();
@@ -113,15 +113,15 @@
                 return hosts.get(server).reachable();
             }
         });
-        this.readiness = new Frontend(
-                new Frontend.Desk() {
+        this.readiness = new HttpServer(
+                new HttpServer.RequestHandler() {
                     @Override
                     public long now() {
                         return clock.now();
                     }
 
                     @Override
-                    public void take(Frontend.Client client, HttpRequest in, byte[] body, long at) {
+                    public void take(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
                         client.answer(
                                 !in.uri().split("\\?", 2)[0].equals("/quartzspan/readiness")
                                         ? HttpResponseStatus.NOT_FOUND
@@ -129,8 +129,8 @@
                     }
 
                     @Override
-                    public Frontend.Terms terms() {
-                        return new Frontend.Terms(64, 8 * 1024, 8 * 1024, 30_000, 5_000);
+                    public HttpServer.ConnectionLimits limits() {
+                        return new HttpServer.ConnectionLimits(64, 8 * 1024, 8 * 1024, 30_000, 5_000);
                     }
                 },
                 loop);
@@ -186,7 +186,7 @@
 
     /** Settings that changed while it serves: whom to ask first. */
     void reload(Settings changed) {
-        loop.execute(() -> gossip.seeds(seeds(changed)));
+        loop.execute(() -> gossip.setSeeds(seeds(changed)));
     }
 
     /** Serves to the end what came and still comes, without losing any of it; returns when the process may end. */
@@ -237,15 +237,15 @@
         return clock.now() / 1000;
     }
 
-    Placement placement() {
+    PrefixAwarePlacement placement() {
         return placement;
     }
 
-    Upstream upstream() {
+    ConnectionPool upstream() {
         return upstream;
     }
 
-    Upstream.Host host(String server) {
+    ConnectionPool.Endpoint host(String server) {
         return hosts.get(server);
     }
 
@@ -263,15 +263,15 @@
                         : Math.max(weights(server), registry.state().weights().getOrDefault(model, 0L)));
     }
 
-    PromptIndex promptIndex() {
-        return promptIndex;
+    PrefixCacheIndex prefixCacheIndex() {
+        return prefixCacheIndex;
     }
 
     /** The stores of prompts that answer. */
     List<String> stores() {
         return configuration().services().values().stream()
                 .map(Service::store)
-                .filter(s -> s != null && promptIndex.knows(PromptIndex.store(s)))
+                .filter(s -> s != null && prefixCacheIndex.knows(PrefixCacheIndex.store(s)))
                 .toList();
     }
 
@@ -289,9 +289,9 @@
     }
 
     @Override
-    public Frontend.Terms terms() {
+    public HttpServer.ConnectionLimits limits() {
         Configuration.Limits l = configuration().limits();
-        return new Frontend.Terms(
+        return new HttpServer.ConnectionLimits(
                 Math.max(64, (settings.descriptors() - OWN_DESCRIPTORS) / 2),
                 l.headerBytes() + 1024,
                 l.bodyBytes(),
@@ -323,8 +323,8 @@
             long now = ms();
             shutdown.onTick(now);
             gossip.onTick(now, null);
-            registry.tidy(now);
-            transport.tidy(10_000);
+            registry.expire(now);
+            transport.closeIdle(10_000);
             becomeReady();
         } catch (RuntimeException e) {
             LOG.error("a turn failed", e);
@@ -332,17 +332,18 @@
     }
 
     private void received(Hello from, Object message) {
-        if (message instanceof PromptIndexUpdate c
-                && c.kind() != PromptIndexUpdate.Kind.ASK
-                && promptIndex.take(ms(), c)) {
+        if (message instanceof PrefixCacheUpdate c
+                && c.kind() != PrefixCacheUpdate.Kind.SNAPSHOT_REQUEST
+                && prefixCacheIndex.take(ms(), c)) {
             transport.send(
                     from.address(),
-                    new PromptIndexUpdate(PromptIndexUpdate.Kind.ASK, c.server(), 0, 0, new long[0], new int[0]));
+                    new PrefixCacheUpdate(
+                            PrefixCacheUpdate.Kind.SNAPSHOT_REQUEST, c.server(), 0, 0, new long[0], new int[0]));
         }
         if (!(message instanceof GossipMessage update)) {
             return;
         }
-        Registry.News news = gossip.onGossip(ms(), from.address(), update);
+        Registry.Update news = gossip.onGossip(ms(), from.address(), update);
         news.entries().forEach(this::learn);
         if (news.state() && !configuration().services().equals(services)) {
             // Bounds of connections are the configuration's.
@@ -368,15 +369,15 @@
 
     private void learn(Server s) {
         if (s.state() == RegistryEntry.State.GONE || s.state() == RegistryEntry.State.LOST) {
-            Upstream.Host host = hosts.get(s.id());
+            ConnectionPool.Endpoint host = hosts.get(s.id());
             if (host != null) {
                 placement.gone(s.id());
                 host.listed(null, false, 0);
-                upstream.hangUp(host);
+                upstream.closeIdle(host);
                 hosts.remove(s.id());
                 addresses.remove(s.id());
                 weights.remove(s.id());
-                promptIndex.forget(s.id());
+                prefixCacheIndex.forget(s.id());
             }
             return;
         }
@@ -384,13 +385,13 @@
         boolean ready = s.state() == RegistryEntry.State.READY;
         Service service = configuration().services().get(s.service());
         int most = service == null ? 64 : Math.max(2, service.maxConnections() / Math.max(1, proxies()));
-        Upstream.Host host = hosts.computeIfAbsent(s.id(), Upstream.Host::new);
+        ConnectionPool.Endpoint host = hosts.computeIfAbsent(s.id(), ConnectionPool.Endpoint::new);
         if (!s.address().equals(addresses.put(s.id(), s.address())) || !ready) {
-            upstream.hangUp(host);
+            upstream.closeIdle(host);
         }
         host.listed(
                 new InetSocketAddress(s.address().substring(0, colon), (int)
-                        Framing.number(s.address().substring(colon + 1))),
+                        HttpFraming.number(s.address().substring(colon + 1))),
                 ready,
                 most);
         placement.listed(now(), s.id(), s.service(), ready, s.loading() > 0);
@@ -404,11 +405,13 @@
     // ---- clients -------------------------------------------------------------------------------------
 
     @Override
-    public void take(Frontend.Client client, HttpRequest in, byte[] body, long at) {
+    public void take(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
         HttpHeaders h = in.headers();
         if (!fresh()) {
             client.answer(
-                    HttpResponseStatus.SERVICE_UNAVAILABLE, new Upstream.Answer(new byte[0], null, null), 300_000);
+                    HttpResponseStatus.SERVICE_UNAVAILABLE,
+                    new ConnectionPool.Response(new byte[0], null, null),
+                    300_000);
             return;
         }
         Configuration configuration = configuration();
@@ -429,7 +432,7 @@
                 return;
             }
         }
-        Call call = Call.of(in, body);
+        OutgoingRequest call = OutgoingRequest.of(in, body);
         OURS.forEach(call.headers()::remove);
         if (configuration.hasTenants()) {
             call.headers().remove(HttpHeaderNames.AUTHORIZATION);
@@ -447,12 +450,12 @@
                                     3 * Math.max(0, tenant == null ? 0 : tenant.priority())
                                             + Math.max(0, route.priority())));
         }
-        long deadlineMs = Framing.number(h.get("X-Deadline-Ms"));
+        long deadlineMs = HttpFraming.number(h.get("X-Deadline-Ms"));
         long endAt = at + 1000 * Math.min(deadlineMs < 1 ? route.timeoutMs() : deadlineMs, route.timeoutMs());
         if (!shutdown.mayForward(ms(), endAt / 1000)) {
             client.answer(
                     HttpResponseStatus.SERVICE_UNAVAILABLE,
-                    new Upstream.Answer(new byte[0], null, null),
+                    new ConnectionPool.Response(new byte[0], null, null),
                     comeBackUs(route));
             return;
         }
@@ -470,19 +473,19 @@
     }
 
     /** What the decision module is told of a request: its key is the model, the wall and the parts that others share. */
-    private Placement.Job job(Route route, HttpHeaders h, String wall) {
+    private PrefixAwarePlacement.Job job(Route route, HttpHeaders h, String isolationKey) {
         String[] tokens = h.get("X-Token-Count", "0,0").split(",", 2);
         String prefix = h.get("X-Prompt-Prefix");
         String key = null;
         if (route.affine() && prefix != null) {
             int last = prefix.lastIndexOf(',');
-            key = h.get("X-Model", "") + '|' + wall + '|' + (last < 0 ? prefix : prefix.substring(0, last));
+            key = h.get("X-Model", "") + '|' + isolationKey + '|' + (last < 0 ? prefix : prefix.substring(0, last));
         }
-        return new Placement.Job(
+        return new PrefixAwarePlacement.Job(
                 service(route),
                 key,
-                Math.max(0, Framing.number(tokens[0].trim())),
-                tokens.length < 2 ? 0 : Math.max(0, Framing.number(tokens[1].trim())));
+                Math.max(0, HttpFraming.number(tokens[0].trim())),
+                tokens.length < 2 ? 0 : Math.max(0, HttpFraming.number(tokens[1].trim())));
     }
 
     private String service(Route route) {
--- a/src/main/java/quartzspan/frontend/ProxiedRequest.java
+++ b/src/main/java/quartzspan/frontend/ProxiedRequest.java
@@ -12,17 +12,17 @@
 import java.util.List;
 import java.util.Set;
 import quartzspan.configuration.Configuration.Route;
-import quartzspan.http.Call;
-import quartzspan.http.Frontend;
-import quartzspan.http.Upstream;
-import quartzspan.http.Upstream.Answer;
-import quartzspan.http.Upstream.Match;
-import quartzspan.loadbalancing.Balancer.Outcome;
-import quartzspan.loadbalancing.Placement.Job;
-import quartzspan.promptindex.PromptIndex;
+import quartzspan.http.ConnectionPool;
+import quartzspan.http.ConnectionPool.Response;
+import quartzspan.http.ConnectionPool.ResponseMatch;
+import quartzspan.http.HttpServer;
+import quartzspan.http.OutgoingRequest;
+import quartzspan.loadbalancing.LoadBalancer.Outcome;
+import quartzspan.loadbalancing.PrefixAwarePlacement.Job;
+import quartzspan.prefixcache.PrefixCacheIndex;
 
 /** One request on its way: from its client to a server, to another if it surely has not run, and the answer back. */
-final class ProxiedRequest implements Upstream.Reading {
+final class ProxiedRequest implements ConnectionPool.ResponseHandler {
     private static final String ATTEMPT_ID = "X-Attempt-Id";
     private static final String SEAL = "X-Server-Seal";
     private static final String NOT_EXECUTED = "X-Not-Executed";
@@ -42,18 +42,18 @@
     /** Servers tried, also those that could not be reached. */
     private static final int MOST_TRIED = 8;
 
-    private static final Answer NOTHING = new Answer(new byte[0], null, null);
+    private static final Response NOTHING = new Response(new byte[0], null, null);
 
     private final FrontendProxy proxy;
-    private final Frontend.Client client;
+    private final HttpServer.ClientConnection client;
     private final Route route;
     private final Job job;
-    private final Call call;
+    private final OutgoingRequest call;
     private final String attemptId;
     private final long endAt;
     private final Prompt prompt;
     /** What the prompt's parts are named at the server that runs it. */
-    private long[] parts = {};
+    private long[] blocks = {};
 
     private final Set<String> tried = new HashSet<>();
     /** Servers that it reached. */
@@ -67,11 +67,17 @@
     private boolean begun;
     private boolean over;
     private String server;
-    private Upstream.Attempt attempt;
+    private ConnectionPool.Attempt attempt;
     private HttpResponse head;
 
     ProxiedRequest(
-            FrontendProxy proxy, Frontend.Client client, Route route, Job job, Call call, long endAt, Prompt prompt) {
+            FrontendProxy proxy,
+            HttpServer.ClientConnection client,
+            Route route,
+            Job job,
+            OutgoingRequest call,
+            long endAt,
+            Prompt prompt) {
         this.prompt = prompt;
         this.proxy = proxy;
         this.client = client;
@@ -90,7 +96,7 @@
     private void next() {
         long left = endAt - proxy.now();
         String to = left <= 0 ? null : target();
-        Upstream.Host host = to == null ? null : proxy.host(to);
+        ConnectionPool.Endpoint host = to == null ? null : proxy.host(to);
         if (host == null) {
             refuse();
             return;
@@ -103,7 +109,7 @@
         attempt = proxy.upstream()
                 .attempt(
                         host,
-                        new Call(call.method(), call.uri(), headers, call.body()),
+                        new OutgoingRequest(call.method(), call.uri(), headers, call.body()),
                         left,
                         () -> !over,
                         this,
@@ -122,10 +128,10 @@
     }
 
     /** Two sends of one request bear one id, so that only their connections tell their answers apart. */
-    private Upstream.Reuse reuse(String to) {
+    private ConnectionPool.Reuse reuse(String to) {
         return reached.contains(to)
-                ? Upstream.Reuse.NONE
-                : route.repeatable() ? Upstream.Reuse.ANY : Upstream.Reuse.RECENT;
+                ? ConnectionPool.Reuse.NONE
+                : route.repeatable() ? ConnectionPool.Reuse.ANY : ConnectionPool.Reuse.RECENT;
     }
 
     /**
@@ -135,15 +141,15 @@
     private void kept(HttpHeaders headers, String to) {
         long weights = proxy.weights(to);
         if (weights == 0) {
-            if (!prompt.wall().isEmpty()) {
-                headers.set("Cache-Salt", prompt.wall());
+            if (!prompt.isolationKey().isEmpty()) {
+                headers.set("Cache-Salt", prompt.isolationKey());
             }
             return;
         }
-        String salt = "v" + weights + prompt.wall();
+        String salt = "v" + weights + prompt.isolationKey();
         headers.set("Cache-Salt", salt).set("Expect-Version", weights);
-        long[] names = prompt.parts(salt);
-        parts = names;
+        long[] names = prompt.blocks(salt);
+        blocks = names;
         String source = proxy.placement()
                 .source(
                         proxy.now(),
@@ -151,18 +157,18 @@
                         to,
                         server -> proxy.weights(server) != weights
                                 ? 0
-                                : proxy.promptIndex().kept(server, names, prompt.tokens()));
+                                : proxy.prefixCacheIndex().cachedTokens(server, names, prompt.tokens()));
         String address = source == null || proxy.weights(source) != weights ? null : proxy.address(source);
-        long here = proxy.promptIndex().kept(to, names, prompt.tokens());
-        long there = address == null ? here : proxy.promptIndex().kept(source, names, prompt.tokens());
+        long here = proxy.prefixCacheIndex().cachedTokens(to, names, prompt.tokens());
+        long there = address == null ? here : proxy.prefixCacheIndex().cachedTokens(source, names, prompt.tokens());
         for (String store : proxy.stores()) {
-            long stored = proxy.promptIndex().kept(PromptIndex.store(store), names, prompt.tokens());
+            long stored = proxy.prefixCacheIndex().cachedTokens(PrefixCacheIndex.store(store), names, prompt.tokens());
             if (stored > Math.max(here, there) + WORTH_MOVING) {
                 address = store;
                 there = stored;
             }
             // What others will ask for again is saved; a prompt that is mostly its own would only push that out.
-            if (stored + WORTH_MOVING < prompt.shared() && 2 * prompt.shared() >= prompt.all()) {
+            if (stored + WORTH_MOVING < prompt.sharedTokens() && 2 * prompt.sharedTokens() >= prompt.totalTokens()) {
                 headers.set("Kv-Save", store);
             }
         }
@@ -185,14 +191,14 @@
 
     /** Servers echo the id of the request that an answer is to, and a success bears its server's seal and plain body. */
     @Override
-    public Match match(HttpResponse answer) {
+    public ResponseMatch match(HttpResponse answer) {
         List<String> ids = answer.headers().getAll(ATTEMPT_ID);
         if (!ids.equals(attemptId == null ? List.of() : List.of(attemptId))) {
-            return ids.size() == 1 ? Match.EARLIER : Match.UNKNOWN;
+            return ids.size() == 1 ? ResponseMatch.EARLIER : ResponseMatch.UNKNOWN;
         }
         int status = answer.status().code();
         boolean success = status >= 200 && status < 300;
-        return !success || sealed(answer.headers()) ? Match.OURS : Match.UNKNOWN;
+        return !success || sealed(answer.headers()) ? ResponseMatch.OURS : ResponseMatch.UNKNOWN;
     }
 
     private static boolean sealed(HttpHeaders headers) {
@@ -220,8 +226,8 @@
         }
         begun = true;
         proxy.placement().answering(server);
-        for (int i = 0; i < parts.length; i++) {
-            proxy.promptIndex().saw(server, parts[i], (int) prompt.tokens()[i]);
+        for (int i = 0; i < blocks.length; i++) {
+            proxy.prefixCacheIndex().onPrefill(server, blocks[i], (int) prompt.tokens()[i]);
         }
         HttpHeaders headers = passedOn(answer.headers());
         if (call.method().equals("HEAD")) {
@@ -248,12 +254,12 @@
         client.piece(bytes.retain());
         return client.writable(() -> {
             if (attempt != null) {
-                attempt.readOn();
+                attempt.resumeReading();
             }
         });
     }
 
-    private void ended(Outcome outcome, Answer answer) {
+    private void ended(Outcome outcome, Response answer) {
         boolean stale = attempt.stale();
         // That a server forgets idle connections does not make it a failing one.
         proxy.placement().ended(proxy.now(), server, job, stale ? Outcome.IGNORED : outcome);
@@ -296,7 +302,7 @@
                 && (!arrived || proxy.placement().mayRepeat());
         if (outcome == Outcome.FAILED && answer != null && (route.repeatable() || !promisesNotRun(head.status()))) {
             // The server's own word: it ran, and this is what came of it.
-            conclude(head.status(), new Answer(answer.body(), null, own(passedOn(answer.headers()))), 0);
+            conclude(head.status(), new Response(answer.body(), null, own(passedOn(answer.headers()))), 0);
         } else if (again) {
             next();
         } else {
@@ -330,7 +336,7 @@
         }
     }
 
-    private void conclude(HttpResponseStatus status, Answer answer, long retryAfterUs) {
+    private void conclude(HttpResponseStatus status, Response answer, long retryAfterUs) {
         over = true;
         client.answer(status, answer, retryAfterUs);
         proxy.done(this);
--- a/src/main/java/quartzspan/http/Upstream.java
+++ b/src/main/java/quartzspan/http/ConnectionPool.java
@@ -33,34 +33,34 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import quartzspan.loadbalancing.Balancer.Outcome;
+import quartzspan.loadbalancing.LoadBalancer.Outcome;
 
 /**
  * Connections to hosts, one request at a time on each, and the attempts made on them. It resends nothing:
  * an attempt is written whole once at most, and ends exactly once, with the outcome that can be vouched for.
  */
-public final class Upstream {
+public final class ConnectionPool {
     /** Part of the settings' idle time after which we close first: a host closes at the whole of it. */
-    private static final double IDLE_PART = 0.75;
+    private static final double IDLE_TIMEOUT_FRACTION = 0.75;
 
-    private static final long SWEEP_MS = 100;
+    private static final long SWEEP_INTERVAL_MS = 100;
     /** How long a connection rests after an answer: what follows that unasked must not meet a new request. */
-    private static final long REST_NANOS = 3_000_000;
+    private static final long MIN_IDLE_NANOS = 3_000_000;
     /** Interim answers (1xx) to one request; more of them is noise. */
-    private static final int MOST_INTERIM = 16;
+    private static final int MAX_INTERIM_RESPONSES = 16;
     /** Fresh connections to one attempt, as long as they are reset before a request is written whole. */
-    private static final int MOST_FRESH = 3;
+    private static final int MAX_NEW_CONNECTIONS = 3;
     /**
      * A connection that is reset this soon after a request was written to it had been stale: its host forgot it while it
      * was idle, and did not tell.
      */
-    private static final long STALE_NANOS = 20_000_000;
+    private static final long STALE_RESET_NANOS = 20_000_000;
 
     /** Buffers count as heap, which is bounded once and for all, and need no pool at this traffic. */
     public static final UnpooledByteBufAllocator BUFFERS = new UnpooledByteBufAllocator(false);
 
     /** What hosts' answers mean. */
-    private static final Reading OWN = new Reading() {
+    private static final ResponseHandler DEFAULT_HANDLER = new ResponseHandler() {
         @Override
         public Outcome outcome(HttpResponse head) {
             int status = head.status().code();
@@ -72,17 +72,17 @@
 
     private final EventLoop loop;
     private final Bootstrap bootstrap;
-    private final IdleLimit idleLimit;
-    private final int mostConnections;
+    private final IdleTimeout idleLimit;
+    private final int maxConnections;
     /** Idle connections to all hosts, the longest idle first. */
     private final LinkedHashSet<Connection> idle = new LinkedHashSet<>();
 
     private int connections;
 
-    public Upstream(EventLoop loop, long dialTimeoutUs, long connIdleUs, int mostConnections) {
+    public ConnectionPool(EventLoop loop, long dialTimeoutUs, long connIdleUs, int maxConnections) {
         this.loop = loop;
-        this.mostConnections = mostConnections;
-        this.idleLimit = new IdleLimit((long) (connIdleUs * 1000 * IDLE_PART));
+        this.maxConnections = maxConnections;
+        this.idleLimit = new IdleTimeout((long) (connIdleUs * 1000 * IDLE_TIMEOUT_FRACTION));
         this.bootstrap = new Bootstrap()
                 .group(loop)
                 .option(ChannelOption.ALLOCATOR, BUFFERS)
@@ -94,7 +94,7 @@
      * From now on a connection that is closed takes with it what the other side has not read yet. A request that was given up
      * then can't arrive late, when a link has healed.
      */
-    public void dropUnsentOnClose() {
+    public void discardUnsentOnClose() {
         bootstrap.option(ChannelOption.SO_LINGER, 0);
     }
 
@@ -105,13 +105,13 @@
                     long now = System.nanoTime();
                     idle.stream().filter(c -> c.idleTooLong(now)).toList().forEach(Connection::close);
                 },
-                SWEEP_MS,
-                SWEEP_MS,
+                SWEEP_INTERVAL_MS,
+                SWEEP_INTERVAL_MS,
                 TimeUnit.MILLISECONDS);
     }
 
     /** A host as last listed; all fields are discovery's to set. */
-    public static final class Host {
+    public static final class Endpoint {
         /** No bound of connections but that of all together. */
         public static final int UNBOUNDED = Integer.MAX_VALUE;
 
@@ -124,7 +124,7 @@
         private int made;
         private final ArrayDeque<Connection> idle = new ArrayDeque<>();
 
-        public Host(String id) {
+        public Endpoint(String id) {
             this.id = id;
         }
 
@@ -143,10 +143,10 @@
         }
 
         /** What was heard of it. */
-        public void listed(InetSocketAddress at, boolean isReady, int mostConnections) {
+        public void listed(InetSocketAddress at, boolean isReady, int maxConnections) {
             address = at;
             ready = isReady;
-            most = mostConnections;
+            most = maxConnections;
         }
 
         /** Whether a connection to it is at hand. */
@@ -161,18 +161,18 @@
     }
 
     /** A host's whole answer; {@code headers} where the reading asks for them, else null. */
-    public record Answer(byte[] body, String contentType, HttpHeaders headers) {
+    public record Response(byte[] body, String contentType, HttpHeaders headers) {
         /** An answer without a body. */
-        public static final Answer EMPTY = new Answer(new byte[0], null, null);
+        public static final Response EMPTY = new Response(new byte[0], null, null);
     }
 
     /** Told once how an attempt ended; {@code answer} is null unless there is one to pass on. */
-    public interface End {
-        void ended(Outcome outcome, Answer answer);
+    public interface CompletionListener {
+        void ended(Outcome outcome, Response answer);
     }
 
     /** Whose answer it is that came while a request was open. */
-    public enum Match {
+    public enum ResponseMatch {
         /** The open request's. */
         OURS,
         /** An earlier request's, late: it is passed over, and the open one's is still to come. */
@@ -182,12 +182,12 @@
     }
 
     /** What an answer means, and whether its body is wanted as it comes. */
-    public interface Reading {
+    public interface ResponseHandler {
         Outcome outcome(HttpResponse head);
 
         /** Whose answer a final (not 1xx) head begins. */
-        default Match match(HttpResponse head) {
-            return Match.OURS;
+        default ResponseMatch match(HttpResponse head) {
+            return ResponseMatch.OURS;
         }
 
         /** The head of an answer; true if its body is to come in pieces, to {@link #piece}. */
@@ -211,18 +211,25 @@
      *
      * @param wanted whether the request still waits for an answer
      */
-    public Attempt attempt(Host host, Call call, long timeoutUs, BooleanSupplier wanted, End end) {
-        return attempt(host, call, timeoutUs, wanted, OWN, end);
+    public Attempt attempt(
+            Endpoint endpoint, OutgoingRequest call, long timeoutUs, BooleanSupplier wanted, CompletionListener end) {
+        return attempt(endpoint, call, timeoutUs, wanted, DEFAULT_HANDLER, end);
     }
 
     /** An attempt whose answer is read in a way of its own. */
-    public Attempt attempt(Host host, Call call, long timeoutUs, BooleanSupplier wanted, Reading reading, End end) {
-        return new Attempt(host, call, timeoutUs, wanted, reading, end);
+    public Attempt attempt(
+            Endpoint endpoint,
+            OutgoingRequest call,
+            long timeoutUs,
+            BooleanSupplier wanted,
+            ResponseHandler responseHandler,
+            CompletionListener end) {
+        return new Attempt(endpoint, call, timeoutUs, wanted, responseHandler, end);
     }
 
     /** Closes the idle connections to a host; those in use close after their answer. */
-    public void hangUp(Host host) {
-        for (Connection c; (c = host.idle.peek()) != null; ) {
+    public void closeIdle(Endpoint endpoint) {
+        for (Connection c; (c = endpoint.idle.peek()) != null; ) {
             c.close();
         }
     }
@@ -238,16 +245,16 @@
     }
 
     /** The last used of the idle connections that have rested and show nothing; null if none will do. */
-    private Connection rested(Host host, Reuse reuse) {
+    private Connection rested(Endpoint endpoint, Reuse reuse) {
         if (reuse == Reuse.NONE) {
             return null;
         }
         long now = System.nanoTime();
         long limit = reuse == Reuse.RECENT ? idleLimit.cautiousNanos() : idleLimit.nanos();
         Connection older = null;
-        for (Connection c : List.copyOf(host.idle)) {
+        for (Connection c : List.copyOf(endpoint.idle)) {
             long idleFor = now - c.idleAt;
-            if (idleFor <= REST_NANOS) {
+            if (idleFor <= MIN_IDLE_NANOS) {
                 continue;
             }
             if (c.idleTooLong(now) || !c.channel.untouched()) {
@@ -259,7 +266,7 @@
                 older = c;
             }
         }
-        if (older != null && host.made >= host.most) {
+        if (older != null && endpoint.made >= endpoint.most) {
             older.leaveIdle();
             return older;
         }
@@ -268,12 +275,12 @@
 
     /** One request written to one server, up to its one end. */
     public final class Attempt {
-        private final Host host;
-        private final Call call;
+        private final Endpoint endpoint;
+        private final OutgoingRequest call;
         private final long endNanos;
         private final BooleanSupplier wanted;
-        private final Reading reading;
-        private final End end;
+        private final ResponseHandler responseHandler;
+        private final CompletionListener end;
         private final ScheduledFuture<?> timer;
         private ChannelFuture connecting;
         private Connection connection;
@@ -285,11 +292,17 @@
         private long writtenAt;
         private boolean over;
 
-        private Attempt(Host host, Call call, long timeoutUs, BooleanSupplier wanted, Reading reading, End end) {
-            this.host = host;
+        private Attempt(
+                Endpoint endpoint,
+                OutgoingRequest call,
+                long timeoutUs,
+                BooleanSupplier wanted,
+                ResponseHandler responseHandler,
+                CompletionListener end) {
+            this.endpoint = endpoint;
             this.call = call;
             this.wanted = wanted;
-            this.reading = reading;
+            this.responseHandler = responseHandler;
             this.end = end;
             this.endNanos = System.nanoTime() + timeoutUs * 1000;
             this.timer = loop.schedule(() -> abandon(Outcome.TIMED_OUT), timeoutUs, TimeUnit.MICROSECONDS);
@@ -303,7 +316,7 @@
         /** The same, with a say in which connection is used. */
         public void start(Reuse reuse) {
             cautious = reuse == Reuse.RECENT;
-            Connection reused = rested(host, reuse);
+            Connection reused = rested(endpoint, reuse);
             if (reused != null) {
                 idleFor = System.nanoTime() - reused.idleAt;
                 write(reused, true);
@@ -313,16 +326,16 @@
         }
 
         private void connect() {
-            if (host.made >= host.most) {
+            if (endpoint.made >= endpoint.most) {
                 finish(Outcome.IGNORED, null);
                 return;
             }
-            if (connections >= mostConnections && !idle.isEmpty()) {
+            if (connections >= maxConnections && !idle.isEmpty()) {
                 idle.iterator().next().close();
             }
             Connection made;
             try {
-                made = new Connection(host);
+                made = new Connection(endpoint);
             } catch (ChannelException noDescriptor) {
                 finish(Outcome.CONNECT_ERROR, null);
                 return;
@@ -331,13 +344,13 @@
                     .clone()
                     .channelFactory(() -> made.channel)
                     .handler(made.pipeline())
-                    .connect(host.address);
+                    .connect(endpoint.address);
             fresh++;
             connections++;
-            host.made++;
+            endpoint.made++;
             up.channel().closeFuture().addListener(f -> {
                 connections--;
-                host.made--;
+                endpoint.made--;
             });
             connecting = up;
             up.addListener(f -> {
@@ -345,7 +358,7 @@
                     up.channel().close();
                 } else if (f.isSuccess()) {
                     write(made, false);
-                } else if (resetAtOnce(f.cause()) && fresh < MOST_FRESH) {
+                } else if (resetAtOnce(f.cause()) && fresh < MAX_NEW_CONNECTIONS) {
                     connect();
                 } else {
                     finish(Outcome.CONNECT_ERROR, null);
@@ -364,7 +377,7 @@
             connecting = null;
             writtenAt = System.nanoTime();
             long leftNanos = endNanos - writtenAt;
-            if (!host.ready || !wanted.getAsBoolean() || leftNanos <= 0) {
+            if (!endpoint.ready || !wanted.getAsBoolean() || leftNanos <= 0) {
                 finish(Outcome.IGNORED, null);
                 return;
             }
@@ -375,7 +388,7 @@
                 if (f.isSuccess() || over || answered) {
                     return;
                 }
-                if (reused || fresh < MOST_FRESH) {
+                if (reused || fresh < MAX_NEW_CONNECTIONS) {
                     idleFor = 0;
                     release();
                     connect();
@@ -386,7 +399,7 @@
         }
 
         /** Reads on after {@link Reading#piece} asked not to. */
-        public void readOn() {
+        public void resumeReading() {
             if (connection != null) {
                 connection.channel.config().setAutoRead(true);
             }
@@ -418,7 +431,7 @@
 
         /** The connection is gone. Only if the write did not reach the last byte has it surely not run. */
         private void broken() {
-            stale = idleFor > 0 && System.nanoTime() - writtenAt < STALE_NANOS;
+            stale = idleFor > 0 && System.nanoTime() - writtenAt < STALE_RESET_NANOS;
             learnIdle();
             finish(written.isSuccess() ? Outcome.RESET : Outcome.CONNECT_ERROR, null);
         }
@@ -451,7 +464,7 @@
         }
 
         /** Closes what the attempt still holds before its end is told: what follows may be another. */
-        private void finish(Outcome outcome, Answer answer) {
+        private void finish(Outcome outcome, Response answer) {
             if (over) {
                 return;
             }
@@ -475,7 +488,7 @@
 
     /** One connection to a host: busy with one attempt, or idle in its host's list, or closed. */
     private final class Connection extends SimpleChannelInboundHandler<HttpObject> {
-        private final Host host;
+        private final Endpoint endpoint;
         private final HostChannel channel = new HostChannel();
         private final ByteBuf body = BUFFERS.buffer();
         private Attempt current;
@@ -487,14 +500,14 @@
         private int interim;
         private boolean reusable = true;
         private Outcome outcome;
-        private Answer answer;
+        private Response answer;
         /** Whether the answer at hand goes on in pieces. */
         private boolean streaming;
         /** Whether the answer at hand belongs to an earlier request. */
         private boolean passedOver;
 
         /** What comes while nothing is asked belongs to no request, read to its end or not. */
-        private final Framing.ResponseDecoder decoder = new Framing.ResponseDecoder() {
+        private final HttpFraming.ResponseDecoder decoder = new HttpFraming.ResponseDecoder() {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object in) throws Exception {
                 if (current == null) {
@@ -511,8 +524,8 @@
             }
         };
 
-        Connection(Host host) {
-            this.host = host;
+        Connection(Endpoint endpoint) {
+            this.endpoint = endpoint;
         }
 
         ChannelInitializer<SocketChannel> pipeline() {
@@ -526,7 +539,7 @@
 
         void leaveIdle() {
             if (idle.remove(this)) {
-                host.idle.remove(this);
+                endpoint.idle.remove(this);
             }
         }
 
@@ -568,7 +581,7 @@
                     return;
                 }
                 if (streaming) {
-                    if (content.content().isReadable() && !current.reading.piece(content.content())) {
+                    if (content.content().isReadable() && !current.responseHandler.piece(content.content())) {
                         channel.config().setAutoRead(false);
                     }
                     if (in instanceof LastHttpContent && current != null) {
@@ -576,7 +589,7 @@
                     }
                     return;
                 }
-                if (body.readableBytes() + content.content().readableBytes() > Framing.MOST_BODY) {
+                if (body.readableBytes() + content.content().readableBytes() > HttpFraming.MAX_BODY_BYTES) {
                     spoilt();
                     return;
                 }
@@ -590,16 +603,16 @@
         private void begin(HttpResponse response) {
             head = response;
             int status = response.status().code();
-            boolean interimToo = status < 200 && status != 101 && ++interim <= MOST_INTERIM;
-            boolean stated = current.forHead() || Framing.statesLength(response.headers());
+            boolean interimToo = status < 200 && status != 101 && ++interim <= MAX_INTERIM_RESPONSES;
+            boolean stated = current.forHead() || HttpFraming.statesLength(response.headers());
             boolean good = status >= 200 && status < 300;
-            if (!Framing.sound(response) || status < 200 && !interimToo || good && !stated) {
+            if (!HttpFraming.sound(response) || status < 200 && !interimToo || good && !stated) {
                 spoilt();
             } else if (status >= 200 && !ours(response, stated)) {
                 return;
-            } else if (good && current.reading.streams(response)) {
+            } else if (good && current.responseHandler.streams(response)) {
                 streaming = true;
-            } else if (Framing.tooLong(response.headers(), Framing.MOST_BODY)) {
+            } else if (HttpFraming.tooLong(response.headers(), HttpFraming.MAX_BODY_BYTES)) {
                 spoilt();
             } else if (status > 200 && !stated) {
                 whole();
@@ -609,13 +622,13 @@
 
         /** Whether the answer is the open request's; an earlier one's can be passed over only if its end is known. */
         private boolean ours(HttpResponse response, boolean stated) {
-            Match match = current.reading.match(response);
-            if (match == Match.EARLIER && stated) {
+            ResponseMatch match = current.responseHandler.match(response);
+            if (match == ResponseMatch.EARLIER && stated) {
                 passedOver = true;
-            } else if (match != Match.OURS) {
+            } else if (match != ResponseMatch.OURS) {
                 spoilt();
             }
-            return match == Match.OURS;
+            return match == ResponseMatch.OURS;
         }
 
         private void spoilt() {
@@ -625,17 +638,17 @@
 
         /** Keeps the answer until the read is over: what follows it unasked ends the connection. */
         private void whole() {
-            outcome = current.reading.outcome(head);
+            outcome = current.responseHandler.outcome(head);
             reusable = HttpUtil.isKeepAlive(head) && current.written.isSuccess();
-            long keepS = Framing.keepAliveSeconds(head.headers());
-            keepNanos = keepS < 0 ? Long.MAX_VALUE : (long) (IDLE_PART * 1e9 * keepS);
-            if (outcome == Outcome.OK || current.reading.whole()) {
+            long keepS = HttpFraming.keepAliveSeconds(head.headers());
+            keepNanos = keepS < 0 ? Long.MAX_VALUE : (long) (IDLE_TIMEOUT_FRACTION * 1e9 * keepS);
+            if (outcome == Outcome.OK || current.responseHandler.whole()) {
                 byte[] bytes = new byte[body.readableBytes()];
                 body.readBytes(bytes);
-                answer = new Answer(
+                answer = new Response(
                         bytes,
                         head.headers().get(HttpHeaderNames.CONTENT_TYPE),
-                        current.reading.whole() ? head.headers() : null);
+                        current.responseHandler.whole() ? head.headers() : null);
             }
         }
 
@@ -649,7 +662,7 @@
         private void deliver() {
             Attempt ended = current;
             Outcome how = outcome;
-            Answer what = answer;
+            Response what = answer;
             current = null;
             outcome = null;
             answer = null;
@@ -657,9 +670,9 @@
             streaming = false;
             channel.config().setAutoRead(true);
             body.clear();
-            if (reusable && !decoder.holdsMore() && host.ready && channel.isActive()) {
+            if (reusable && !decoder.holdsMore() && endpoint.ready && channel.isActive()) {
                 idleAt = System.nanoTime();
-                host.idle.push(this);
+                endpoint.idle.push(this);
                 idle.add(this);
             } else {
                 channel.close();
--- a/src/main/java/quartzspan/http/Framing.java
+++ b/src/main/java/quartzspan/http/HttpFraming.java
@@ -17,25 +17,25 @@
  * Where a message begins and ends, strictly by RFC 9112. The codec mends what is ambiguous and reads on; one
  * in the middle must not: what the two sides of it read differently hides a second request or a cut answer.
  */
-public final class Framing {
-    public static final int MOST_BODY = 64 * 1024;
+public final class HttpFraming {
+    public static final int MAX_BODY_BYTES = 64 * 1024;
     /** The codec's own bound of a head. */
-    public static final int MOST_HEAD = 8 * 1024;
+    public static final int MAX_HEADER_BYTES = 8 * 1024;
 
-    private static HttpDecoderConfig strict(int mostHead) {
+    private static HttpDecoderConfig strict(int maxHeaderBytes) {
         return new HttpDecoderConfig()
                 .setStrictLineParsing(true)
                 .setAllowDuplicateContentLengths(false)
-                .setMaxInitialLineLength(mostHead / 2)
-                .setMaxHeaderSize(mostHead);
+                .setMaxInitialLineLength(maxHeaderBytes / 2)
+                .setMaxHeaderSize(maxHeaderBytes);
     }
 
-    private Framing() {}
+    private HttpFraming() {}
 
     /** Decodes requests of clients; what no decoder may guess at ends the connection. */
     static class RequestDecoder extends HttpRequestDecoder {
-        RequestDecoder(int mostHead) {
-            super(strict(mostHead));
+        RequestDecoder(int maxHeaderBytes) {
+            super(strict(maxHeaderBytes));
         }
 
         @Override
@@ -53,7 +53,7 @@
     /** Decodes answers of servers; what no decoder may guess at ends the connection. */
     static class ResponseDecoder extends HttpResponseDecoder {
         ResponseDecoder() {
-            super(strict(MOST_HEAD));
+            super(strict(MAX_HEADER_BYTES));
         }
 
         /** Whether it holds the beginning of something that it could not yet make a message of. */
--- a/src/main/java/quartzspan/http/Frontend.java
+++ b/src/main/java/quartzspan/http/HttpServer.java
@@ -41,17 +41,17 @@
  * What clients connect to. It reads requests, hands them to the {@link Desk} behind it and writes final answers, one at a time on each connection. Nothing that a client sends, or does not send,
  * may cost more than its own connection.
  */
-public final class Frontend {
+public final class HttpServer {
     /** Who answers requests. All calls come on the event loop. */
-    public interface Desk {
+    public interface RequestHandler {
         /** The present time, microseconds. */
         long now();
 
         /** A whole request, read at {@code at}; it is to be answered once, now or later. */
-        void take(Client client, HttpRequest in, byte[] body, long at);
+        void take(ClientConnection client, HttpRequest in, byte[] body, long at);
 
         /** What clients may do; asked anew for each connection. */
-        Terms terms();
+        ConnectionLimits limits();
     }
 
     /**
@@ -63,16 +63,17 @@
      * @param quietMs how long a connection may be without a request
      * @param readMs how long a request may take to come in whole
      */
-    public record Terms(int mostClients, int mostHead, int mostBody, long quietMs, long readMs) {}
+    public record ConnectionLimits(
+            int maxConnections, int maxHeaderBytes, int maxBodyBytes, long idleTimeoutMs, long requestTimeoutMs) {}
 
     /**
      * What a client may send ahead of its answers before reading stops: requests, and bytes of bodies. All
      * clients together may send {@code MOST_HELD} bytes ahead; above that only what is not yet whole is read.
      */
-    private static final int MOST_AHEAD = 16;
+    private static final int MAX_PIPELINED_REQUESTS = 16;
 
-    private static final int MOST_AHEAD_BYTES = Framing.MOST_BODY;
-    private static final int MOST_HELD = 8 * 1024 * 1024;
+    private static final int MAX_PIPELINED_BYTES = HttpFraming.MAX_BODY_BYTES;
+    private static final int MAX_BUFFERED_BYTES = 8 * 1024 * 1024;
     /**
      * One read at most, so that what is decoded after reading has been stopped stays small. Reads go on until
      * there is nothing more, or others have their turn: a client that has left behind its request shows by the
@@ -80,46 +81,46 @@
      */
     private static final int READ_BYTES = 8 * 1024;
 
-    private static final int MOST_READS = 16;
+    private static final int MAX_READS = 16;
     /** While reading has stopped, one read now and then tells of a client that left. */
-    private static final long PEEK_MS = 200;
+    private static final long PEEK_INTERVAL_MS = 200;
 
-    private static final long SWEEP_MS = 100;
+    private static final long SWEEP_INTERVAL_MS = 100;
     /**
      * Clients know of no other place to go: for as long as there is time they are served where they are.
      * New connections come for 0.4 s after SIGTERM; answers end their connection from some time before
      * SIGKILL on, and when each client has had time for one more, nothing more is taken.
      */
-    private static final long FEWEST_DRAIN_MS = 400;
+    private static final long MIN_DRAIN_MS = 400;
 
-    private static final long LEAVE_MS = 900;
-    private static final long LAST_CALL_MS = 300;
+    private static final long CLOSE_MARGIN_MS = 900;
+    private static final long LAST_REQUEST_MS = 300;
 
-    private final Desk desk;
+    private final RequestHandler handler;
     private final EventLoop loop;
     private final ChannelGroup clients;
-    private Terms terms;
+    private ConnectionLimits limits;
     /** Connections without an open request, the longest quiet first. */
-    private final LinkedHashSet<Client> quiet = new LinkedHashSet<>();
+    private final LinkedHashSet<ClientConnection> idleConnections = new LinkedHashSet<>();
     /** Connections in the middle of a request, the longest first. */
-    private final LinkedHashSet<Client> reading = new LinkedHashSet<>();
+    private final LinkedHashSet<ClientConnection> responseHandler = new LinkedHashSet<>();
 
     private long held;
     private Channel server;
     private boolean draining;
     private boolean leaving;
     private boolean deaf;
-    private int busyClients;
+    private int busyConnections;
 
-    public Frontend(Desk desk, EventLoop loop) {
-        this.desk = desk;
+    public HttpServer(RequestHandler handler, EventLoop loop) {
+        this.handler = handler;
         this.loop = loop;
-        this.terms = desk.terms();
+        this.limits = handler.limits();
         this.clients = new DefaultChannelGroup(loop);
     }
 
     public ChannelFuture listen(InetSocketAddress address) {
-        loop.scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(this::sweep, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
         return bind(address);
     }
 
@@ -127,23 +128,23 @@
         ChannelFuture bound = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
-                .option(ChannelOption.ALLOCATOR, Upstream.BUFFERS)
+                .option(ChannelOption.ALLOCATOR, ConnectionPool.BUFFERS)
                 .option(ChannelOption.SO_BACKLOG, 1024)
-                .childOption(ChannelOption.ALLOCATOR, Upstream.BUFFERS)
+                .childOption(ChannelOption.ALLOCATOR, ConnectionPool.BUFFERS)
                 .childOption(
                         ChannelOption.RECVBUF_ALLOCATOR,
                         new FixedRecvByteBufAllocator(READ_BYTES)
                                 .respectMaybeMoreData(false)
-                                .maxMessagesPerRead(MOST_READS))
+                                .maxMessagesPerRead(MAX_READS))
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel ch) {
-                        terms = desk.terms();
-                        Client client = new Client(ch);
+                        limits = handler.limits();
+                        ClientConnection client = new ClientConnection(ch);
                         ch.pipeline()
                                 .addLast(
-                                        new Framing.RequestDecoder(terms.mostHead()),
+                                        new HttpFraming.RequestDecoder(limits.maxHeaderBytes()),
                                         new HttpResponseEncoder(),
                                         client);
                         admit(ch, client);
@@ -155,34 +156,38 @@
     }
 
     /** At the most, the longest quiet one makes room; where all have a request open, a new one must wait. */
-    private void admit(SocketChannel ch, Client client) {
-        if (clients.size() >= terms.mostClients() && !quiet.isEmpty()) {
-            Client longest = quiet.iterator().next();
-            quiet.remove(longest);
+    private void admit(SocketChannel ch, ClientConnection client) {
+        if (clients.size() >= limits.maxConnections() && !idleConnections.isEmpty()) {
+            ClientConnection longest = idleConnections.iterator().next();
+            idleConnections.remove(longest);
             longest.channel.close();
         }
         clients.add(ch);
-        client.hush();
+        client.markIdle();
         ch.closeFuture().addListener(f -> acceptIfRoom(ch));
     }
 
     private void acceptIfRoom(Channel client) {
-        client.parent().config().setAutoRead(clients.size() < terms.mostClients() || !quiet.isEmpty());
+        client.parent().config().setAutoRead(clients.size() < limits.maxConnections() || !idleConnections.isEmpty());
     }
 
     private void sweep() {
         long now = System.nanoTime();
-        long quietFor = TimeUnit.MILLISECONDS.toNanos(terms.quietMs());
-        for (Client c; !quiet.isEmpty() && now - (c = quiet.iterator().next()).quietAt > quietFor; ) {
+        long idleForNanos = TimeUnit.MILLISECONDS.toNanos(limits.idleTimeoutMs());
+        for (ClientConnection c;
+                !idleConnections.isEmpty()
+                        && now - (c = idleConnections.iterator().next()).idleSinceNanos > idleForNanos; ) {
             c.tooLong();
         }
-        long readFor = TimeUnit.MILLISECONDS.toNanos(terms.readMs());
-        for (Client c; !reading.isEmpty() && now - (c = reading.iterator().next()).readAt > readFor; ) {
-            reading.remove(c);
+        long readFor = TimeUnit.MILLISECONDS.toNanos(limits.requestTimeoutMs());
+        for (ClientConnection c;
+                !responseHandler.isEmpty()
+                        && now - (c = responseHandler.iterator().next()).readAt > readFor; ) {
+            responseHandler.remove(c);
             if (c.busy) {
                 // Its next request has time anew: what is open must not end with it.
                 c.readAt = now;
-                reading.add(c);
+                responseHandler.add(c);
             } else {
                 c.tooLong();
             }
@@ -202,14 +207,14 @@
      */
     public void drain(long leftMs, Runnable done) {
         draining = true;
-        long leaveMs = Math.max(FEWEST_DRAIN_MS, leftMs - LEAVE_MS);
+        long leaveMs = Math.max(MIN_DRAIN_MS, leftMs - CLOSE_MARGIN_MS);
         loop.schedule(() -> leaving = true, leaveMs, TimeUnit.MILLISECONDS);
         loop.schedule(
                 () -> {
                     close();
                     clients.newCloseFuture().addListener((Future<Void> f) -> done.run());
                 },
-                leaveMs + LAST_CALL_MS,
+                leaveMs + LAST_REQUEST_MS,
                 TimeUnit.MILLISECONDS);
     }
 
@@ -229,24 +234,24 @@
         if (server != null) {
             server.close();
         }
-        clients.forEach(c -> c.pipeline().get(Client.class).lastCall());
+        clients.forEach(c -> c.pipeline().get(ClientConnection.class).closeIfIdle());
     }
 
     /** Closes the connections that were used before and have nothing in flight: a request that crosses that is not taken. */
     public void closeIdle() {
-        quiet.stream().filter(Client::isIdle).toList().forEach(client -> client.channel.close());
+        idleConnections.stream().filter(ClientConnection::isIdle).toList().forEach(client -> client.channel.close());
     }
 
     /** Requests taken and not yet answered, and those being read. */
     public boolean idle() {
-        return busyClients == 0 && reading.isEmpty();
+        return busyConnections == 0 && responseHandler.isEmpty();
     }
 
     /** One connection of a client. */
-    public final class Client extends SimpleChannelInboundHandler<HttpObject> {
+    public final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
         private final Channel channel;
-        private final ArrayDeque<Ahead> ahead = new ArrayDeque<>();
-        private int aheadBytes;
+        private final ArrayDeque<QueuedRequest> ahead = new ArrayDeque<>();
+        private int queuedBytes;
         /** The request being read, its body so far, and whether the client waits to be told to send it. */
         private HttpRequest head;
 
@@ -261,15 +266,15 @@
         private boolean peeking;
         private boolean keepAlive;
         private boolean lastAnswer;
-        private long quietAt;
+        private long idleSinceNanos;
         private long readAt;
         private Runnable gone;
         private Runnable writable;
 
         /** A request as read, or what is to be said of one that can't be. */
-        private record Ahead(HttpRequest head, byte[] body, long at, HttpResponseStatus error) {}
+        private record QueuedRequest(HttpRequest head, byte[] body, long at, HttpResponseStatus error) {}
 
-        Client(Channel channel) {
+        ClientConnection(Channel channel) {
             this.channel = channel;
         }
 
@@ -304,17 +309,17 @@
         private void begin(HttpRequest request) {
             String expected = request.headers().get(HttpHeaderNames.EXPECT);
             expects = expected != null;
-            if (!Framing.sound(request)) {
+            if (!HttpFraming.sound(request)) {
                 unreadable(HttpResponseStatus.BAD_REQUEST);
-            } else if (Framing.tooLong(request.headers(), terms.mostBody())) {
+            } else if (HttpFraming.tooLong(request.headers(), limits.maxBodyBytes())) {
                 unreadable(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
             } else if (expects && !HttpHeaderValues.CONTINUE.contentEqualsIgnoreCase(expected)) {
                 unreadable(HttpResponseStatus.EXPECTATION_FAILED);
             } else {
                 head = request;
                 readAt = System.nanoTime();
-                reading.add(this);
-                body = Upstream.BUFFERS.buffer();
+                responseHandler.add(this);
+                body = ConnectionPool.BUFFERS.buffer();
                 goAhead();
             }
         }
@@ -329,7 +334,7 @@
         }
 
         private void append(ByteBuf more) {
-            if (body.readableBytes() + more.readableBytes() > terms.mostBody()) {
+            if (body.readableBytes() + more.readableBytes() > limits.maxBodyBytes()) {
                 unreadable(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
             } else {
                 hold(more.readableBytes());
@@ -342,23 +347,23 @@
             body.readBytes(whole);
             HttpRequest request = head;
             head = null;
-            reading.remove(this);
-            wait(new Ahead(request, whole, desk.now(), null));
+            responseHandler.remove(this);
+            wait(new QueuedRequest(request, whole, handler.now(), null));
         }
 
         /** The last that is read of this client: what it sent before is served, then it is told. */
         private void unreadable(HttpResponseStatus error) {
             lost = true;
             head = null;
-            reading.remove(this);
-            wait(new Ahead(null, new byte[0], 0, error));
+            responseHandler.remove(this);
+            wait(new QueuedRequest(null, new byte[0], 0, error));
         }
 
         /** A request has its turn when all that is there has been read, and never if its client has left. */
-        private void wait(Ahead next) {
-            quiet.remove(this);
+        private void wait(QueuedRequest next) {
+            idleConnections.remove(this);
             ahead.add(next);
-            readOn();
+            resumeReading();
         }
 
         @Override
@@ -369,29 +374,31 @@
         }
 
         private void hold(int bytes) {
-            aheadBytes += bytes;
+            queuedBytes += bytes;
             held += bytes;
         }
 
         /** Reading stops while enough waits. Only a read shows that a client left: one is made at times. */
-        private void readOn() {
+        private void resumeReading() {
             boolean enough = (busy || !ahead.isEmpty())
                     && !lost
-                    && (ahead.size() >= MOST_AHEAD || aheadBytes >= MOST_AHEAD_BYTES || held >= MOST_HELD);
+                    && (ahead.size() >= MAX_PIPELINED_REQUESTS
+                            || queuedBytes >= MAX_PIPELINED_BYTES
+                            || held >= MAX_BUFFERED_BYTES);
             channel.config().setAutoRead(!enough);
             if (enough && !peeking) {
                 peeking = true;
-                loop.schedule(this::peek, PEEK_MS, TimeUnit.MILLISECONDS);
+                loop.schedule(this::peek, PEEK_INTERVAL_MS, TimeUnit.MILLISECONDS);
             }
         }
 
         private void peek() {
             peeking = false;
             if (channel.isActive()) {
-                if (aheadBytes < 2 * MOST_AHEAD_BYTES && held < MOST_HELD) {
+                if (queuedBytes < 2 * MAX_PIPELINED_BYTES && held < MAX_BUFFERED_BYTES) {
                     channel.read();
                 }
-                readOn();
+                resumeReading();
             }
         }
 
@@ -404,25 +411,25 @@
             }
             pumping = true;
             while (!busy && !ahead.isEmpty() && channel.isActive()) {
-                Ahead next = ahead.poll();
+                QueuedRequest next = ahead.poll();
                 hold(-next.body().length);
                 handle(next);
             }
             pumping = false;
             goAhead();
-            readOn();
+            resumeReading();
         }
 
-        private void handle(Ahead next) {
+        private void handle(QueuedRequest next) {
             busy = true;
             served = true;
-            busyClients++;
+            busyConnections++;
             HttpRequest in = next.head();
             keepAlive = in != null && HttpUtil.isKeepAlive(in);
             if (in == null) {
                 answer(next.error());
             } else {
-                desk.take(this, in, next.body(), next.at());
+                handler.take(this, in, next.body(), next.at());
             }
         }
 
@@ -432,11 +439,11 @@
         }
 
         public void answer(HttpResponseStatus status) {
-            answer(status, Upstream.Answer.EMPTY, 0);
+            answer(status, ConnectionPool.Response.EMPTY, 0);
         }
 
         /** The final answer of the request at hand; the next has its turn when this one is written. */
-        public void answer(HttpResponseStatus status, Upstream.Answer what, long retryAfterUs) {
+        public void answer(HttpResponseStatus status, ConnectionPool.Response what, long retryAfterUs) {
             gone = null;
             DefaultFullHttpResponse out =
                     new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(what.body()));
@@ -456,7 +463,7 @@
                 out.headers().add(what.headers());
             }
             boolean last = last(out);
-            hush();
+            markIdle();
             channel.writeAndFlush(out).addListener(written -> over(last, written));
         }
 
@@ -470,7 +477,7 @@
 
         private void over(boolean last, Future<?> written) {
             if (busy) {
-                busyClients--;
+                busyConnections--;
                 busy = false;
             }
             if (last || !written.isSuccess()) {
@@ -494,7 +501,7 @@
         /** The answer is whole. */
         public void finish() {
             gone = null;
-            hush();
+            markIdle();
             boolean last = lastAnswer;
             channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(written -> over(last, written));
         }
@@ -519,11 +526,11 @@
         }
 
         /** From here on the connection is quiet: also one whose client does not read its answer. */
-        private void hush() {
+        private void markIdle() {
             if (channel.isActive()) {
-                quietAt = System.nanoTime();
-                quiet.remove(this);
-                quiet.add(this);
+                idleSinceNanos = System.nanoTime();
+                idleConnections.remove(this);
+                idleConnections.add(this);
                 acceptIfRoom(channel);
             }
         }
@@ -533,10 +540,10 @@
         }
 
         private void tooLong() {
-            quiet.remove(this);
+            idleConnections.remove(this);
             if (head != null && !busy) {
                 busy = true;
-                busyClients++;
+                busyConnections++;
                 keepAlive = false;
                 answer(HttpResponseStatus.REQUEST_TIMEOUT);
             } else {
@@ -545,7 +552,7 @@
         }
 
         /** What is open has its answer first, and reading only tells whether its client is still there. */
-        private void lastCall() {
+        private void closeIfIdle() {
             if (!busy && ahead.isEmpty()) {
                 channel.close();
             }
@@ -553,14 +560,14 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            quiet.remove(this);
-            reading.remove(this);
+            idleConnections.remove(this);
+            responseHandler.remove(this);
             ahead.clear();
-            held -= aheadBytes;
-            aheadBytes = 0;
+            held -= queuedBytes;
+            queuedBytes = 0;
             if (busy) {
                 busy = false;
-                busyClients--;
+                busyConnections--;
             }
             if (gone != null) {
                 gone.run();
--- a/src/main/java/quartzspan/http/IdleLimit.java
+++ b/src/main/java/quartzspan/http/IdleTimeout.java
@@ -5,7 +5,7 @@
  * it says, and tell nobody: the next request on such a connection is reset, and may have run for all that is known. The
  * limit is cut when that happens and grows again while it does not. Times are nanoseconds.
  */
-final class IdleLimit {
+final class IdleTimeout {
     private static final long LEAST_NANOS = 100_000_000;
     private static final double CUT = 0.8;
     private static final double GROW = 1.1;
@@ -16,7 +16,7 @@
     private long nanos;
     private long staleAt;
 
-    IdleLimit(long mostNanos) {
+    IdleTimeout(long mostNanos) {
         this.mostNanos = mostNanos;
         this.nanos = mostNanos;
     }
--- a/src/main/java/quartzspan/http/Call.java
+++ b/src/main/java/quartzspan/http/OutgoingRequest.java
@@ -13,11 +13,11 @@
 import java.util.Map;
 
 /** A request as it goes on to a host: all that the client sent but what concerns its own connection. */
-public record Call(String method, String uri, HttpHeaders headers, byte[] body) {
+public record OutgoingRequest(String method, String uri, HttpHeaders headers, byte[] body) {
     public static final AsciiString DEADLINE = AsciiString.cached("x-deadline-ms");
 
     /** Hop-by-hop headers (RFC 9110, 7.6.1), and those that are written anew for each attempt. */
-    private static final List<AsciiString> OWN = List.of(
+    private static final List<AsciiString> DEFAULT_HANDLER = List.of(
             HttpHeaderNames.CONNECTION,
             AsciiString.cached("keep-alive"),
             AsciiString.cached("proxy-connection"),
@@ -29,17 +29,17 @@
             HttpHeaderNames.CONTENT_LENGTH,
             DEADLINE);
 
-    public static Call of(HttpRequest in, byte[] body) {
+    public static OutgoingRequest of(HttpRequest in, byte[] body) {
         HttpHeaders headers = new DefaultHttpHeaders().set(in.headers());
         in.headers().getAll(HttpHeaderNames.CONNECTION).forEach(names -> List.of(names.split(","))
                 .forEach(name -> headers.remove(name.trim())));
-        OWN.forEach(headers::remove);
-        return new Call(in.method().name(), in.uri(), headers, body);
+        DEFAULT_HANDLER.forEach(headers::remove);
+        return new OutgoingRequest(in.method().name(), in.uri(), headers, body);
     }
 
     /** A probe. */
-    public static Call health() {
-        return new Call(
+    public static OutgoingRequest health() {
+        return new OutgoingRequest(
                 "GET", "/-/healthy", new DefaultHttpHeaders().set(HttpHeaderNames.HOST, "origin.svc"), new byte[0]);
     }
 
--- a/src/main/java/quartzspan/loadbalancing/Balancer.java
+++ b/src/main/java/quartzspan/loadbalancing/LoadBalancer.java
@@ -9,7 +9,7 @@
  * <p>All times and durations are microseconds. The clock may start anywhere and never runs backwards. The
  * module has no clock, thread or I/O of its own, and equal events give equal actions.
  */
-public interface Balancer {
+public interface LoadBalancer {
 
     /**
      * Makes an instance that knows no endpoints yet.
@@ -20,8 +20,8 @@
      * @param actions receives the decisions
      * @return the instance
      */
-    static Balancer create(Settings settings, long seed, long now, Actions actions) {
-        return new Logic(settings, seed, now, actions);
+    static LoadBalancer create(Settings settings, long seed, long now, Actions actions) {
+        return new RingHashLoadBalancer(settings, seed, now, actions);
     }
 
     /** A complete list (endpoints it lacks are gone) or, with {@code full} false, changed entries only. */
@@ -70,7 +70,7 @@
         /** Asks discovery for the list and for every change from here on. */
         void subscribe();
 
-        /** Asks for {@link Balancer#onTimer} at this time or soon after. */
+        /** Asks for {@link LoadBalancer#onTimer} at this time or soon after. */
         void wakeAt(long atUs);
     }
 
--- a/src/main/java/quartzspan/loadbalancing/Placement.java
+++ b/src/main/java/quartzspan/loadbalancing/PrefixAwarePlacement.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import quartzspan.loadbalancing.Balancer.Outcome;
+import quartzspan.loadbalancing.LoadBalancer.Outcome;
 
 /**
  * Where a proxy of the fleet sends each request: ring hash as in gRPC A76, one ring for each service, for servers that run
@@ -18,7 +18,7 @@
  * walks from a random hash: a usable server without a connection takes it if it comes before any connected one and no
  * connection is being opened, else the first usable connected one does.
  */
-public final class Placement {
+public final class PrefixAwarePlacement {
     /** Ring points of a server. */
     private static final int POINTS = 120;
     /** Bounded load: a server may have this multiple of its fair part of the work that is out. */
@@ -107,7 +107,7 @@
         }
     };
 
-    public Placement(long seed, Connections connections) {
+    public PrefixAwarePlacement(long seed, Connections connections) {
         this.random = new SplittableRandom(seed);
         this.connections = connections;
     }
--- a/src/main/java/quartzspan/loadbalancing/Logic.java
+++ b/src/main/java/quartzspan/loadbalancing/RingHashLoadBalancer.java
@@ -14,7 +14,7 @@
 import quartzspan.loadbalancing.State.Req;
 
 /**
- * Every decision of the client proxy; types, events and actions are in {@link Balancer} (Balancer.java).
+ * Every decision of the client proxy; types, events and actions are in {@link LoadBalancer} (LoadBalancer.java).
  *
  * <p>The path of a request. Where the whole fleet is late, only a share is admitted, by worth. It is given a
  * point on the ring: the hash of its key, or a random one. From there {@link #pick} walks the ring to the
@@ -25,7 +25,7 @@
  * goes to the next owner if effect, time and the retry budget permit; else the request is refused where that
  * is a true statement, and failed where not. A sweep finds endpoints that fell silent.
  */
-final class Logic implements Balancer {
+final class RingHashLoadBalancer implements LoadBalancer {
 
     // ---- constants -----------------------------------------------------------------------------------
 
@@ -208,7 +208,7 @@
     private long askAt;
     private long askWait = ASK_AGAIN_US;
 
-    Logic(Settings settings, long seed, long now, Actions out) {
+    RingHashLoadBalancer(Settings settings, long seed, long now, Actions out) {
         this.settings = settings;
         this.out = out;
         this.random = new SplittableRandom(seed);
--- a/src/main/java/quartzspan/loadbalancing/State.java
+++ b/src/main/java/quartzspan/loadbalancing/State.java
@@ -2,11 +2,11 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import quartzspan.loadbalancing.Balancer.Outcome;
-import quartzspan.loadbalancing.Balancer.Request;
-import quartzspan.loadbalancing.Balancer.RequestClass;
+import quartzspan.loadbalancing.LoadBalancer.Outcome;
+import quartzspan.loadbalancing.LoadBalancer.Request;
+import quartzspan.loadbalancing.LoadBalancer.RequestClass;
 
-/** What {@link Logic} remembers of endpoints, requests and attempts; it holds figures and decides nothing. */
+/** What {@link RingHashLoadBalancer} remembers of endpoints, requests and attempts; it holds figures and decides nothing. */
 final class State {
     private State() {}
 
--- a/src/main/java/quartzspan/localrun/Main.java
+++ b/src/main/java/quartzspan/localrun/Main.java
@@ -23,8 +23,8 @@
 import java.util.stream.Stream;
 import quartzspan.common.Settings;
 import quartzspan.configuration.Configuration;
-import quartzspan.http.Frontend;
-import quartzspan.http.Upstream;
+import quartzspan.http.ConnectionPool;
+import quartzspan.http.HttpServer;
 
 /**
  * For the build: starts a core machine, a proxy and a stand-in server on loopback in one process, carries a few requests and
@@ -168,28 +168,28 @@
     private static int server() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
-        Frontend frontend = loop.submit(() -> new Frontend(
-                        new Frontend.Desk() {
+        HttpServer frontend = loop.submit(() -> new HttpServer(
+                        new HttpServer.RequestHandler() {
                             @Override
                             public long now() {
                                 return System.nanoTime() / 1000;
                             }
 
                             @Override
-                            public void take(Frontend.Client client, HttpRequest in, byte[] body, long at) {
+                            public void take(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
                                 HttpHeaders marks = new DefaultHttpHeaders()
                                         .set("X-Attempt-Id", in.headers().get("X-Attempt-Id", ""))
                                         .set("X-Server-Seal", "local");
                                 client.answer(
                                         HttpResponseStatus.OK,
-                                        new Upstream.Answer(
+                                        new ConnectionPool.Response(
                                                 BODY.getBytes(StandardCharsets.UTF_8), "text/event-stream", marks),
                                         0);
                             }
 
                             @Override
-                            public Frontend.Terms terms() {
-                                return new Frontend.Terms(64, 16 * 1024, 64 * 1024, 30_000, 30_000);
+                            public HttpServer.ConnectionLimits limits() {
+                                return new HttpServer.ConnectionLimits(64, 16 * 1024, 64 * 1024, 30_000, 30_000);
                             }
                         },
                         loop))
--- a/src/main/java/quartzspan/promptindex/KvEventFollower.java
+++ b/src/main/java/quartzspan/prefixcache/KvEventReader.java
@@ -1,4 +1,4 @@
-package quartzspan.promptindex;
+package quartzspan.prefixcache;
 
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -8,18 +8,18 @@
  * Follows what one server keeps, by its events, and by its list where events were missed. No clock, no I/O: it says what to
  * ask, is told the answer, and says what is news. Times are milliseconds of a steady clock.
  */
-public final class KvEventFollower {
+public final class KvEventReader {
     /** Time between calls: each that comes back at once costs the server as much as a health check. */
-    private static final long PACE_MS = 450;
+    private static final long CALL_INTERVAL_MS = 450;
 
-    private static final long AGAIN_MS = 700;
+    private static final long RETRY_INTERVAL_MS = 700;
     /** Failures in a row after which nothing it keeps is of use. */
-    private static final int FAILURES = 2;
+    private static final int MAX_FAILURES = 2;
     /** A list holds the server up; not more often than this. */
-    private static final long LIST_MS = 3_000;
+    private static final long LIST_INTERVAL_MS = 3_000;
 
     /** What to ask the server for. */
-    public enum Ask {
+    public enum NextCall {
         NOTHING,
         EVENTS,
         LIST
@@ -33,29 +33,29 @@
     private long seq;
     private long since;
     private long epoch = -1;
-    private boolean begun;
-    private boolean mustList;
-    private boolean asking;
+    private boolean started;
+    private boolean listRequired;
+    private boolean callInFlight;
     private int failures;
-    private long nextAt;
-    private long listedAt = Long.MIN_VALUE / 2;
+    private long nextCallAtMs;
+    private long listedAtMs = Long.MIN_VALUE / 2;
 
-    public KvEventFollower(String server, long stream) {
+    public KvEventReader(String server, long stream) {
         this.server = server;
         this.stream = stream;
     }
 
     /** What to ask now; the answer is owed before anything else is asked. */
-    public Ask due(long now) {
-        if (asking || now < nextAt) {
-            return Ask.NOTHING;
+    public NextCall due(long now) {
+        if (callInFlight || now < nextCallAtMs) {
+            return NextCall.NOTHING;
         }
-        asking = true;
-        if (mustList && now - listedAt >= LIST_MS) {
-            listedAt = now;
-            return Ask.LIST;
+        callInFlight = true;
+        if (listRequired && now - listedAtMs >= LIST_INTERVAL_MS) {
+            listedAtMs = now;
+            return NextCall.LIST;
         }
-        return Ask.EVENTS;
+        return NextCall.EVENTS;
     }
 
     /** From where events are wanted. */
@@ -64,39 +64,39 @@
     }
 
     /** The question failed; the report it makes. One that does not answer is no source to fetch from. */
-    public List<PromptIndexUpdate> failed(long now) {
-        asking = false;
-        nextAt = now + AGAIN_MS;
-        if (!begun || ++failures < FAILURES) {
+    public List<PrefixCacheUpdate> failed(long now) {
+        callInFlight = false;
+        nextCallAtMs = now + RETRY_INTERVAL_MS;
+        if (!started || ++failures < MAX_FAILURES) {
             return List.of();
         }
-        begun = false;
-        mustList = false;
+        started = false;
+        listRequired = false;
         since = 0;
-        return List.of(report(PromptIndexUpdate.Kind.WHOLE, List.of()));
+        return List.of(report(PrefixCacheUpdate.Kind.SNAPSHOT, List.of()));
     }
 
     /** Events came; the reports they make. */
-    public List<PromptIndexUpdate> events(long now, long itsEpoch, long next, boolean lost, List<Event> events) {
-        asking = false;
+    public List<PrefixCacheUpdate> events(long now, long serverEpoch, long next, boolean lost, List<Event> events) {
+        callInFlight = false;
         failures = 0;
-        nextAt = now + PACE_MS;
-        boolean first = !begun || itsEpoch != epoch;
+        nextCallAtMs = now + CALL_INTERVAL_MS;
+        boolean first = !started || serverEpoch != epoch;
         if (first) {
             // A new life keeps nothing yet, and tells its events from the first one on.
-            mustList = begun && since > 0 || lost;
-            begun = true;
-            epoch = itsEpoch;
+            listRequired = started && since > 0 || lost;
+            started = true;
+            epoch = serverEpoch;
         }
-        mustList |= lost;
+        listRequired |= lost;
         since = next;
         List<Event> outcome = outcome(events);
         if (first) {
             return List.of(report(
-                    PromptIndexUpdate.Kind.WHOLE,
+                    PrefixCacheUpdate.Kind.SNAPSHOT,
                     outcome.stream().filter(e -> e.tokens() > 0).toList()));
         }
-        return outcome.isEmpty() ? List.of() : List.of(report(PromptIndexUpdate.Kind.NEWS, outcome));
+        return outcome.isEmpty() ? List.of() : List.of(report(PrefixCacheUpdate.Kind.DELTA, outcome));
     }
 
     /**
@@ -110,25 +110,25 @@
     }
 
     /** The list came; the report it makes. */
-    public PromptIndexUpdate list(long now, long itsEpoch, long next, List<Event> held) {
-        asking = false;
+    public PrefixCacheUpdate list(long now, long serverEpoch, long next, List<Event> cached) {
+        callInFlight = false;
         failures = 0;
-        mustList = false;
-        begun = true;
-        nextAt = now + PACE_MS;
-        epoch = itsEpoch;
+        listRequired = false;
+        started = true;
+        nextCallAtMs = now + CALL_INTERVAL_MS;
+        epoch = serverEpoch;
         since = next;
-        return report(PromptIndexUpdate.Kind.WHOLE, held);
+        return report(PrefixCacheUpdate.Kind.SNAPSHOT, cached);
     }
 
-    private PromptIndexUpdate report(PromptIndexUpdate.Kind kind, List<Event> events) {
-        long[] parts = new long[Math.min(PromptIndexUpdate.MOST, events.size())];
-        int[] tokens = new int[parts.length];
-        for (int i = 0; i < parts.length; i++) {
+    private PrefixCacheUpdate report(PrefixCacheUpdate.Kind kind, List<Event> events) {
+        long[] blocks = new long[Math.min(PrefixCacheUpdate.MAX_BLOCKS, events.size())];
+        int[] tokens = new int[blocks.length];
+        for (int i = 0; i < blocks.length; i++) {
             Event e = events.get(i);
-            parts[i] = PromptIndex.part(e.salt(), e.id(), e.model());
+            blocks[i] = PrefixCacheIndex.block(e.salt(), e.id(), e.model());
             tokens[i] = e.tokens();
         }
-        return new PromptIndexUpdate(kind, server, stream, ++seq, parts, tokens);
+        return new PrefixCacheUpdate(kind, server, stream, ++seq, blocks, tokens);
     }
 }
--- a/src/main/java/quartzspan/promptindex/PromptIndex.java
+++ b/src/main/java/quartzspan/prefixcache/PrefixCacheIndex.java
@@ -1,4 +1,4 @@
-package quartzspan.promptindex;
+package quartzspan.prefixcache;
 
 import com.dynatrace.hash4j.hashing.Hashing;
 import java.util.HashMap;
@@ -8,24 +8,24 @@
  * The index of kept prompts: which server keeps how much of which part. Fed by updates; what is missed shows by their
  * numbers and is asked for whole. It may always be a little wrong: what it says is where to look, never what may be used.
  */
-public final class PromptIndex {
+public final class PrefixCacheIndex {
     /**
      * Time for the answer to a question for the whole, before it is asked again. Every report that comes meanwhile shows the
      * same gap; a question for each would bring the whole as often, the more of them the slower the link is.
      */
-    private static final long ASK_AGAIN_MS = 1_500;
+    private static final long SNAPSHOT_REQUEST_INTERVAL_MS = 1_500;
 
-    private static final class ServerParts {
-        long askedAt = Long.MIN_VALUE / 2;
+    private static final class ServerBlocks {
+        long requestedAtMs = Long.MIN_VALUE / 2;
         long stream;
         long seq;
-        final Map<Long, Integer> parts = new HashMap<>();
+        final Map<Long, Integer> blocks = new HashMap<>();
     }
 
-    private final Map<String, ServerParts> servers = new HashMap<>();
+    private final Map<String, ServerBlocks> servers = new HashMap<>();
 
     /** The name of a part: what it is kept under, its id and its model, hashed. */
-    public static long part(String salt, String id, String model) {
+    public static long block(String salt, String id, String model) {
         return Hashing.xxh3_64()
                 .hashStream()
                 .putString(salt)
@@ -39,70 +39,70 @@
      *
      * @param now milliseconds of a steady clock
      */
-    public boolean take(long now, PromptIndexUpdate c) {
-        ServerParts s = servers.computeIfAbsent(c.server(), k -> new ServerParts());
-        if (c.kind() == PromptIndexUpdate.Kind.WHOLE) {
+    public boolean take(long now, PrefixCacheUpdate c) {
+        ServerBlocks s = servers.computeIfAbsent(c.server(), k -> new ServerBlocks());
+        if (c.kind() == PrefixCacheUpdate.Kind.SNAPSHOT) {
             if (c.stream() == s.stream && c.seq() < s.seq) {
                 return false;
             }
-            s.parts.clear();
+            s.blocks.clear();
         } else if (c.stream() != s.stream || c.seq() > s.seq + 1) {
-            return asks(now, s);
+            return shouldRequestSnapshot(now, s);
         } else if (c.seq() <= s.seq) {
             return false;
         }
         s.stream = c.stream();
         s.seq = c.seq();
-        for (int i = 0; i < c.parts().length; i++) {
-            put(s, c.parts()[i], c.tokens()[i]);
+        for (int i = 0; i < c.blocks().length; i++) {
+            put(s, c.blocks()[i], c.tokens()[i]);
         }
         return false;
     }
 
-    private static boolean asks(long now, ServerParts s) {
-        if (now - s.askedAt < ASK_AGAIN_MS) {
+    private static boolean shouldRequestSnapshot(long now, ServerBlocks s) {
+        if (now - s.requestedAtMs < SNAPSHOT_REQUEST_INTERVAL_MS) {
             return false;
         }
-        s.askedAt = now;
+        s.requestedAtMs = now;
         return true;
     }
 
-    private static void put(ServerParts s, long part, int tokens) {
+    private static void put(ServerBlocks s, long block, int tokens) {
         if (tokens > 0) {
-            s.parts.put(part, tokens);
+            s.blocks.put(block, tokens);
         } else {
-            s.parts.remove(part);
+            s.blocks.remove(block);
         }
     }
 
     /** What this process saw itself: a server has read a part. */
-    public void saw(String server, long part, int tokens) {
-        put(servers.computeIfAbsent(server, k -> new ServerParts()), part, tokens);
+    public void onPrefill(String server, long block, int tokens) {
+        put(servers.computeIfAbsent(server, k -> new ServerBlocks()), block, tokens);
     }
 
     /** All that is known of a server; null if nothing is. */
-    public PromptIndexUpdate whole(String server) {
-        ServerParts s = servers.get(server);
+    public PrefixCacheUpdate snapshot(String server) {
+        ServerBlocks s = servers.get(server);
         if (s == null) {
             return null;
         }
-        int n = Math.min(PromptIndexUpdate.MOST, s.parts.size());
-        long[] parts = new long[n];
+        int n = Math.min(PrefixCacheUpdate.MAX_BLOCKS, s.blocks.size());
+        long[] blocks = new long[n];
         int[] tokens = new int[n];
         int i = 0;
-        for (Map.Entry<Long, Integer> e : s.parts.entrySet()) {
+        for (Map.Entry<Long, Integer> e : s.blocks.entrySet()) {
             if (i == n) {
                 break;
             }
-            parts[i] = e.getKey();
+            blocks[i] = e.getKey();
             tokens[i++] = e.getValue();
         }
-        return new PromptIndexUpdate(PromptIndexUpdate.Kind.WHOLE, server, s.stream, s.seq, parts, tokens);
+        return new PrefixCacheUpdate(PrefixCacheUpdate.Kind.SNAPSHOT, server, s.stream, s.seq, blocks, tokens);
     }
 
     /** Whether anything was ever reported of a server: it is there and answers. */
     public boolean knows(String server) {
-        ServerParts s = servers.get(server);
+        ServerBlocks s = servers.get(server);
         return s != null && s.seq > 0;
     }
 
@@ -117,12 +117,12 @@
     }
 
     /** Tokens that a server keeps of a prompt: of its parts in order, as far as all before are kept whole. */
-    public long kept(String server, long[] parts, long[] tokens) {
-        ServerParts s = servers.get(server);
+    public long cachedTokens(String server, long[] blocks, long[] tokens) {
+        ServerBlocks s = servers.get(server);
         long sum = 0;
         if (s != null) {
-            for (int i = 0; i < parts.length; i++) {
-                int has = s.parts.getOrDefault(parts[i], 0);
+            for (int i = 0; i < blocks.length; i++) {
+                int has = s.blocks.getOrDefault(blocks[i], 0);
                 sum += Math.min(has, tokens[i]);
                 // Memory goes by blocks: the last few tokens of a part are never kept.
                 if (has + 64 < tokens[i]) {
@@ -135,6 +135,6 @@
 
     /** Parts known, over all servers. */
     public int size() {
-        return servers.values().stream().mapToInt(s -> s.parts.size()).sum();
+        return servers.values().stream().mapToInt(s -> s.blocks.size()).sum();
     }
 }
--- a/src/main/java/quartzspan/promptindex/PromptIndexUpdate.java
+++ b/src/main/java/quartzspan/prefixcache/PrefixCacheUpdate.java
@@ -1,20 +1,20 @@
-package quartzspan.promptindex;
+package quartzspan.prefixcache;
 
 /**
  * What one process tells another of the parts that a server keeps.
  *
  * @param stream names one watcher's reports of one server; {@code seq} counts them
- * @param parts names of parts, see {@link PromptIndex#part}
+ * @param parts names of parts, see {@link PrefixCacheIndex#part}
  * @param tokens tokens kept of each now; 0 if it is kept no more
  */
-public record PromptIndexUpdate(Kind kind, String server, long stream, long seq, long[] parts, int[] tokens) {
+public record PrefixCacheUpdate(Kind kind, String server, long stream, long seq, long[] blocks, int[] tokens) {
     /** {@code WHOLE} replaces all that was known of the server; {@code ASK} asks for it. */
     public enum Kind {
-        NEWS,
-        WHOLE,
-        ASK
+        DELTA,
+        SNAPSHOT,
+        SNAPSHOT_REQUEST
     }
 
     /** No message holds more parts. */
-    public static final int MOST = 60_000;
+    public static final int MAX_BLOCKS = 60_000;
 }
--- /dev/null
+++ b/src/main/java/quartzspan/registry/AcknowledgementTracker.java
@@ -0,0 +1,108 @@
+package quartzspan.registry;
+
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.Iterator;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * Counts which core machines hold a piece of news, for news that may be acknowledged only once enough of them do. A machine
+ * counts once, however often it answers. No clock, no I/O; times are milliseconds of a steady clock.
+ */
+final class AcknowledgementTracker {
+    /** Pause before news are sent again to those who have not answered. */
+    private static final long RETRY_MS = 150;
+    /** Receipts waited for at once; beyond that the oldest is given up. */
+    static final int MAX_PENDING = 1_024;
+
+    /** News that are due again, and to whom. */
+    record Retry(long nonce, List<RegistryEntry> entries, List<String> to) {}
+
+    private static final class Pending {
+        private final int required;
+        private final List<RegistryEntry> entries;
+        private final Runnable onAcknowledged;
+        private final Set<String> recipients;
+        private final Set<String> acknowledgedBy = new HashSet<>();
+        private long sentAtMs;
+
+        Pending(
+                int required,
+                List<String> recipients,
+                List<RegistryEntry> entries,
+                Runnable onAcknowledged,
+                long sentAtMs) {
+            this.required = required;
+            this.recipients = new HashSet<>(recipients);
+            this.entries = entries;
+            this.onAcknowledged = onAcknowledged;
+            this.sentAtMs = sentAtMs;
+        }
+    }
+
+    private final Map<Long, Pending> pendingByNonce = new LinkedHashMap<>();
+
+    /**
+     * Begins to wait.
+     *
+     * @param wanted how many different machines must hold the news, at least one
+     * @param asked who is told them, and may answer
+     * @param known run once enough of them have answered
+     */
+    void track(
+            long now,
+            long nonce,
+            int required,
+            List<String> recipients,
+            List<RegistryEntry> entries,
+            Runnable onAcknowledged) {
+        pendingByNonce.put(nonce, new Pending(required, recipients, entries, onAcknowledged, now));
+        if (pendingByNonce.size() > MAX_PENDING) {
+            Iterator<Long> oldest = pendingByNonce.keySet().iterator();
+            oldest.next();
+            oldest.remove();
+        }
+    }
+
+    /** A core machine says that it holds the news. */
+    void onAcknowledgement(long nonce, String acknowledger) {
+        Pending pending = pendingByNonce.get(nonce);
+        if (pending != null
+                && pending.recipients.contains(acknowledger)
+                && pending.acknowledgedBy.add(acknowledger)
+                && pending.acknowledgedBy.size() >= pending.required) {
+            pendingByNonce.remove(nonce);
+            pending.onAcknowledged.run();
+        }
+    }
+
+    /** Nobody waits for this one any more. */
+    void cancel(long nonce) {
+        pendingByNonce.remove(nonce);
+    }
+
+    int size() {
+        return pendingByNonce.size();
+    }
+
+    /** What to send again now. */
+    List<Retry> takeDueRetries(long now, List<String> cores) {
+        List<Retry> due = new ArrayList<>();
+        pendingByNonce.forEach((nonce, pending) -> {
+            if (now - pending.sentAtMs >= RETRY_MS) {
+                pending.sentAtMs = now;
+                pending.recipients.addAll(cores);
+                due.add(new Retry(
+                        nonce,
+                        pending.entries,
+                        cores.stream()
+                                .filter(c -> !pending.acknowledgedBy.contains(c))
+                                .toList()));
+            }
+        });
+        return due;
+    }
+}
