--- a/src/main/java/quartzspan/registry/Gossip.java
+++ b/src/main/java/quartzspan/registry/Gossip.java
@@ -17,66 +17,66 @@
  */
 public final class Gossip {
     /** Time between questions to the core, and to other proxies. */
-    private static final long CORE_MS = 250;
+    private static final long CORE_QUERY_INTERVAL_MS = 250;
 
-    private static final long PEER_MS = 500;
+    private static final long PEER_QUERY_INTERVAL_MS = 500;
     /** A question not answered in this time counts against whom it was put to. */
-    private static final long PATIENCE_MS = 400;
+    private static final long QUERY_TIMEOUT_MS = 400;
     /** State older than this at a core machine is not good enough where another may have it fresher. */
-    private static final long STALE_MS = 900;
+    private static final long MAX_STALENESS_MS = 900;
     /** Who asked within this time is sent news at once. */
-    private static final long ASKED_MS = 1_500;
+    private static final long SUBSCRIPTION_MS = 1_500;
 
-    private static final int PEERS = 3;
+    private static final int PEER_COUNT = 3;
     /** News within this time of the last are collected and told together by the next tick. */
-    private static final long COLLECT_MS = 40;
+    private static final long BATCH_WINDOW_MS = 40;
 
     private static final long NEVER = Long.MIN_VALUE / 4;
-    private static final Registry.News NO_NEWS = new Registry.News(List.of(), false);
+    private static final Registry.Update NO_UPDATE = new Registry.Update(List.of(), false);
 
     /** Where messages go. */
     public interface Out {
         void send(String to, GossipMessage message);
     }
 
-    private record Asked(String to, long at, boolean full) {}
+    private record Query(String to, long at, boolean full) {}
 
     private final String self;
     private final boolean core;
     private List<String> seeds;
     private final Registry registry;
     private final Out out;
-    private final Map<Long, Asked> open = new LinkedHashMap<>();
-    private final Map<String, Long> askers = new HashMap<>();
-    private final ReceiptTracker receipts = new ReceiptTracker();
+    private final Map<Long, Query> openQueries = new LinkedHashMap<>();
+    private final Map<String, Long> subscribers = new HashMap<>();
+    private final AcknowledgementTracker acknowledgements = new AcknowledgementTracker();
     /** News that wait for the next tick; the later of two about one key stands for both. */
-    private final Map<String, RegistryEntry> untold = new LinkedHashMap<>();
+    private final Map<String, RegistryEntry> pendingEntries = new LinkedHashMap<>();
 
-    private boolean stateUntold;
+    private boolean statePending;
     /** Whether the untold state was published by this process. */
     private boolean publishes;
     /** Index of the state that was last told. */
-    private long indexTold = -1;
+    private long broadcastIndex = -1;
 
     private final StateFetch fetches;
-    private long toldAt = Long.MIN_VALUE / 2;
+    private long broadcastAtMs = Long.MIN_VALUE / 2;
     /** How often in a row a core machine left a question without a good answer. */
-    private final Map<String, Integer> poor = new HashMap<>();
+    private final Map<String, Integer> failureCounts = new HashMap<>();
 
     private long lastNonce;
-    private long coreAt;
-    private long peerAt;
-    private int turn;
-    private boolean leaving;
+    private long nextCoreQueryAtMs;
+    private long nextPeerQueryAtMs;
+    private int rotation;
+    private boolean acknowledgesNothing;
     /** Ranked lists, kept until what they come from changes. */
     private List<String> rankedCores = List.of();
 
     /** The zone whose core machines are asked first; null for none. */
     private String zone;
 
-    private long coresAsOf = -1;
+    private long rankedCoresVersion = -1;
     private List<String> rankedPeers = List.of();
-    private long peersAsOf = -1;
+    private long rankedPeersVersion = -1;
 
     /** As below, with questions numbered from 1 on: for a process that has no earlier life. */
     public Gossip(String self, boolean core, List<String> seeds, Registry registry, Out out) {
@@ -106,31 +106,31 @@
     }
 
     /** Other core machines to begin with. */
-    public void seeds(List<String> changed) {
+    public void setSeeds(List<String> changed) {
         seeds = changed;
-        coresAsOf = -1;
+        rankedCoresVersion = -1;
     }
 
     /** Core machines of this zone are asked first, so that what they tell crosses between zones once, not for each proxy. */
     public void preferZone(String preferred) {
         zone = preferred;
-        coresAsOf = -1;
+        rankedCoresVersion = -1;
     }
 
     /** The core machines known, best first. */
     public List<String> cores() {
-        long changes = registry.changes(RegistryEntry.Subject.CORE);
-        if (coresAsOf != changes) {
-            coresAsOf = changes;
-            List<String> ranked = new ArrayList<>(Registry.few(self, knownCores(), Integer.MAX_VALUE));
+        long changes = registry.version(RegistryEntry.Subject.CORE);
+        if (rankedCoresVersion != changes) {
+            rankedCoresVersion = changes;
+            List<String> ranked = new ArrayList<>(Registry.rendezvousSelect(self, knownCores(), Integer.MAX_VALUE));
             ranked.sort(Comparator.comparing(address -> !near(address)));
             rankedCores = List.copyOf(ranked);
         }
-        if (poor.values().stream().allMatch(p -> p == 0)) {
+        if (failureCounts.values().stream().allMatch(p -> p == 0)) {
             return rankedCores;
         }
         List<String> best = new ArrayList<>(rankedCores);
-        best.sort(Comparator.comparingInt(c -> poor.getOrDefault(c, 0)));
+        best.sort(Comparator.comparingInt(c -> failureCounts.getOrDefault(c, 0)));
         return best;
     }
 
@@ -153,150 +153,154 @@
 
     /** The few other proxies that this process knows. */
     public List<String> peers() {
-        long changes = registry.changes(RegistryEntry.Subject.PROXY);
-        if (peersAsOf != changes) {
-            peersAsOf = changes;
-            rankedPeers = Registry.few(self, registry.ready(RegistryEntry.Subject.PROXY), PEERS);
+        long changes = registry.version(RegistryEntry.Subject.PROXY);
+        if (rankedPeersVersion != changes) {
+            rankedPeersVersion = changes;
+            rankedPeers = Registry.rendezvousSelect(self, registry.ready(RegistryEntry.Subject.PROXY), PEER_COUNT);
         }
         return rankedPeers;
     }
 
     /** To be called every 50 to 100 ms; {@code leader}: on a core machine, who is primary, if known and not itself. */
     public void onTick(long now, String leader) {
-        tellCollected(now);
-        String mute = fetches.onTick(now);
-        if (mute != null) {
-            poor.merge(mute, 1, Integer::sum);
+        broadcastCollected(now);
+        String unresponsive = fetches.onTick(now);
+        if (unresponsive != null) {
+            failureCounts.merge(unresponsive, 1, Integer::sum);
         }
-        open.entrySet().removeIf(e -> {
-            boolean late = now - e.getValue().at() > PATIENCE_MS;
+        openQueries.entrySet().removeIf(e -> {
+            boolean late = now - e.getValue().at() > QUERY_TIMEOUT_MS;
             if (late) {
-                poor.merge(e.getValue().to(), 1, Integer::sum);
+                failureCounts.merge(e.getValue().to(), 1, Integer::sum);
             }
             return late;
         });
-        receipts.due(now, cores()).forEach(r -> sendForReceipt(r.nonce(), r.news(), r.to()));
-        if (now >= coreAt) {
-            coreAt = now + CORE_MS;
+        acknowledgements
+                .takeDueRetries(now, cores())
+                .forEach(r -> sendForAcknowledgement(r.nonce(), r.entries(), r.to()));
+        if (now >= nextCoreQueryAtMs) {
+            nextCoreQueryAtMs = now + CORE_QUERY_INTERVAL_MS;
             List<String> cores = cores();
             if (leader != null) {
-                ask(now, leader, false);
+                query(now, leader, false);
             } else if (!cores.isEmpty()) {
-                ask(now, cores.get(0), false);
+                query(now, cores.get(0), false);
                 // The first choice again, now and then: it may be well again.
-                if (poor.getOrDefault(cores.get(0), 0) > 0 && cores.size() > 1) {
-                    ask(now, cores.get(1 + turn++ % (cores.size() - 1)), false);
+                if (failureCounts.getOrDefault(cores.get(0), 0) > 0 && cores.size() > 1) {
+                    query(now, cores.get(1 + rotation++ % (cores.size() - 1)), false);
                 }
             }
         }
-        if (now >= peerAt) {
-            peerAt = now + PEER_MS;
+        if (now >= nextPeerQueryAtMs) {
+            nextPeerQueryAtMs = now + PEER_QUERY_INTERVAL_MS;
             List<String> peers = core ? cores() : peers();
             if (!peers.isEmpty()) {
-                ask(now, peers.get(turn++ % peers.size()), false);
+                query(now, peers.get(rotation++ % peers.size()), false);
             }
-            askers.values().removeIf(at -> now - at > ASKED_MS);
-            if (poor.size() > 0 && turn % 8 == 0) {
-                poor.replaceAll((k, v) -> v / 2);
+            subscribers.values().removeIf(at -> now - at > SUBSCRIPTION_MS);
+            if (failureCounts.size() > 0 && rotation % 8 == 0) {
+                failureCounts.replaceAll((k, v) -> v / 2);
             }
         }
     }
 
-    private void ask(long now, String to, boolean full) {
-        open.put(++lastNonce, new Asked(to, now, full));
-        out.send(to, registry.ask(now, lastNonce, full));
+    private void query(long now, String to, boolean full) {
+        openQueries.put(++lastNonce, new Query(to, now, full));
+        out.send(to, registry.query(now, lastNonce, full));
     }
 
     /** Something came; the news in it have been passed on already. */
-    public Registry.News onGossip(long now, String from, GossipMessage in) {
-        Registry.News news =
+    public Registry.Update onGossip(long now, String from, GossipMessage in) {
+        Registry.Update update =
                 switch (in.kind()) {
-                    case ASK -> onAsk(now, from, in);
-                    case ANSWER -> onAnswer(now, from, in);
+                    case QUERY -> onQuery(now, from, in);
+                    case REPLY -> onReply(now, from, in);
                     case FETCH -> onFetch(from, in);
-                    case FETCHED -> onFetched(now, from, in);
-                    default -> onNews(now, from, in);
+                    case FETCH_REPLY -> onFetchReply(now, from, in);
+                    default -> onUpdate(now, from, in);
                 };
-        if (news.any()) {
-            tell(now, news, from);
+        if (!update.isEmpty()) {
+            broadcast(now, update, from);
         }
-        return news;
+        return update;
     }
 
     /** This process is about to end: it confirms no more that it holds anything. */
-    public void leave() {
-        leaving = true;
+    public void stopAcknowledging() {
+        acknowledgesNothing = true;
     }
 
-    private Registry.News onAsk(long now, String from, GossipMessage in) {
-        askers.put(from, now);
-        out.send(from, registry.answer(now, in));
-        return NO_NEWS;
+    private Registry.Update onQuery(long now, String from, GossipMessage in) {
+        subscribers.put(from, now);
+        out.send(from, registry.reply(now, in));
+        return NO_UPDATE;
     }
 
-    private Registry.News onAnswer(long now, String from, GossipMessage in) {
-        Asked asked = open.get(in.nonce());
-        if (asked != null && asked.to().equals(from)) {
-            open.remove(in.nonce());
+    private Registry.Update onReply(long now, String from, GossipMessage in) {
+        Query query = openQueries.get(in.nonce());
+        if (query != null && query.to().equals(from)) {
+            openQueries.remove(in.nonce());
         } else {
-            asked = null;
+            query = null;
         }
-        receipts.acknowledged(in.nonce(), from);
-        if (asked != null) {
-            poor.put(from, in.ageMs() < 0 || in.ageMs() > STALE_MS ? poor.getOrDefault(from, 0) + 1 : 0);
+        acknowledgements.onAcknowledgement(in.nonce(), from);
+        if (query != null) {
+            failureCounts.put(
+                    from,
+                    in.ageMs() < 0 || in.ageMs() > MAX_STALENESS_MS ? failureCounts.getOrDefault(from, 0) + 1 : 0);
         }
-        Registry.News news = registry.take(now, in, asked == null ? NEVER : asked.at());
-        if (asked != null && in.buckets().length == Registry.BUCKETS) {
-            if (asked.full()) {
+        Registry.Update update = registry.merge(now, in, query == null ? NEVER : query.at());
+        if (query != null && in.buckets().length == Registry.BUCKETS) {
+            if (query.full()) {
                 sendLacking(from, in.buckets());
             } else {
-                ask(now, from, true);
+                query(now, from, true);
             }
         }
         fetches.onIndex(now, from, in.stateIndex(), false);
-        return news;
+        return update;
     }
 
-    private Registry.News onNews(long now, String from, GossipMessage in) {
-        Registry.News news = registry.take(now, in, NEVER);
-        if (in.nonce() != 0 && !leaving) {
-            out.send(from, GossipMessage.receipt(in.nonce()));
+    private Registry.Update onUpdate(long now, String from, GossipMessage in) {
+        Registry.Update update = registry.merge(now, in, NEVER);
+        if (in.nonce() != 0 && !acknowledgesNothing) {
+            out.send(from, GossipMessage.acknowledgement(in.nonce()));
         }
         fetches.onIndex(now, from, in.stateIndex(), !in.deltas().isEmpty());
-        return news;
+        return update;
     }
 
     /** Tells the steps from the asker's state to the one held, or a part of a snapshot where the steps are not known. */
-    private Registry.News onFetch(String from, GossipMessage in) {
+    private Registry.Update onFetch(String from, GossipMessage in) {
         StateFollower states = registry.states();
         boolean anyWill = in.chunk().index() == SnapshotChunk.ANY;
         List<StateDelta> steps = anyWill ? states.since(in.stateIndex()) : List.of();
         SnapshotChunk chunk = steps.isEmpty() ? states.chunk(in.stateIndex(), in.chunk()) : SnapshotChunk.NONE;
-        out.send(from, GossipMessage.fetched(in.nonce(), states.index(), steps, chunk));
-        return NO_NEWS;
+        out.send(from, GossipMessage.fetchReply(in.nonce(), states.index(), steps, chunk));
+        return NO_UPDATE;
     }
 
-    private Registry.News onFetched(long now, String from, GossipMessage in) {
-        boolean newer = fetches.onFetched(now, from, in);
-        return newer ? new Registry.News(List.of(), true) : NO_NEWS;
+    private Registry.Update onFetchReply(long now, String from, GossipMessage in) {
+        boolean newer = fetches.onFetchReply(now, from, in);
+        return newer ? new Registry.Update(List.of(), true) : NO_UPDATE;
     }
 
     /** What the one who answered does not have, or has older. */
     private void sendLacking(String to, long[] buckets) {
         List<RegistryEntry> lacking = registry.differing(buckets);
         if (!lacking.isEmpty()) {
-            out.send(to, GossipMessage.news(0, registry.stateIndex(), lacking, List.of()));
+            out.send(to, GossipMessage.update(0, registry.stateIndex(), lacking, List.of()));
         }
     }
 
     /** Who asked of late: on a core machine the proxies that it serves. */
-    public List<String> askers() {
-        return List.copyOf(askers.keySet());
+    public List<String> subscribers() {
+        return List.copyOf(subscribers.keySet());
     }
 
     /** Passes one entry on, as {@link #tell(long, Registry.News, String)} does. */
-    public void tell(long now, RegistryEntry news) {
-        tell(now, new Registry.News(List.of(news), false), null);
+    public void broadcast(long now, RegistryEntry update) {
+        broadcast(now, new Registry.Update(List.of(update), false), null);
     }
 
     /**
@@ -304,47 +308,47 @@
      * first goes at once; what follows within {@link #COLLECT_MS} goes together. Of the state a core machine tells the steps;
      * others only say which they hold, and who still lacks it then fetches it.
      */
-    public void tell(long now, Registry.News news, String not) {
-        if (now - toldAt < COLLECT_MS) {
-            news.entries().forEach(entry -> untold.put(entry.subject().ordinal() + entry.key(), entry));
-            stateUntold |= news.state();
+    public void broadcast(long now, Registry.Update update, String except) {
+        if (now - broadcastAtMs < BATCH_WINDOW_MS) {
+            update.entries().forEach(entry -> pendingEntries.put(entry.subject().ordinal() + entry.key(), entry));
+            statePending |= update.state();
             return;
         }
-        tellAtOnce(now, news, not);
+        broadcastNow(now, update, except);
     }
 
-    private void tellCollected(long now) {
-        if (untold.isEmpty() && !stateUntold || now - toldAt < COLLECT_MS) {
+    private void broadcastCollected(long now) {
+        if (pendingEntries.isEmpty() && !statePending || now - broadcastAtMs < BATCH_WINDOW_MS) {
             return;
         }
-        Registry.News news = new Registry.News(List.copyOf(untold.values()), stateUntold);
-        untold.clear();
-        stateUntold = false;
-        tellAtOnce(now, news, null);
+        Registry.Update update = new Registry.Update(List.copyOf(pendingEntries.values()), statePending);
+        pendingEntries.clear();
+        statePending = false;
+        broadcastNow(now, update, null);
     }
 
-    private void tellAtOnce(long now, Registry.News news, String not) {
-        toldAt = now;
-        Set<String> to = new LinkedHashSet<>(core ? askers.keySet() : peers());
+    private void broadcastNow(long now, Registry.Update update, String except) {
+        broadcastAtMs = now;
+        Set<String> to = new LinkedHashSet<>(core ? subscribers.keySet() : peers());
         if (core) {
             to.addAll(cores());
         }
-        List<StateDelta> steps = core && news.state() ? registry.states().since(indexTold) : List.of();
-        indexTold = registry.stateIndex();
-        GossipMessage index = GossipMessage.news(0, indexTold, news.entries(), List.of());
-        GossipMessage whole = GossipMessage.news(0, indexTold, news.entries(), steps);
+        List<StateDelta> steps = core && update.state() ? registry.states().since(broadcastIndex) : List.of();
+        broadcastIndex = registry.stateIndex();
+        GossipMessage index = GossipMessage.update(0, broadcastIndex, update.entries(), List.of());
+        GossipMessage full = GossipMessage.update(0, broadcastIndex, update.entries(), steps);
         for (String other : to) {
-            if (!other.equals(not) && !other.equals(self)) {
-                out.send(other, publishes || !cores().contains(other) ? whole : index);
+            if (!other.equals(except) && !other.equals(self)) {
+                out.send(other, publishes || !cores().contains(other) ? full : index);
             }
         }
         publishes = false;
     }
 
     /** A new state was published by this process: the rest of the core has it from nobody else. */
-    public void published(long now) {
+    public void onPublished(long now) {
         publishes = true;
-        tell(now, new Registry.News(List.of(), true), null);
+        broadcast(now, new Registry.Update(List.of(), true), null);
     }
 
     /**
@@ -354,28 +358,28 @@
      * @param wanted how many others must hold them, at least one
      * @return what to give to {@link #cancelReceipt}
      */
-    public long tellSurely(long now, List<RegistryEntry> news, int wanted, Runnable known) {
+    public long broadcastUntilAcknowledged(long now, List<RegistryEntry> update, int wanted, Runnable onAcknowledged) {
         List<String> cores = cores();
-        List<String> others = new ArrayList<>(askers.keySet());
+        List<String> others = new ArrayList<>(subscribers.keySet());
         if (!core) {
             peers().stream().filter(p -> !others.contains(p)).forEach(others::add);
         }
         others.removeAll(cores);
-        GossipMessage plain = GossipMessage.news(0, registry.stateIndex(), news, List.of());
+        GossipMessage plain = GossipMessage.update(0, registry.stateIndex(), update, List.of());
         others.forEach(to -> out.send(to, plain));
         long nonce = ++lastNonce;
-        receipts.open(now, nonce, wanted, cores, news, known);
-        sendForReceipt(nonce, news, cores);
+        acknowledgements.track(now, nonce, wanted, cores, update, onAcknowledged);
+        sendForAcknowledgement(nonce, update, cores);
         return nonce;
     }
 
     /** Nobody waits for these news to be held by others any more. */
-    public void cancelReceipt(long receipt) {
-        receipts.cancel(receipt);
+    public void cancelBroadcast(long receipt) {
+        acknowledgements.cancel(receipt);
     }
 
-    private void sendForReceipt(long nonce, List<RegistryEntry> news, List<String> to) {
-        GossipMessage asking = GossipMessage.news(nonce, registry.stateIndex(), news, List.of());
+    private void sendForAcknowledgement(long nonce, List<RegistryEntry> update, List<String> to) {
+        GossipMessage asking = GossipMessage.update(nonce, registry.stateIndex(), update, List.of());
         to.forEach(c -> out.send(c, asking));
     }
 }
--- a/src/main/java/quartzspan/registry/GossipMessage.java
+++ b/src/main/java/quartzspan/registry/GossipMessage.java
@@ -26,40 +26,42 @@
     /** Kinds of messages. */
     public enum Kind {
         /** Asks for what is lacking here, by digests. */
-        ASK,
-        ANSWER,
+        QUERY,
+        REPLY,
         /** Tells something unasked. */
-        NEWS,
+        UPDATE,
         /** Between core machines: which servers beat here of late. */
-        HEARD,
+        HEARTBEATS,
         /** Asks for the published state: the steps to it, or a part of a snapshot. */
         FETCH,
         /** Answers {@link #FETCH}. */
-        FETCHED
+        FETCH_REPLY
     }
 
     static final long[] UNCOMPARED = {};
 
     /** Between core machines: who was heard. */
-    public static GossipMessage heard(List<RegistryEntry> lives) {
-        return new GossipMessage(Kind.HEARD, 0, -1, -1, UNCOMPARED, lives, List.of(), SnapshotChunk.NONE);
+    public static GossipMessage heartbeats(List<RegistryEntry> entries) {
+        return new GossipMessage(Kind.HEARTBEATS, 0, -1, -1, UNCOMPARED, entries, List.of(), SnapshotChunk.NONE);
     }
 
     /** Entries told unasked; {@code receipt}: what the answer is to repeat, or 0 for none. */
-    static GossipMessage news(long receipt, long stateIndex, List<RegistryEntry> entries, List<StateDelta> deltas) {
-        return new GossipMessage(Kind.NEWS, receipt, -1, stateIndex, UNCOMPARED, entries, deltas, SnapshotChunk.NONE);
+    static GossipMessage update(
+            long acknowledgementNonce, long stateIndex, List<RegistryEntry> entries, List<StateDelta> deltas) {
+        return new GossipMessage(
+                Kind.UPDATE, acknowledgementNonce, -1, stateIndex, UNCOMPARED, entries, deltas, SnapshotChunk.NONE);
     }
 
     /** Says that news came. */
-    static GossipMessage receipt(long nonce) {
-        return new GossipMessage(Kind.ANSWER, nonce, -1, -1, UNCOMPARED, List.of(), List.of(), SnapshotChunk.NONE);
+    static GossipMessage acknowledgement(long nonce) {
+        return new GossipMessage(Kind.REPLY, nonce, -1, -1, UNCOMPARED, List.of(), List.of(), SnapshotChunk.NONE);
     }
 
     static GossipMessage fetch(long nonce, long stateIndex, SnapshotChunk wanted) {
         return new GossipMessage(Kind.FETCH, nonce, -1, stateIndex, UNCOMPARED, List.of(), List.of(), wanted);
     }
 
-    static GossipMessage fetched(long nonce, long stateIndex, List<StateDelta> deltas, SnapshotChunk chunk) {
-        return new GossipMessage(Kind.FETCHED, nonce, -1, stateIndex, UNCOMPARED, List.of(), deltas, chunk);
+    static GossipMessage fetchReply(long nonce, long stateIndex, List<StateDelta> deltas, SnapshotChunk chunk) {
+        return new GossipMessage(Kind.FETCH_REPLY, nonce, -1, stateIndex, UNCOMPARED, List.of(), deltas, chunk);
     }
 }
--- a/src/main/java/quartzspan/registry/PublishedState.java
+++ b/src/main/java/quartzspan/registry/PublishedState.java
@@ -19,13 +19,13 @@
  * @param weights versions of weights that were named, by model
  * @param holder the replica that last claimed the duty of loading weights; empty if nobody did
  */
-public record PublishedState(Configuration configuration, Map<String, Long> weights, String holder) {
+public record PublishedState(Configuration configuration, Map<String, Long> weights, String rolloutHolder) {
     /** Before the first change. */
     public static final PublishedState EMPTY = of(ControlState.EMPTY);
 
     /** What is published of a control state. */
     public static PublishedState of(ControlState state) {
-        return new PublishedState(state.configuration(), Map.copyOf(state.weights()), state.holder());
+        return new PublishedState(state.configuration(), Map.copyOf(state.weights()), state.rolloutHolder());
     }
 
     /** The difference from this state to a later one; null if only the whole of the later one expresses it. */
@@ -37,7 +37,7 @@
         Map<String, Long> named = new TreeMap<>(later.weights);
         named.entrySet().removeIf(weight -> weight.getValue().equals(weights.get(weight.getKey())));
         boolean sameConfiguration = later.configuration.version() == configuration.version();
-        return encode(sameConfiguration ? NOTHING : Configuration.text(patch), named, later.holder);
+        return encode(sameConfiguration ? NOTHING : Configuration.text(patch), named, later.rolloutHolder);
     }
 
     /**
@@ -61,7 +61,7 @@
 
     /** The whole state in binary form. */
     byte[] bytes() {
-        return encode(configuration.bytes(), weights, holder);
+        return encode(configuration.bytes(), weights, rolloutHolder);
     }
 
     /** Reads {@link #bytes}. */
@@ -78,7 +78,7 @@
 
     private static final byte[] NOTHING = {};
 
-    private static byte[] encode(byte[] document, Map<String, Long> weights, String holder) {
+    private static byte[] encode(byte[] document, Map<String, Long> weights, String rolloutHolder) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(document.length + 64);
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeInt(document.length);
@@ -88,7 +88,7 @@
                 out.writeUTF(weight.getKey());
                 out.writeLong(weight.getValue());
             }
-            out.writeUTF(holder);
+            out.writeUTF(rolloutHolder);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/src/main/java/quartzspan/registry/Registry.java
+++ b/src/main/java/quartzspan/registry/Registry.java
@@ -20,18 +20,18 @@
     /** Buckets by which entries are compared: what differs is sent a bucket at a time. */
     static final int BUCKETS = 32;
 
-    private static final int MAX_CLAIMS = 16;
+    private static final int MAX_FRESHNESS_CLAIMS = 16;
     /** How long what is gone is kept in mind, so that an old word does not bring it back. */
-    private static final long FORGET_MS = 120_000;
+    private static final long TOMBSTONE_TTL_MS = 120_000;
 
-    private final Map<RegistryEntry.Subject, Shelf> shelves = new EnumMap<>(RegistryEntry.Subject.class);
+    private final Map<RegistryEntry.Subject, SubjectEntries> bySubject = new EnumMap<>(RegistryEntry.Subject.class);
     /** The same entries by bucket, so that an answer looks only at what differs. */
     private final List<Map<String, RegistryEntry>> byBucket = new ArrayList<>();
 
-    private final Map<String, Long> goneAt = new HashMap<>();
+    private final Map<String, Long> endedAtMs = new HashMap<>();
     private final long[] buckets = new long[BUCKETS];
     private List<Server> servers = List.of();
-    private long serversAsOf;
+    private long serversVersion;
     /** Digest of all entries. */
     private long digest;
 
@@ -39,22 +39,22 @@
     /** The latest time at which what is held here was surely the newest. */
     private long freshAt = Long.MIN_VALUE / 2;
     /** Claims about states that are not held here yet. */
-    private final ArrayDeque<Claim> claims = new ArrayDeque<>();
+    private final ArrayDeque<FreshnessClaim> claims = new ArrayDeque<>();
 
     /** The state at an index was surely the newest at a time: whoever holds it or a later one is as fresh as that. */
-    private record Claim(long index, long at) {}
+    private record FreshnessClaim(long index, long at) {}
 
     /** The entries of one subject; lists derived from them are kept until the next change. */
-    private static final class Shelf {
+    private static final class SubjectEntries {
         final Map<String, RegistryEntry> entries = new HashMap<>();
-        long changes;
+        long version;
         List<RegistryEntry> all = List.of();
         List<String> ready = List.of();
-        long listedAt;
+        long listedVersion;
 
         void list() {
-            if (listedAt != changes) {
-                listedAt = changes;
+            if (listedVersion != version) {
+                listedVersion = version;
                 all = List.copyOf(entries.values());
                 ready = all.stream()
                         .filter(e -> e.state() == RegistryEntry.State.READY)
@@ -66,7 +66,7 @@
 
     public Registry() {
         for (RegistryEntry.Subject subject : RegistryEntry.Subject.values()) {
-            shelves.put(subject, new Shelf());
+            bySubject.put(subject, new SubjectEntries());
         }
         for (int i = 0; i < BUCKETS; i++) {
             byBucket.add(new HashMap<>());
@@ -78,8 +78,8 @@
         return entry.subject().ordinal() + entry.key();
     }
 
-    private Shelf shelf(String id) {
-        return shelves.get(RegistryEntry.Subject.values()[id.charAt(0) - '0']);
+    private SubjectEntries subjectEntries(String id) {
+        return bySubject.get(RegistryEntry.Subject.values()[id.charAt(0) - '0']);
     }
 
     private static int bucket(String key) {
@@ -88,28 +88,28 @@
     }
 
     public RegistryEntry entry(RegistryEntry.Subject subject, String key) {
-        return shelves.get(subject).entries.get(key);
+        return bySubject.get(subject).entries.get(key);
     }
 
     /** All entries of a subject, as of now. */
     public List<RegistryEntry> all(RegistryEntry.Subject subject) {
-        Shelf shelf = shelves.get(subject);
-        shelf.list();
-        return shelf.all;
+        SubjectEntries subjectEntries = bySubject.get(subject);
+        subjectEntries.list();
+        return subjectEntries.all;
     }
 
     /** Keys of the entries of a subject that are ready, as of now. */
     public List<String> ready(RegistryEntry.Subject subject) {
-        Shelf shelf = shelves.get(subject);
-        shelf.list();
-        return shelf.ready;
+        SubjectEntries subjectEntries = bySubject.get(subject);
+        subjectEntries.list();
+        return subjectEntries.ready;
     }
 
     /** All servers whose entries can be read, as of now. */
     public List<Server> servers() {
-        long changes = changes(RegistryEntry.Subject.SERVER);
-        if (serversAsOf != changes) {
-            serversAsOf = changes;
+        long version = version(RegistryEntry.Subject.SERVER);
+        if (serversVersion != version) {
+            serversVersion = version;
             servers = all(RegistryEntry.Subject.SERVER).stream()
                     .map(Server::of)
                     .filter(Objects::nonNull)
@@ -119,27 +119,27 @@
     }
 
     /** Rises with every change of a subject's entries: what is worked out from them holds as long as this stays. */
-    public long changes(RegistryEntry.Subject subject) {
-        return shelves.get(subject).changes;
+    public long version(RegistryEntry.Subject subject) {
+        return bySubject.get(subject).version;
     }
 
     /** Takes a entry; whether it was news. */
-    public boolean take(long now, RegistryEntry entry) {
-        Shelf shelf = shelves.get(entry.subject());
-        RegistryEntry old = shelf.entries.get(entry.key());
-        if (!entry.beats(old)) {
+    public boolean merge(long now, RegistryEntry entry) {
+        SubjectEntries subjectEntries = bySubject.get(entry.subject());
+        RegistryEntry old = subjectEntries.entries.get(entry.key());
+        if (!entry.supersedes(old)) {
             return false;
         }
         String id = id(entry);
         int b = bucket(entry.key());
         toggle(b, (old == null ? 0 : old.digest()) ^ entry.digest());
         byBucket.get(b).put(id, entry);
-        shelf.entries.put(entry.key(), entry);
-        shelf.changes++;
+        subjectEntries.entries.put(entry.key(), entry);
+        subjectEntries.version++;
         if (entry.state() == RegistryEntry.State.GONE || entry.state() == RegistryEntry.State.LOST) {
-            goneAt.put(id, now);
+            endedAtMs.put(id, now);
         } else {
-            goneAt.remove(id);
+            endedAtMs.remove(id);
         }
         return true;
     }
@@ -150,14 +150,14 @@
     }
 
     /** Forgets what has long been gone. */
-    public void tidy(long now) {
-        goneAt.entrySet().removeIf(e -> {
-            if (now - e.getValue() < FORGET_MS) {
+    public void expire(long now) {
+        endedAtMs.entrySet().removeIf(e -> {
+            if (now - e.getValue() < TOMBSTONE_TTL_MS) {
                 return false;
             }
-            Shelf shelf = shelf(e.getKey());
-            RegistryEntry forgotten = shelf.entries.remove(e.getKey().substring(1));
-            shelf.changes++;
+            SubjectEntries subjectEntries = subjectEntries(e.getKey());
+            RegistryEntry forgotten = subjectEntries.entries.remove(e.getKey().substring(1));
+            subjectEntries.version++;
             int b = bucket(forgotten.key());
             byBucket.get(b).remove(e.getKey());
             toggle(b, forgotten.digest());
@@ -187,16 +187,16 @@
 
     /** When the state held here was last surely the newest. */
     public long freshAt() {
-        for (Claim claim : claims) {
+        for (FreshnessClaim claim : claims) {
             if (claim.index() <= states.index()) {
-                fresh(claim.at());
+                confirmFresh(claim.at());
             }
         }
         claims.removeIf(claim -> claim.index() <= states.index());
         return freshAt;
     }
 
-    public void fresh(long at) {
+    public void confirmFresh(long at) {
         freshAt = Math.max(freshAt, at);
     }
 
@@ -206,10 +206,10 @@
     }
 
     /** A question that names what is known here; {@code full}: bucket by bucket, else by one digest of all. */
-    GossipMessage ask(long now, long nonce, boolean full) {
+    GossipMessage query(long now, long nonce, boolean full) {
         long[] digests = full ? buckets.clone() : new long[] {digest};
         return new GossipMessage(
-                GossipMessage.Kind.ASK,
+                GossipMessage.Kind.QUERY,
                 nonce,
                 age(now),
                 states.index(),
@@ -220,15 +220,15 @@
     }
 
     /** The answer to a question: what the asker lacks or has otherwise, or the digests by which it can ask for that. */
-    GossipMessage answer(long now, GossipMessage ask) {
-        boolean same = ask.buckets().length == 1 && ask.buckets()[0] == digest;
+    GossipMessage reply(long now, GossipMessage query) {
+        boolean same = query.buckets().length == 1 && query.buckets()[0] == digest;
         return new GossipMessage(
-                GossipMessage.Kind.ANSWER,
-                ask.nonce(),
+                GossipMessage.Kind.REPLY,
+                query.nonce(),
                 age(now),
                 states.index(),
                 same ? GossipMessage.UNCOMPARED : buckets.clone(),
-                differing(ask.buckets()),
+                differing(query.buckets()),
                 List.of(),
                 SnapshotChunk.NONE);
     }
@@ -245,36 +245,36 @@
     }
 
     /** What was new in message. */
-    public record News(List<RegistryEntry> entries, boolean state) {
-        public boolean any() {
-            return state || !entries.isEmpty();
+    public record Update(List<RegistryEntry> entries, boolean state) {
+        public boolean isEmpty() {
+            return !state && entries.isEmpty();
         }
     }
 
     /** Takes in what another says, but for parts of snapshots; {@code askedAt}: when the question left, for an answer. */
-    News take(long now, GossipMessage in, long askedAt) {
-        boolean newer = states.apply(in.deltas());
-        List<RegistryEntry> news = new ArrayList<>();
+    Update merge(long now, GossipMessage in, long askedAt) {
+        boolean stateAdvanced = states.apply(in.deltas());
+        List<RegistryEntry> newer = new ArrayList<>();
         for (RegistryEntry f : in.entries()) {
-            if (take(now, f)) {
-                news.add(f);
+            if (merge(now, f)) {
+                newer.add(f);
             }
         }
         // Its state was the newest so long before it answered, and it answered after it was asked.
-        if (in.kind() == GossipMessage.Kind.ANSWER && in.ageMs() >= 0) {
-            claims.add(new Claim(in.stateIndex(), askedAt - in.ageMs()));
-            if (claims.size() > MAX_CLAIMS) {
+        if (in.kind() == GossipMessage.Kind.REPLY && in.ageMs() >= 0) {
+            claims.add(new FreshnessClaim(in.stateIndex(), askedAt - in.ageMs()));
+            if (claims.size() > MAX_FRESHNESS_CLAIMS) {
                 claims.poll();
             }
         }
-        return new News(news, newer);
+        return new Update(newer, stateAdvanced);
     }
 
     /**
      * Of many names the few that one knows and watches: those whose hash together with its own is highest. Everybody works
      * out the same without a word, and one that comes or goes moves nobody else's choice but by itself.
      */
-    public static List<String> few(String self, List<String> names, int count) {
+    public static List<String> rendezvousSelect(String self, List<String> names, int count) {
         Hasher64 hasher = Hashing.xxh3_64();
         /** A name with the hash that orders it. */
         record Ranked(String name, long hash) {}
--- a/src/main/java/quartzspan/registry/RegistryEntry.java
+++ b/src/main/java/quartzspan/registry/RegistryEntry.java
@@ -32,7 +32,7 @@
     }
 
     /** Whether this one holds where both are known: a total order, so that all processes end with the same. */
-    boolean beats(RegistryEntry other) {
+    boolean supersedes(RegistryEntry other) {
         if (other == null) {
             return true;
         }
--- a/src/main/java/quartzspan/registry/StateFetch.java
+++ b/src/main/java/quartzspan/registry/StateFetch.java
@@ -9,7 +9,7 @@
  */
 final class StateFetch {
     /** A request that is not answered in this time is given up. */
-    private static final long PATIENCE_MS = 600;
+    private static final long REQUEST_TIMEOUT_MS = 600;
 
     private static final int MAX_SNAPSHOT_BYTES = 16 * 1024 * 1024;
 
@@ -19,17 +19,17 @@
     /** Whom the open request is put to; null if there is none. */
     private String source;
 
-    private long askedAt;
+    private long requestedAtMs;
     /** The snapshot that is being read, as far as it came. */
     private long snapshotIndex = -1;
 
-    private ByteArrayOutputStream read = new ByteArrayOutputStream();
+    private ByteArrayOutputStream received = new ByteArrayOutputStream();
     /** The steps from the state held don't fit it: only a snapshot helps. */
     private boolean stepsFailed;
     /** Who was last heard to hold a newer state, and which. */
-    private String holder;
+    private String newestHolder;
 
-    private long heldIndex = -1;
+    private long newestIndex = -1;
 
     /** @param firstNonce one that no other life of this process is likely to be near */
     StateFetch(StateFollower states, long firstNonce, Gossip.Out out) {
@@ -46,9 +46,9 @@
         if (index <= states.index()) {
             return;
         }
-        if (index > heldIndex || holder == null) {
-            heldIndex = index;
-            holder = from;
+        if (index > newestIndex || newestHolder == null) {
+            newestIndex = index;
+            newestHolder = from;
         }
         if (gap || states.index() < 0) {
             begin(now, from);
@@ -57,37 +57,38 @@
 
     /** To be called every 50 to 100 ms; who left a request unanswered, or null. */
     String onTick(long now) {
-        String mute = null;
-        if (source != null && now - askedAt > PATIENCE_MS) {
-            mute = source;
+        String unresponsive = null;
+        if (source != null && now - requestedAtMs > REQUEST_TIMEOUT_MS) {
+            unresponsive = source;
             source = null;
         }
-        if (heldIndex > states.index() && holder != null && source == null && mute == null) {
-            String from = holder;
-            holder = null;
+        if (newestIndex > states.index() && newestHolder != null && source == null && unresponsive == null) {
+            String from = newestHolder;
+            newestHolder = null;
             begin(now, from);
         }
-        return mute;
+        return unresponsive;
     }
 
     private void begin(long now, String from) {
         if (source == null) {
             source = from;
             snapshotIndex = stepsFailed ? SnapshotChunk.WITHOUT_STEPS : SnapshotChunk.ANY;
-            read = new ByteArrayOutputStream();
+            received = new ByteArrayOutputStream();
             request(now);
         }
     }
 
     private void request(long now) {
-        askedAt = now;
+        requestedAtMs = now;
         out.send(
                 source,
-                GossipMessage.fetch(++lastNonce, states.index(), SnapshotChunk.request(snapshotIndex, read.size())));
+                GossipMessage.fetch(
+                        ++lastNonce, states.index(), SnapshotChunk.request(snapshotIndex, received.size())));
     }
 
     /** The answer to a request; whether the state held moved on by it. */
-    boolean onFetched(long now, String from, GossipMessage in) {
+    boolean onFetchReply(long now, String from, GossipMessage in) {
         if (!from.equals(source) || in.nonce() != lastNonce) {
             return false;
         }
@@ -107,15 +108,15 @@
     private boolean onChunk(long now, GossipMessage in) {
         SnapshotChunk chunk = in.chunk();
         if (chunk.offset() == 0) {
-            read.reset();
+            received.reset();
             snapshotIndex = chunk.index();
         }
-        if (chunk.index() != snapshotIndex || chunk.offset() != read.size() || chunk.total() > MAX_SNAPSHOT_BYTES) {
+        if (chunk.index() != snapshotIndex || chunk.offset() != received.size() || chunk.total() > MAX_SNAPSHOT_BYTES) {
             source = null;
             return false;
         }
-        read.write(chunk.bytes(), 0, chunk.bytes().length);
-        if (read.size() < chunk.total()) {
+        received.write(chunk.bytes(), 0, chunk.bytes().length);
+        if (received.size() < chunk.total()) {
             request(now);
             return false;
         }
@@ -130,8 +131,8 @@
     }
 
     private boolean takeSnapshot() {
-        byte[] bytes = read.toByteArray();
-        read = new ByteArrayOutputStream();
+        byte[] bytes = received.toByteArray();
+        received = new ByteArrayOutputStream();
         try {
             return states.take(new Snapshot(snapshotIndex, bytes));
         } catch (FleetException e) {
--- a/src/main/java/quartzspan/replication/Change.java
+++ b/src/main/java/quartzspan/replication/Change.java
@@ -16,7 +16,7 @@
         REPLACE,
         UPDATE,
         WEIGHTS,
-        DUTY
+        ROLLOUT_CLAIM
     }
 
     private static final int HEAD_BYTES = 1 + 8 + 4;
--- a/src/main/java/quartzspan/replication/ControlState.java
+++ b/src/main/java/quartzspan/replication/ControlState.java
@@ -17,33 +17,33 @@
 /** The control state, as a value: the configuration in force, what was taken under each version, and the weights named. */
 public final class ControlState {
     /** Number of accepted versions whose digests are kept, to tell an order that is sent again from another one. */
-    private static final int MAX_REMEMBERED = 4096;
+    private static final int MAX_ACCEPTED_DIGESTS = 4096;
     /** Before the first change. */
     public static final ControlState EMPTY =
             new ControlState(Configuration.NONE, new TreeMap<>(), 0, new TreeMap<>(), "", 0);
 
     private final Configuration configuration;
-    private final TreeMap<Long, Long> taken;
+    private final TreeMap<Long, Long> acceptedDigests;
     /** The highest version whose digest was dropped. */
-    private final long forgotten;
+    private final long highestDroppedVersion;
 
     private final TreeMap<String, Long> weights;
-    private final String holder;
-    private final long fence;
+    private final String rolloutHolder;
+    private final long fencingToken;
 
     private ControlState(
             Configuration configuration,
-            TreeMap<Long, Long> taken,
-            long forgotten,
+            TreeMap<Long, Long> acceptedDigests,
+            long highestDroppedVersion,
             TreeMap<String, Long> weights,
-            String holder,
-            long fence) {
+            String rolloutHolder,
+            long fencingToken) {
         this.configuration = configuration;
-        this.taken = taken;
-        this.forgotten = forgotten;
+        this.acceptedDigests = acceptedDigests;
+        this.highestDroppedVersion = highestDroppedVersion;
         this.weights = weights;
-        this.holder = holder;
-        this.fence = fence;
+        this.rolloutHolder = rolloutHolder;
+        this.fencingToken = fencingToken;
     }
 
     /** The configuration in force. */
@@ -57,13 +57,13 @@
     }
 
     /** The replica that last claimed the duty of loading weights; empty if nobody did. */
-    public String holder() {
-        return holder;
+    public String rolloutHolder() {
+        return rolloutHolder;
     }
 
     /** Rises with every claim of the duty, so that no two claims share one. */
-    public long fence() {
-        return fence;
+    public long fencingToken() {
+        return fencingToken;
     }
 
     /**
@@ -72,13 +72,14 @@
      * @throws FleetException if the change is invalid or builds on another version
      */
     public ControlState with(Change change) {
-        if (change.kind() == Change.Kind.DUTY) {
+        if (change.kind() == Change.Kind.ROLLOUT_CLAIM) {
             String name = new String(change.body(), StandardCharsets.UTF_8);
-            return new ControlState(configuration, taken, forgotten, weights, name, fence + 1);
+            return new ControlState(
+                    configuration, acceptedDigests, highestDroppedVersion, weights, name, fencingToken + 1);
         }
         JsonObject body = Configuration.json(change.body());
         if (change.kind() == Change.Kind.WEIGHTS) {
-            return named(body);
+            return withNamedWeights(body);
         }
         long version = Configuration.whole(body, "version", -1);
         long digest = Hashing.xxh3_64()
@@ -87,11 +88,11 @@
                 .putLong(change.base())
                 .putBytes(change.body())
                 .getAsLong();
-        Long before = taken.get(version);
+        Long before = acceptedDigests.get(version);
         if (before != null && before == digest) {
             return this;
         }
-        if (before == null && version <= forgotten) {
+        if (before == null && version <= highestDroppedVersion) {
             throw new FleetException(
                     FleetException.Code.ORDER_FORGOTTEN,
                     "version " + version + " is older than the orders that are remembered",
@@ -111,16 +112,16 @@
         }
         Configuration next =
                 change.kind() == Change.Kind.REPLACE ? Configuration.read(change.body()) : configuration.updated(body);
-        TreeMap<Long, Long> more = new TreeMap<>(taken);
-        more.put(version, digest);
-        long dropped = forgotten;
-        while (more.size() > MAX_REMEMBERED) {
-            dropped = more.pollFirstEntry().getKey();
+        TreeMap<Long, Long> digests = new TreeMap<>(acceptedDigests);
+        digests.put(version, digest);
+        long dropped = highestDroppedVersion;
+        while (digests.size() > MAX_ACCEPTED_DIGESTS) {
+            dropped = digests.pollFirstEntry().getKey();
         }
-        return new ControlState(next, more, dropped, weights, holder, fence);
+        return new ControlState(next, digests, dropped, weights, rolloutHolder, fencingToken);
     }
 
-    private ControlState named(JsonObject body) {
+    private ControlState withNamedWeights(JsonObject body) {
         String model = body.getString("model", "");
         long version = Configuration.whole(body, "version", 0);
         if (model.isEmpty() || version < 1) {
@@ -132,14 +133,15 @@
         if (weights.getOrDefault(model, 0L) >= version) {
             return this;
         }
-        TreeMap<String, Long> more = new TreeMap<>(weights);
-        more.put(model, version);
-        return new ControlState(configuration, taken, forgotten, more, holder, fence);
+        TreeMap<String, Long> next = new TreeMap<>(weights);
+        next.put(model, version);
+        return new ControlState(
+                configuration, acceptedDigests, highestDroppedVersion, next, rolloutHolder, fencingToken);
     }
 
     /** About as many bytes as {@link #bytes} has. */
     long size() {
-        return configuration.bytes().length + (long) taken.size() * 2 * Long.BYTES;
+        return configuration.bytes().length + (long) acceptedDigests.size() * 2 * Long.BYTES;
     }
 
     /** As written to disk and sent to copies. */
@@ -149,8 +151,8 @@
             byte[] document = configuration.bytes();
             out.writeInt(document.length);
             out.write(document);
-            out.writeInt(taken.size());
-            for (Map.Entry<Long, Long> t : taken.entrySet()) {
+            out.writeInt(acceptedDigests.size());
+            for (Map.Entry<Long, Long> t : acceptedDigests.entrySet()) {
                 out.writeLong(t.getKey());
                 out.writeLong(t.getValue());
             }
@@ -159,9 +161,9 @@
                 out.writeUTF(w.getKey());
                 out.writeLong(w.getValue());
             }
-            out.writeUTF(holder);
-            out.writeLong(fence);
-            out.writeLong(forgotten);
+            out.writeUTF(rolloutHolder);
+            out.writeLong(fencingToken);
+            out.writeLong(highestDroppedVersion);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -176,17 +178,18 @@
                 throw unreadable(null);
             }
             Configuration configuration = Configuration.read(in.readNBytes(length));
-            TreeMap<Long, Long> taken = new TreeMap<>();
+            TreeMap<Long, Long> acceptedDigests = new TreeMap<>();
             for (int n = in.readInt(); n > 0; n--) {
-                taken.put(in.readLong(), in.readLong());
+                acceptedDigests.put(in.readLong(), in.readLong());
             }
             TreeMap<String, Long> weights = new TreeMap<>();
             for (int n = in.readInt(); n > 0; n--) {
                 weights.put(in.readUTF(), in.readLong());
             }
-            String holder = in.readUTF();
-            long fence = in.readLong();
-            return new ControlState(configuration, taken, in.readLong(), weights, holder, fence);
+            String rolloutHolder = in.readUTF();
+            long fencingToken = in.readLong();
+            return new ControlState(
+                    configuration, acceptedDigests, in.readLong(), weights, rolloutHolder, fencingToken);
         } catch (IOException e) {
             throw unreadable(e);
         }
--- a/src/main/java/quartzspan/simulator/Adapter.java
+++ b/src/main/java/quartzspan/simulator/Adapter.java
@@ -11,15 +11,15 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
-import quartzspan.loadbalancing.Balancer;
-import quartzspan.loadbalancing.Balancer.Actions;
-import quartzspan.loadbalancing.Balancer.AttemptEnd;
-import quartzspan.loadbalancing.Balancer.Endpoint;
-import quartzspan.loadbalancing.Balancer.Outcome;
-import quartzspan.loadbalancing.Balancer.Request;
-import quartzspan.loadbalancing.Balancer.Source;
+import quartzspan.loadbalancing.LoadBalancer;
+import quartzspan.loadbalancing.LoadBalancer.Actions;
+import quartzspan.loadbalancing.LoadBalancer.AttemptEnd;
+import quartzspan.loadbalancing.LoadBalancer.Endpoint;
+import quartzspan.loadbalancing.LoadBalancer.Outcome;
+import quartzspan.loadbalancing.LoadBalancer.Request;
+import quartzspan.loadbalancing.LoadBalancer.Source;
 
-/** Speaks the bench's wire and hosts one {@link Balancer} for each instance; decides nothing. */
+/** Speaks the bench's wire and hosts one {@link LoadBalancer} for each instance; decides nothing. */
 public final class Adapter {
     private static final int TABLES = 16;
 
@@ -175,7 +175,7 @@
     private final class Instance implements Actions {
         final int number;
         final List<Action> pending = new ArrayList<>();
-        Balancer balancer;
+        LoadBalancer balancer;
 
         Instance(int number) {
             this.number = number;
@@ -186,7 +186,7 @@
                 if (e.settings == null) {
                     throw new IllegalArgumentException("settings: bootInfo is missing");
                 }
-                balancer = Balancer.create(e.settings.toSettings(), e.seed, now, this);
+                balancer = LoadBalancer.create(e.settings.toSettings(), e.seed, now, this);
                 return;
             }
             if (balancer == null) {
--- a/src/main/java/quartzspan/simulator/EventReader.java
+++ b/src/main/java/quartzspan/simulator/EventReader.java
@@ -5,8 +5,8 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import quartzspan.loadbalancing.Balancer.Availability;
-import quartzspan.loadbalancing.Balancer.Endpoint;
+import quartzspan.loadbalancing.LoadBalancer.Availability;
+import quartzspan.loadbalancing.LoadBalancer.Endpoint;
 
 /** Reads the groups of a batch into events that are used again from batch to batch. */
 final class EventReader {
--- a/src/main/java/quartzspan/simulator/SettingsReader.java
+++ b/src/main/java/quartzspan/simulator/SettingsReader.java
@@ -7,12 +7,12 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import quartzspan.loadbalancing.Balancer.Contract;
-import quartzspan.loadbalancing.Balancer.DedupScope;
-import quartzspan.loadbalancing.Balancer.Effect;
-import quartzspan.loadbalancing.Balancer.Limits;
-import quartzspan.loadbalancing.Balancer.RequestClass;
-import quartzspan.loadbalancing.Balancer.Settings;
+import quartzspan.loadbalancing.LoadBalancer.Contract;
+import quartzspan.loadbalancing.LoadBalancer.DedupScope;
+import quartzspan.loadbalancing.LoadBalancer.Effect;
+import quartzspan.loadbalancing.LoadBalancer.Limits;
+import quartzspan.loadbalancing.LoadBalancer.RequestClass;
+import quartzspan.loadbalancing.LoadBalancer.Settings;
 
 /**
  * The settings of a start, kept as read so that what is wrong with them can be said by name, and the
--- a/src/main/java/quartzspan/transport/GossipCodec.java
+++ b/src/main/java/quartzspan/transport/GossipCodec.java
@@ -54,18 +54,18 @@
     static GossipMessage decode(GossipFrameDecoder from) {
         int kind = from.kind();
         if (kind >= GossipMessage.Kind.values().length) {
-            throw MessageCodec.nonsense("message " + kind);
+            throw MessageCodec.malformed("message " + kind);
         }
         long nonce = from.nonce();
         long age = from.ageMs();
         long stateIndex = from.stateIndex();
         long snapshotIndex = from.snapshotIndex();
-        int offset = MessageCodec.bounded(from.snapshotOffset(), MessageCodec.MOST_BYTES);
-        int total = MessageCodec.bounded(from.snapshotTotal(), MessageCodec.MOST_BYTES);
+        int offset = MessageCodec.bounded(from.snapshotOffset(), MessageCodec.MAX_FRAME_BYTES);
+        int total = MessageCodec.bounded(from.snapshotTotal(), MessageCodec.MAX_FRAME_BYTES);
         long[] buckets = buckets(from.buckets());
         List<RegistryEntry> entries = entries(from.entries());
         List<StateDelta> deltas = deltas(from.deltas());
-        byte[] bytes = new byte[MessageCodec.bounded(from.snapshotBytesLength(), MessageCodec.MOST_BYTES)];
+        byte[] bytes = new byte[MessageCodec.bounded(from.snapshotBytesLength(), MessageCodec.MAX_FRAME_BYTES)];
         from.getSnapshotBytes(bytes, 0, bytes.length);
         return new GossipMessage(
                 GossipMessage.Kind.values()[kind],
@@ -94,7 +94,7 @@
             int subject = from.subject();
             int state = from.state();
             if (subject >= RegistryEntry.Subject.values().length || state >= RegistryEntry.State.values().length) {
-                throw MessageCodec.nonsense("entry " + subject + "/" + state);
+                throw MessageCodec.malformed("entry " + subject + "/" + state);
             }
             long seq = from.seq();
             String key = from.key();
@@ -112,7 +112,7 @@
             from.next();
             long start = from.from();
             long end = from.to();
-            byte[] change = new byte[MessageCodec.bounded(from.changeLength(), MessageCodec.MOST_BYTES)];
+            byte[] change = new byte[MessageCodec.bounded(from.changeLength(), MessageCodec.MAX_FRAME_BYTES)];
             from.getChange(change, 0, change.length);
             deltas.add(new StateDelta(start, end, change));
         }
--- a/src/main/java/quartzspan/transport/IncomingConnections.java
+++ b/src/main/java/quartzspan/transport/InboundConnections.java
@@ -12,12 +12,12 @@
  * one was written before, by the same life of the process or by one that has ended, and would come out of order. A life that
  * another one has followed at its address never speaks again, whatever it opens: it may have been frozen meanwhile.
  */
-final class IncomingConnections {
+final class InboundConnections {
     /** Lives remembered for each address. */
-    private static final int MOST_ENDED = 16;
+    private static final int MAX_ENDED_INCARNATIONS = 16;
 
     private static final class Peer {
-        long life;
+        long incarnation;
         long connection;
         /** Lives that another one has followed, the last ones of them. */
         final Set<Long> ended = Collections.newSetFromMap(new LinkedHashMap<>() {
@@ -25,7 +25,7 @@
 
             @Override
             protected boolean removeEldestEntry(Map.Entry<Long, Boolean> eldest) {
-                return size() > MOST_ENDED;
+                return size() > MAX_ENDED_INCARNATIONS;
             }
         });
     }
@@ -39,19 +39,19 @@
     }
 
     /** Whether a connection on which a message came speaks for the process at its address. */
-    boolean speaks(Hello from, long connection) {
+    boolean isCurrent(Hello from, long connection) {
         Peer peer = peers.get(from.address());
         if (peer == null) {
             peer = new Peer();
-            peer.life = from.life();
+            peer.incarnation = from.incarnation();
             peers.put(from.address(), peer);
         }
-        if (connection < peer.connection || peer.ended.contains(from.life())) {
+        if (connection < peer.connection || peer.ended.contains(from.incarnation())) {
             return false;
         }
-        if (peer.life != from.life()) {
-            peer.ended.add(peer.life);
-            peer.life = from.life();
+        if (peer.incarnation != from.incarnation()) {
+            peer.ended.add(peer.incarnation);
+            peer.incarnation = from.incarnation();
         }
         peer.connection = connection;
         return true;
--- a/src/main/java/quartzspan/transport/MessageCodec.java
+++ b/src/main/java/quartzspan/transport/MessageCodec.java
@@ -8,7 +8,7 @@
 import org.agrona.MutableDirectBuffer;
 import org.agrona.concurrent.UnsafeBuffer;
 import quartzspan.common.FleetException;
-import quartzspan.promptindex.PromptIndexUpdate;
+import quartzspan.prefixcache.PrefixCacheUpdate;
 import quartzspan.registry.GossipMessage;
 import quartzspan.replication.Epoch;
 import quartzspan.replication.Membership;
@@ -19,8 +19,8 @@
 import quartzspan.transport.sbe.HelloMessageEncoder;
 import quartzspan.transport.sbe.MessageHeaderDecoder;
 import quartzspan.transport.sbe.MessageHeaderEncoder;
-import quartzspan.transport.sbe.PromptIndexFrameDecoder;
-import quartzspan.transport.sbe.PromptIndexFrameEncoder;
+import quartzspan.transport.sbe.PrefixCacheFrameDecoder;
+import quartzspan.transport.sbe.PrefixCacheFrameEncoder;
 import quartzspan.transport.sbe.ReplicaFrameDecoder;
 import quartzspan.transport.sbe.ReplicaFrameEncoder;
 
@@ -30,7 +30,7 @@
  */
 public final class MessageCodec {
     /** No frame is longer; the largest hold a whole configuration. */
-    public static final int MOST_BYTES = 16 * 1024 * 1024;
+    public static final int MAX_FRAME_BYTES = 16 * 1024 * 1024;
 
     private static final int FLAG_GRANTED = 1;
     private static final int FLAG_RECOVERING = 2;
@@ -41,18 +41,18 @@
      * @param control where it answers servers and operators, empty for proxies
      * @param life drawn at random at each start of a process, so that its successor at the same address is told from it
      */
-    public record Hello(boolean core, String address, String control, String zone, long life) {
-        private static final SplittableRandom LIVES = new SplittableRandom();
+    public record Hello(boolean core, String address, String control, String zone, long incarnation) {
+        private static final SplittableRandom INCARNATIONS = new SplittableRandom();
 
         /** A new life at an address. */
         public Hello(boolean core, String address, String control, String zone) {
-            this(core, address, control, zone, LIVES.nextLong());
+            this(core, address, control, zone, INCARNATIONS.nextLong());
         }
     }
 
     private MessageCodec() {}
 
-    /** One of {@link Hello}, {@link ReplicaMessage}, {@link GossipMessage} and {@link PromptIndexUpdate}, as bytes without the length. */
+    /** One of {@link Hello}, {@link ReplicaMessage}, {@link GossipMessage} and {@link PrefixCacheUpdate}, as bytes without the length. */
     public static byte[] encode(Object message) {
         MutableDirectBuffer to = new ExpandableArrayBuffer(512);
         MessageHeaderEncoder head = new MessageHeaderEncoder();
@@ -60,7 +60,7 @@
         if (message instanceof Hello h) {
             HelloMessageEncoder e = new HelloMessageEncoder().wrapAndApplyHeader(to, 0, head);
             e.core((short) (h.core() ? 1 : 0))
-                    .life(h.life())
+                    .incarnation(h.incarnation())
                     .address(h.address())
                     .control(h.control())
                     .zone(h.zone());
@@ -69,12 +69,12 @@
             length = encode(l, new ReplicaFrameEncoder().wrapAndApplyHeader(to, 0, head));
         } else if (message instanceof GossipMessage t) {
             length = GossipCodec.encode(t, new GossipFrameEncoder().wrapAndApplyHeader(to, 0, head));
-        } else if (message instanceof PromptIndexUpdate c) {
-            PromptIndexFrameEncoder e = new PromptIndexFrameEncoder().wrapAndApplyHeader(to, 0, head);
+        } else if (message instanceof PrefixCacheUpdate c) {
+            PrefixCacheFrameEncoder e = new PrefixCacheFrameEncoder().wrapAndApplyHeader(to, 0, head);
             e.kind((short) c.kind().ordinal()).stream(c.stream()).seq(c.seq());
-            PromptIndexFrameEncoder.PartsEncoder parts = e.partsCount(c.parts().length);
-            for (int i = 0; i < c.parts().length; i++) {
-                parts.next().part(c.parts()[i]).tokens(c.tokens()[i]);
+            PrefixCacheFrameEncoder.BlocksEncoder blocks = e.blocksCount(c.blocks().length);
+            for (int i = 0; i < c.blocks().length; i++) {
+                blocks.next().block(c.blocks()[i]).tokens(c.tokens()[i]);
             }
             e.server(c.server());
             length = e.limit();
@@ -92,7 +92,7 @@
             UnsafeBuffer from = new UnsafeBuffer(bytes);
             MessageHeaderDecoder head = new MessageHeaderDecoder().wrap(from, 0);
             if (head.schemaId() != MessageHeaderDecoder.SCHEMA_ID) {
-                throw nonsense("schema " + head.schemaId());
+                throw malformed("schema " + head.schemaId());
             }
             return switch (head.templateId()) {
                 case HelloMessageDecoder.TEMPLATE_ID -> hello(
@@ -101,19 +101,19 @@
                         new ReplicaFrameDecoder().wrapAndApplyHeader(from, 0, head));
                 case GossipFrameDecoder.TEMPLATE_ID -> GossipCodec.decode(
                         new GossipFrameDecoder().wrapAndApplyHeader(from, 0, head));
-                case PromptIndexFrameDecoder.TEMPLATE_ID -> promptIndexUpdate(
-                        new PromptIndexFrameDecoder().wrapAndApplyHeader(from, 0, head));
-                default -> throw nonsense("message " + head.templateId());
+                case PrefixCacheFrameDecoder.TEMPLATE_ID -> prefixCacheUpdate(
+                        new PrefixCacheFrameDecoder().wrapAndApplyHeader(from, 0, head));
+                default -> throw malformed("message " + head.templateId());
             };
         } catch (IndexOutOfBoundsException | IllegalStateException | NegativeArraySizeException e) {
-            throw nonsense(e.getMessage());
+            throw malformed(e.getMessage());
         }
     }
 
     private static Hello hello(HelloMessageDecoder d) {
         boolean core = d.core() == 1;
-        long life = d.life();
-        return new Hello(core, d.address(), d.control(), d.zone(), life);
+        long incarnation = d.incarnation();
+        return new Hello(core, d.address(), d.control(), d.zone(), incarnation);
     }
 
     private static int encode(ReplicaMessage message, ReplicaFrameEncoder to) {
@@ -136,7 +136,7 @@
         int kind = d.kind();
         int flags = d.flags();
         if (kind >= ReplicaMessage.Kind.values().length) {
-            throw nonsense("replica message " + kind);
+            throw malformed("replica message " + kind);
         }
         long nonce = d.nonce();
         long logIndex = d.logIndex();
@@ -148,9 +148,9 @@
         Map<String, Long> sinceHeardMs = numbers(d.sinceHeardMs());
         Membership membership = Membership.parse(d.membership());
         if (epoch == null || promisedEpoch == null || logEpoch == null || membership == null) {
-            throw nonsense("no epoch or no membership");
+            throw malformed("no epoch or no membership");
         }
-        byte[] body = new byte[bounded(d.bodyLength(), MOST_BYTES)];
+        byte[] body = new byte[bounded(d.bodyLength(), MAX_FRAME_BYTES)];
         d.getBody(body, 0, body.length);
         return new ReplicaMessage(
                 ReplicaMessage.Kind.values()[kind],
@@ -182,38 +182,38 @@
                 all.put(entry.substring(0, equals), Long.parseLong(entry.substring(equals + 1)));
             }
         } catch (NumberFormatException | StringIndexOutOfBoundsException e) {
-            throw nonsense("no numbers by name");
+            throw malformed("no numbers by name");
         }
         return all;
     }
 
-    private static PromptIndexUpdate promptIndexUpdate(PromptIndexFrameDecoder d) {
+    private static PrefixCacheUpdate prefixCacheUpdate(PrefixCacheFrameDecoder d) {
         int kind = d.kind();
-        if (kind >= PromptIndexUpdate.Kind.values().length) {
-            throw nonsense("promptIndexUpdate " + kind);
+        if (kind >= PrefixCacheUpdate.Kind.values().length) {
+            throw malformed("promptIndexUpdate " + kind);
         }
         long stream = d.stream();
         long seq = d.seq();
-        PromptIndexFrameDecoder.PartsDecoder p = d.parts();
-        int count = bounded(p.count(), PromptIndexUpdate.MOST);
-        long[] parts = new long[count];
+        PrefixCacheFrameDecoder.BlocksDecoder p = d.blocks();
+        int count = bounded(p.count(), PrefixCacheUpdate.MAX_BLOCKS);
+        long[] blocks = new long[count];
         int[] tokens = new int[count];
         for (int i = 0; i < count; i++) {
             p.next();
-            parts[i] = p.part();
+            blocks[i] = p.block();
             tokens[i] = p.tokens();
         }
-        return new PromptIndexUpdate(PromptIndexUpdate.Kind.values()[kind], d.server(), stream, seq, parts, tokens);
+        return new PrefixCacheUpdate(PrefixCacheUpdate.Kind.values()[kind], d.server(), stream, seq, blocks, tokens);
     }
 
     static int bounded(int length, int most) {
         if (length < 0 || length > most) {
-            throw nonsense("length " + length);
+            throw malformed("length " + length);
         }
         return length;
     }
 
-    static FleetException nonsense(String what) {
+    static FleetException malformed(String what) {
         return new FleetException(
                 FleetException.Code.MESSAGE_INVALID,
                 "no message of ours: " + what,
--- a/src/main/java/quartzspan/transport/TcpTransport.java
+++ b/src/main/java/quartzspan/transport/TcpTransport.java
@@ -25,7 +25,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import quartzspan.common.FleetException;
-import quartzspan.http.Upstream;
+import quartzspan.http.ConnectionPool;
 import quartzspan.transport.MessageCodec.Hello;
 
 /**
@@ -35,23 +35,23 @@
  */
 public final class TcpTransport implements Transport {
     private static final Logger LOG = LoggerFactory.getLogger(TcpTransport.class);
-    private static final int CONNECT_MS = 600;
+    private static final int CONNECT_TIMEOUT_MS = 600;
     /** No word from one we write to for so long: the connection may hang behind a cut, and a new one would not. */
-    private static final long MUTE_MS = 1_200;
+    private static final long RESPONSE_TIMEOUT_MS = 1_200;
 
-    private static final long AGAIN_MS = 200;
-    private static final int MOST_WAITING = 64;
-    private static final int MOST_UNSENT = 4 * 1024 * 1024;
+    private static final long RECONNECT_INTERVAL_MS = 200;
+    private static final int MAX_QUEUED_MESSAGES = 64;
+    private static final int MAX_UNSENT_BYTES = 4 * 1024 * 1024;
 
     private final EventLoop loop;
     private final Hello self;
     private final Receiver receiver;
-    private final Map<String, Link> links = new HashMap<>();
+    private final Map<String, OutgoingConnection> outgoing = new HashMap<>();
     private final Bootstrap out;
     private final ChannelWrites writes = new ChannelWrites();
-    private final IncomingConnections incoming = new IncomingConnections();
+    private final InboundConnections incoming = new InboundConnections();
 
-    private static final class Link {
+    private static final class OutgoingConnection {
         Channel channel;
         boolean up;
         long openedAt;
@@ -59,7 +59,7 @@
         long writtenAt;
 
         long usedAt;
-        final ArrayDeque<byte[]> waiting = new ArrayDeque<>();
+        final ArrayDeque<byte[]> queued = new ArrayDeque<>();
     }
 
     public TcpTransport(EventLoop loop, Hello self, Receiver receiver) {
@@ -69,9 +69,9 @@
         this.out = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
-                .option(ChannelOption.ALLOCATOR, Upstream.BUFFERS)
+                .option(ChannelOption.ALLOCATOR, ConnectionPool.BUFFERS)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel ch) {
@@ -95,23 +95,23 @@
         return new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
-                .option(ChannelOption.ALLOCATOR, Upstream.BUFFERS)
+                .option(ChannelOption.ALLOCATOR, ConnectionPool.BUFFERS)
                 .option(ChannelOption.SO_BACKLOG, 512)
-                .childOption(ChannelOption.ALLOCATOR, Upstream.BUFFERS)
+                .childOption(ChannelOption.ALLOCATOR, ConnectionPool.BUFFERS)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel ch) {
                         ch.pipeline()
                                 .addLast(
-                                        new LengthFieldBasedFrameDecoder(MessageCodec.MOST_BYTES, 0, 4, 0, 4),
-                                        new In());
+                                        new LengthFieldBasedFrameDecoder(MessageCodec.MAX_FRAME_BYTES, 0, 4, 0, 4),
+                                        new InboundHandler());
                     }
                 })
                 .bind(at);
     }
 
     /** Reads one connection; whatever is no message of ours ends it. */
-    private final class In extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class InboundHandler extends SimpleChannelInboundHandler<ByteBuf> {
         private final long accepted = incoming.accepted();
         private Hello from;
 
@@ -128,13 +128,13 @@
                 from = hello;
                 return;
             }
-            if (!incoming.speaks(from, accepted)) {
+            if (!incoming.isCurrent(from, accepted)) {
                 ctx.close();
                 return;
             }
-            Link link = links.get(from.address());
-            if (link != null) {
-                link.writtenAt = 0;
+            OutgoingConnection connection = outgoing.get(from.address());
+            if (connection != null) {
+                connection.writtenAt = 0;
             }
             receiver.received(from, message);
         }
@@ -157,89 +157,89 @@
 
     @Override
     public void send(String to, Object message) {
-        Link link = links.computeIfAbsent(to, t -> new Link());
+        OutgoingConnection connection = outgoing.computeIfAbsent(to, t -> new OutgoingConnection());
         long now = now();
-        link.usedAt = now;
-        if (link.writtenAt == 0) {
-            link.writtenAt = now;
-        } else if (link.channel != null && now - link.writtenAt > MUTE_MS) {
-            link.channel.close();
-            link.channel = null;
-            link.up = false;
-            link.waiting.clear();
-            link.writtenAt = now;
+        connection.usedAt = now;
+        if (connection.writtenAt == 0) {
+            connection.writtenAt = now;
+        } else if (connection.channel != null && now - connection.writtenAt > RESPONSE_TIMEOUT_MS) {
+            connection.channel.close();
+            connection.channel = null;
+            connection.up = false;
+            connection.queued.clear();
+            connection.writtenAt = now;
         }
-        if (link.channel == null) {
-            if (now - link.openedAt < AGAIN_MS) {
+        if (connection.channel == null) {
+            if (now - connection.openedAt < RECONNECT_INTERVAL_MS) {
                 return;
             }
-            open(to, link, now);
+            open(to, connection, now);
         }
         byte[] bytes = MessageCodec.encode(message);
-        if (link.up) {
-            writes.write(link.channel, bytes);
-        } else if (link.waiting.size() < MOST_WAITING) {
-            link.waiting.add(bytes);
+        if (connection.up) {
+            writes.write(connection.channel, bytes);
+        } else if (connection.queued.size() < MAX_QUEUED_MESSAGES) {
+            connection.queued.add(bytes);
         }
     }
 
-    private void open(String to, Link link, long now) {
-        link.openedAt = now;
+    private void open(String to, OutgoingConnection connection, long now) {
+        connection.openedAt = now;
         int colon = to.lastIndexOf(':');
         ChannelFuture f =
                 out.connect(new InetSocketAddress(to.substring(0, colon), Integer.parseInt(to.substring(colon + 1))));
         Channel channel = f.channel();
-        link.channel = channel;
+        connection.channel = channel;
         f.addListener(done -> {
-            if (link.channel != channel) {
+            if (connection.channel != channel) {
                 channel.close();
             } else if (done.isSuccess()) {
-                link.up = true;
+                connection.up = true;
                 // What could not be written before does not make this connection a mute one.
-                link.writtenAt = now();
+                connection.writtenAt = now();
                 writes.write(channel, MessageCodec.encode(self));
-                for (byte[] b; (b = link.waiting.poll()) != null; ) {
+                for (byte[] b; (b = connection.queued.poll()) != null; ) {
                     writes.write(channel, b);
                 }
             } else {
-                drop(link);
+                drop(connection);
             }
         });
         channel.closeFuture().addListener(closed -> {
-            if (link.channel == channel) {
-                drop(link);
+            if (connection.channel == channel) {
+                drop(connection);
             }
         });
     }
 
-    private static void drop(Link link) {
-        link.channel = null;
-        link.up = false;
-        link.waiting.clear();
+    private static void drop(OutgoingConnection connection) {
+        connection.channel = null;
+        connection.up = false;
+        connection.queued.clear();
     }
 
     /** Closes connections to those nobody has written to for long. */
-    public void tidy(long unusedMs) {
+    public void closeIdle(long unusedMs) {
         long now = now();
-        links.values().removeIf(link -> {
-            if (now - link.usedAt < unusedMs) {
+        outgoing.values().removeIf(connection -> {
+            if (now - connection.usedAt < unusedMs) {
                 return false;
             }
-            if (link.channel != null) {
-                link.channel.close();
+            if (connection.channel != null) {
+                connection.channel.close();
             }
             return true;
         });
     }
 
-    /** Framing, and a bound to what may pile up behind a peer that does not read. */
+    /** HttpFraming, and a bound to what may pile up behind a peer that does not read. */
     private final class ChannelWrites {
         private final Set<Channel> unflushed = new HashSet<>();
 
         /** Writes a message; those of one turn of the event loop go out together. */
         void write(Channel channel, byte[] bytes) {
             if (channel.unsafe().outboundBuffer() != null
-                    && channel.unsafe().outboundBuffer().totalPendingWriteBytes() > MOST_UNSENT) {
+                    && channel.unsafe().outboundBuffer().totalPendingWriteBytes() > MAX_UNSENT_BYTES) {
                 channel.close();
                 return;
             }
--- a/src/test/java/example/EmbeddingTest.java
+++ b/src/test/java/example/EmbeddingTest.java
@@ -8,19 +8,19 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import quartzspan.loadbalancing.Balancer;
-import quartzspan.loadbalancing.Balancer.Actions;
-import quartzspan.loadbalancing.Balancer.AttemptEnd;
-import quartzspan.loadbalancing.Balancer.Availability;
-import quartzspan.loadbalancing.Balancer.Contract;
-import quartzspan.loadbalancing.Balancer.Effect;
-import quartzspan.loadbalancing.Balancer.Endpoint;
-import quartzspan.loadbalancing.Balancer.Limits;
-import quartzspan.loadbalancing.Balancer.Outcome;
-import quartzspan.loadbalancing.Balancer.Request;
-import quartzspan.loadbalancing.Balancer.RequestClass;
-import quartzspan.loadbalancing.Balancer.Settings;
-import quartzspan.loadbalancing.Balancer.Source;
+import quartzspan.loadbalancing.LoadBalancer;
+import quartzspan.loadbalancing.LoadBalancer.Actions;
+import quartzspan.loadbalancing.LoadBalancer.AttemptEnd;
+import quartzspan.loadbalancing.LoadBalancer.Availability;
+import quartzspan.loadbalancing.LoadBalancer.Contract;
+import quartzspan.loadbalancing.LoadBalancer.Effect;
+import quartzspan.loadbalancing.LoadBalancer.Endpoint;
+import quartzspan.loadbalancing.LoadBalancer.Limits;
+import quartzspan.loadbalancing.LoadBalancer.Outcome;
+import quartzspan.loadbalancing.LoadBalancer.Request;
+import quartzspan.loadbalancing.LoadBalancer.RequestClass;
+import quartzspan.loadbalancing.LoadBalancer.Settings;
+import quartzspan.loadbalancing.LoadBalancer.Source;
 
 /** The README's example, from another package, with actions that write down what they are told. */
 class EmbeddingTest {
@@ -62,7 +62,7 @@
                 false,
                 new Limits(3, true, false, 0, 15_000_000),
                 new Contract(10_000_000, 0.2, 20_000_000));
-        Balancer balancer = Balancer.create(settings, 42, 0, actions);
+        LoadBalancer balancer = LoadBalancer.create(settings, 42, 0, actions);
         balancer.onEndpoints(
                 0,
                 Source.FULL,
--- a/src/test/java/quartzspan/clientproxy/ProxyRig.java
+++ b/src/test/java/quartzspan/clientproxy/ClientProxyFixture.java
@@ -12,28 +12,28 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.AfterEach;
-import quartzspan.http.Peers;
-import quartzspan.http.Peers.Client;
-import quartzspan.http.Peers.Discovery;
-import quartzspan.http.Peers.Seen;
-import quartzspan.http.Peers.Server;
-import quartzspan.loadbalancing.Balancer;
-import quartzspan.loadbalancing.Balancer.Actions;
-import quartzspan.loadbalancing.Balancer.AttemptEnd;
-import quartzspan.loadbalancing.Balancer.Endpoint;
-import quartzspan.loadbalancing.Balancer.Outcome;
-import quartzspan.loadbalancing.Balancer.Request;
-import quartzspan.loadbalancing.Balancer.Source;
+import quartzspan.http.LoopbackPeers;
+import quartzspan.http.LoopbackPeers.Client;
+import quartzspan.http.LoopbackPeers.Discovery;
+import quartzspan.http.LoopbackPeers.Seen;
+import quartzspan.http.LoopbackPeers.Server;
+import quartzspan.loadbalancing.LoadBalancer;
+import quartzspan.loadbalancing.LoadBalancer.Actions;
+import quartzspan.loadbalancing.LoadBalancer.AttemptEnd;
+import quartzspan.loadbalancing.LoadBalancer.Endpoint;
+import quartzspan.loadbalancing.LoadBalancer.Outcome;
+import quartzspan.loadbalancing.LoadBalancer.Request;
+import quartzspan.loadbalancing.LoadBalancer.Source;
 
 /** The sockets under a module that does what the test says, so that each outcome can be seen by itself. */
-abstract class ProxyRig {
+abstract class ClientProxyFixture {
     final List<AutoCloseable> open = new ArrayList<>();
     final Script module = new Script();
     ClientProxy proxy;
     Discovery discovery;
 
     /** A module that writes down events; a test sets what it does on a request and on an attempt's end. */
-    static final class Script implements Balancer {
+    static final class Script implements LoadBalancer {
         final BlockingQueue<AttemptEnd> ends = new LinkedBlockingQueue<>();
         final BlockingQueue<String> lists = new LinkedBlockingQueue<>();
         final BlockingQueue<String> gone = new LinkedBlockingQueue<>();
@@ -93,9 +93,10 @@
 
     void start(Consumer<ClientProxy> listening, String limits, String... hosts) throws Exception {
         discovery = keep(new Discovery());
-        String known = Peers.list(1, true, hosts);
-        Config config = Config.parse(
-                Peers.config(0, discovery.server.address(), limits, known).getBytes(StandardCharsets.UTF_8));
+        String known = LoopbackPeers.list(1, true, hosts);
+        ClientProxyConfig config =
+                ClientProxyConfig.parse(LoopbackPeers.config(0, discovery.server.address(), limits, known)
+                        .getBytes(StandardCharsets.UTF_8));
         proxy = ClientProxy.start(
                 config,
                 (settings, seed, now, actions) -> {
@@ -104,7 +105,7 @@
                     return module;
                 },
                 listening);
-        assertTrue(Peers.next(module.lists, "the list known").startsWith("CACHED"));
+        assertTrue(LoopbackPeers.next(module.lists, "the list known").startsWith("CACHED"));
     }
 
     Server host(Consumer<Seen> script) throws Exception {
@@ -137,7 +138,7 @@
         module.onRequest = r -> {
             stands.countDown();
             try {
-                assertTrue(goOn.await(Peers.PATIENCE_S, TimeUnit.SECONDS));
+                assertTrue(goOn.await(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
             } catch (InterruptedException e) {
                 throw new AssertionError(e);
             }
@@ -145,18 +146,18 @@
             module.actions.refuse(r.id(), 0);
         };
         client.unsafe("stand", 20_000);
-        assertTrue(stands.await(Peers.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(stands.await(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
         return goOn;
     }
 
     /** One request sent once to a host with this script; returns how the attempt ended. */
     AttemptEnd outcome(Consumer<Seen> script, long timeoutUs) throws Exception {
         Server host = host(script);
-        start("", Peers.host("s", host.address(), "in_service"));
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", timeoutUs);
         module.onEnd = e -> module.actions.fail(e.requestId());
         Client client = client().unsafe("id1", 20_000);
-        AttemptEnd end = Peers.next(module.ends, "the attempt's end");
+        AttemptEnd end = LoopbackPeers.next(module.ends, "the attempt's end");
         int status = client.read().status();
         assertEquals(end.outcome() == Outcome.OK ? 200 : 502, status);
         assertEquals(end.outcome() == Outcome.OK, end.requestDone());
--- a/src/test/java/quartzspan/clientproxy/ServeTest.java
+++ b/src/test/java/quartzspan/clientproxy/ClientProxyProcessTest.java
@@ -21,15 +21,15 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import quartzspan.http.Peers;
-import quartzspan.http.Peers.Client;
-import quartzspan.http.Peers.Discovery;
-import quartzspan.http.Peers.Message;
-import quartzspan.http.Peers.Seen;
-import quartzspan.http.Peers.Server;
+import quartzspan.http.LoopbackPeers;
+import quartzspan.http.LoopbackPeers.Client;
+import quartzspan.http.LoopbackPeers.Discovery;
+import quartzspan.http.LoopbackPeers.Message;
+import quartzspan.http.LoopbackPeers.Seen;
+import quartzspan.http.LoopbackPeers.Server;
 
 /** The whole program, started as it is deployed, with the real module. */
-class ServeTest {
+class ClientProxyProcessTest {
     @TempDir
     Path folder;
 
@@ -41,14 +41,18 @@
         discovery = keep(new Discovery());
         List<String> known = new ArrayList<>();
         for (Server host : hosts) {
-            known.add(Peers.host("s" + known.size(), host.address(), "in_service"));
+            known.add(LoopbackPeers.host("s" + known.size(), host.address(), "in_service"));
         }
         int port = freePort();
         launch(
-                Peers.config(port, discovery.server.address(), "", Peers.list(1, true, known.toArray(String[]::new))),
+                LoopbackPeers.config(
+                        port,
+                        discovery.server.address(),
+                        "",
+                        LoopbackPeers.list(1, true, known.toArray(String[]::new))),
                 ProcessBuilder.Redirect.INHERIT);
-        Discovery.push(discovery.asked(), Peers.list(2, true, known.toArray(String[]::new)));
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Peers.PATIENCE_S);
+        Discovery.push(discovery.asked(), LoopbackPeers.list(2, true, known.toArray(String[]::new)));
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackPeers.PATIENCE_S);
         while (System.nanoTime() < end) {
             try (Client client = new Client(port)) {
                 if (client.write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -157,10 +161,10 @@
             // Enough of them for the module to know that an answer takes less than the time until SIGKILL.
             for (int i = 0; i < 200; i++) {
                 assertEquals(200, kept.unsafe("before" + i, 20_000).read().status());
-                Peers.next(host.seen, "a request before");
+                LoopbackPeers.next(host.seen, "a request before");
             }
             out.unsafe("out", 20_000);
-            Seen waiting = Peers.next(host.seen, "the request that is out");
+            Seen waiting = LoopbackPeers.next(host.seen, "the request that is out");
             long told = System.nanoTime();
             process.destroy();
             try {
@@ -187,7 +191,7 @@
             assertTrue(process.isAlive(), "one request is out");
             waiting.served("late");
             assertEquals("late", out.read().text());
-            assertTrue(process.waitFor(Peers.PATIENCE_S, TimeUnit.SECONDS));
+            assertTrue(process.waitFor(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
         }
     }
 
@@ -203,7 +207,8 @@
         Files.writeString(file, good.replace(discovery.server.address(), other.server.address()));
         hangUp();
         hangUp();
-        Discovery.push(other.asked(), Peers.list(1, true, Peers.host("s0", host.address(), "in_service")));
+        Discovery.push(
+                other.asked(), LoopbackPeers.list(1, true, LoopbackPeers.host("s0", host.address(), "in_service")));
         try (Client client = new Client(port)) {
             assertEquals(200, client.unsafe("after", 20_000).read().status());
         }
@@ -220,7 +225,7 @@
 
     @Test
     void aBadConfigurationIsOnePlainLine() throws Exception {
-        String good = Peers.config(1, "127.0.0.1:1", "", "null");
+        String good = LoopbackPeers.config(1, "127.0.0.1:1", "", "null");
         for (String config : List.of(
                 "{",
                 "7",
@@ -231,11 +236,11 @@
                 good.replace("8c1f30d27a5be964", "x"),
                 good.replace("\"maxAttempts\":4", "\"maxAttempts\":0"))) {
             byte[] bytes = config.getBytes(StandardCharsets.UTF_8);
-            assertThrows(Exception.class, () -> Config.parse(bytes), config);
+            assertThrows(Exception.class, () -> ClientProxyConfig.parse(bytes), config);
         }
         File errors = folder.resolve("errors").toFile();
         launch(good.replace("\"effect\":\"retryable\"", "\"effect\":\"odd\""), ProcessBuilder.Redirect.to(errors));
-        assertTrue(process.waitFor(Peers.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(process.waitFor(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
         assertEquals(1, process.exitValue());
         assertEquals("quartzspan: settings: safe: unknown effect odd\n", Files.readString(errors.toPath()));
     }
@@ -244,8 +249,10 @@
     void aPortInUseIsOnePlainLine() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             File errors = folder.resolve("errors").toFile();
-            launch(Peers.config(taken.getLocalPort(), "127.0.0.1:1", "", "null"), ProcessBuilder.Redirect.to(errors));
-            assertTrue(process.waitFor(Peers.PATIENCE_S, TimeUnit.SECONDS));
+            launch(
+                    LoopbackPeers.config(taken.getLocalPort(), "127.0.0.1:1", "", "null"),
+                    ProcessBuilder.Redirect.to(errors));
+            assertTrue(process.waitFor(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
             assertFalse(process.exitValue() == 0);
             List<String> lines = Files.readAllLines(errors.toPath());
             assertEquals(1, lines.size(), lines.toString());
--- a/src/test/java/quartzspan/clientproxy/DiscoveryTest.java
+++ b/src/test/java/quartzspan/clientproxy/DiscoveryTest.java
@@ -14,20 +14,20 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import org.junit.jupiter.api.Test;
-import quartzspan.http.Peers;
-import quartzspan.http.Peers.Client;
-import quartzspan.http.Peers.Discovery;
-import quartzspan.http.Peers.Seen;
-import quartzspan.http.Peers.Server;
-import quartzspan.http.Upstream;
-import quartzspan.loadbalancing.Balancer.Endpoint;
-import quartzspan.loadbalancing.Balancer.Source;
+import quartzspan.http.ConnectionPool;
+import quartzspan.http.LoopbackPeers;
+import quartzspan.http.LoopbackPeers.Client;
+import quartzspan.http.LoopbackPeers.Discovery;
+import quartzspan.http.LoopbackPeers.Seen;
+import quartzspan.http.LoopbackPeers.Server;
+import quartzspan.loadbalancing.LoadBalancer.Endpoint;
+import quartzspan.loadbalancing.LoadBalancer.Source;
 
 /** Lists of hosts, watches that fail, and a move to another discovery. */
-class DiscoveryTest extends ProxyRig {
+class DiscoveryTest extends ClientProxyFixture {
     @Test
     void listsReplaceOrAmendAndABrokenWatchIsAFailedCall() throws Exception {
-        start("", Peers.host("s", "127.0.0.1:1", "in_service"));
+        start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
         assertEquals(
                 200,
                 client().write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -36,18 +36,18 @@
         Seen watch = discovery.asked();
         String asked = watch.message().first();
         assertTrue(asked.startsWith("GET /api/targets?watch=1&after=1 "), asked);
-        Discovery.push(watch, Peers.list(2, true, Peers.host("t", "127.0.0.1:2", "in_service")));
-        assertEquals("FULL [t 1 READY]", Peers.next(module.lists, "the whole list"));
+        Discovery.push(watch, LoopbackPeers.list(2, true, LoopbackPeers.host("t", "127.0.0.1:2", "in_service")));
+        assertEquals("FULL [t 1 READY]", LoopbackPeers.next(module.lists, "the whole list"));
         Discovery.push(watch, "");
-        Discovery.push(watch, Peers.list(3, false, Peers.host("t", "127.0.0.1:2", "terminated")));
-        assertEquals("DELTA [t 1 GONE]", Peers.next(module.lists, "a change"));
+        Discovery.push(watch, LoopbackPeers.list(3, false, LoopbackPeers.host("t", "127.0.0.1:2", "terminated")));
+        assertEquals("DELTA [t 1 GONE]", LoopbackPeers.next(module.lists, "a change"));
         assertEquals(
                 503,
                 client().write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
                         .read()
                         .status());
         Discovery.push(watch, "{\"version\":4,\"servers\":[{\"id\":7");
-        assertEquals("failed", Peers.next(module.lists, "the bad line's failure"));
+        assertEquals("failed", LoopbackPeers.next(module.lists, "the bad line's failure"));
         watch.awaitEnd();
         assertEquals(0, discovery.server.seen.size(), "asked again only when the module says so");
         module.onRequest = r -> {
@@ -58,7 +58,7 @@
         Seen again = discovery.asked();
         assertTrue(again.message().first().contains("after=3 "), again.message().first());
         again.reset();
-        assertEquals("failed", Peers.next(module.lists, "the break"));
+        assertEquals("failed", LoopbackPeers.next(module.lists, "the break"));
         assertTrue(module.lists.isEmpty(), "each failure is told once");
     }
 
@@ -66,9 +66,10 @@
     void pushedListsAreWatchedUnasked() throws Exception {
         // Guards deployments whose lists are pushed: there the module never asks, and is told of no failure.
         discovery = keep(new Discovery());
-        String config = Peers.config(0, discovery.server.address(), "", "null").replace("subscribe", "automatic");
+        String config =
+                LoopbackPeers.config(0, discovery.server.address(), "", "null").replace("subscribe", "automatic");
         proxy = ClientProxy.start(
-                Config.parse(config.getBytes(StandardCharsets.UTF_8)),
+                ClientProxyConfig.parse(config.getBytes(StandardCharsets.UTF_8)),
                 (settings, seed, now, actions) -> module,
                 starting -> {});
         Seen watch = discovery.asked();
@@ -76,8 +77,8 @@
                 watch.message().first().startsWith("GET /api/targets?watch=1 "),
                 watch.message().first());
         watch.reset();
-        Discovery.push(discovery.asked(), Peers.list(1, true));
-        assertEquals("FULL []", Peers.next(module.lists, "the list"));
+        Discovery.push(discovery.asked(), LoopbackPeers.list(1, true));
+        assertEquals("FULL []", LoopbackPeers.next(module.lists, "the list"));
     }
 
     @Test
@@ -90,14 +91,17 @@
                 throw new AssertionError(e);
             }
             s.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            Discovery.push(s, Peers.list(2, true, Peers.host("s", "127.0.0.1:1", "terminating")));
+            Discovery.push(s, LoopbackPeers.list(2, true, LoopbackPeers.host("s", "127.0.0.1:1", "terminating")));
         });
-        String config = Peers.config(
-                        0, agent.address(), "", Peers.list(1, true, Peers.host("s", "127.0.0.1:1", "in_service")))
+        String config = LoopbackPeers.config(
+                        0,
+                        agent.address(),
+                        "",
+                        LoopbackPeers.list(1, true, LoopbackPeers.host("s", "127.0.0.1:1", "in_service")))
                 .replace("subscribe", "automatic");
         List<String> before = new ArrayList<>();
         proxy = ClientProxy.start(
-                Config.parse(config.getBytes(StandardCharsets.UTF_8)),
+                ClientProxyConfig.parse(config.getBytes(StandardCharsets.UTF_8)),
                 (settings, seed, now, actions) -> module,
                 starting -> module.lists.drainTo(before));
         assertEquals(List.of("CACHED [s 1 READY]", "FULL [s 1 DRAINING]"), before);
@@ -107,38 +111,39 @@
     void aHostThatMovesIsReachedAnewAndOneThatDrainsIsLeft() throws Exception {
         Server before = host(s -> s.served("x"));
         Server after = host(s -> s.served("x"));
-        start("", Peers.host("s", before.address(), "in_service"));
+        start("", LoopbackPeers.host("s", before.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         Seen watch = discovery.asked();
         Client client = client();
         assertEquals(200, client.unsafe("id1", 20_000).read().status());
-        Discovery.push(watch, Peers.list(2, false, Peers.host("s", after.address(), "in_service")));
-        Peers.next(before.seen, "the first request").awaitEnd();
+        Discovery.push(watch, LoopbackPeers.list(2, false, LoopbackPeers.host("s", after.address(), "in_service")));
+        LoopbackPeers.next(before.seen, "the first request").awaitEnd();
         assertEquals(200, client.unsafe("id2", 20_000).read().status());
-        Discovery.push(watch, Peers.list(3, false, Peers.host("s", after.address(), "terminating")));
-        Peers.next(after.seen, "the second request").awaitEnd();
+        Discovery.push(watch, LoopbackPeers.list(3, false, LoopbackPeers.host("s", after.address(), "terminating")));
+        LoopbackPeers.next(after.seen, "the second request").awaitEnd();
     }
 
     @Test
     void aSilentWatchIsAFailedCall() throws Exception {
-        start("", Peers.host("s", "127.0.0.1:1", "in_service"));
+        start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
         Seen watch = discovery.asked();
-        assertEquals("failed", Peers.next(module.lists, "the silence"));
+        assertEquals("failed", LoopbackPeers.next(module.lists, "the silence"));
         watch.awaitEnd();
     }
 
     private void move(String address) throws Exception {
-        proxy.reload(Config.parse(Peers.config(0, address, "", "null").getBytes(StandardCharsets.UTF_8)));
+        proxy.reload(ClientProxyConfig.parse(
+                LoopbackPeers.config(0, address, "", "null").getBytes(StandardCharsets.UTF_8)));
     }
 
     @Test
     void aMoveToAnotherDiscoveryIsNoFailedCallAndAsksForTheWholeList() throws Exception {
         // Guards the numbering: another discovery counts its versions in its own way.
         Discovery other = keep(new Discovery());
-        start("", Peers.host("s", "127.0.0.1:1", "in_service"));
+        start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
         Seen watch = discovery.asked();
-        Discovery.push(watch, Peers.list(7, true, Peers.host("s", "127.0.0.1:1", "in_service")));
-        assertEquals("FULL [s 1 READY]", Peers.next(module.lists, "the first list"));
+        Discovery.push(watch, LoopbackPeers.list(7, true, LoopbackPeers.host("s", "127.0.0.1:1", "in_service")));
+        assertEquals("FULL [s 1 READY]", LoopbackPeers.next(module.lists, "the first list"));
         move(other.server.address());
         watch.awaitEnd();
         Seen moved = other.asked();
@@ -152,51 +157,51 @@
                         .status(),
                 "the old list holds");
         move(other.server.address());
-        Discovery.push(moved, Peers.list(2, true, Peers.host("t", "127.0.0.1:1", "in_service")));
-        assertEquals("FULL [t 1 READY]", Peers.next(module.lists, "the other's list, and no failure before"));
+        Discovery.push(moved, LoopbackPeers.list(2, true, LoopbackPeers.host("t", "127.0.0.1:1", "in_service")));
+        assertEquals("FULL [t 1 READY]", LoopbackPeers.next(module.lists, "the other's list, and no failure before"));
         assertEquals(0, other.server.seen.size(), "the same address is no move");
     }
 
     @Test
     void aMoveToWhereNobodyAnswersFailsWithinWhatCountsAsTold() throws Exception {
         Discovery mute = keep(new Discovery());
-        start("", Peers.host("s", "127.0.0.1:1", "in_service"));
+        start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
         discovery.asked();
         move(mute.server.address());
-        Peers.next(mute.server.seen, "the watch that is not answered").awaitEnd();
-        assertEquals("failed", Peers.next(module.lists, "the failure"));
+        LoopbackPeers.next(mute.server.seen, "the watch that is not answered").awaitEnd();
+        assertEquals("failed", LoopbackPeers.next(module.lists, "the failure"));
         move(discovery.server.address());
-        Discovery.push(discovery.asked(), Peers.list(9, true));
-        assertEquals("FULL []", Peers.next(module.lists, "the list after moving back"));
+        Discovery.push(discovery.asked(), LoopbackPeers.list(9, true));
+        assertEquals("FULL []", LoopbackPeers.next(module.lists, "the list after moving back"));
     }
 
     @Test
     void badListsAreFailedCallsAndTheListHeldStays() throws Exception {
         Server server = host(s -> s.served("x"));
-        start("", Peers.host("s", server.address(), "in_service"));
+        start("", LoopbackPeers.host("s", server.address(), "in_service"));
         module.onRequest = r -> {
             module.actions.subscribe();
             module.actions.send(r.id(), "s", 0);
         };
-        String host = Peers.host("s", server.address(), "in_service");
+        String host = LoopbackPeers.host("s", server.address(), "in_service");
         int ids = 0;
         for (String bad : new String[] {
             "nonsense",
             "[]",
             "{\"version\":9}",
             "{\"full\":true,\"servers\":[]}",
-            Peers.list(9, true, host).replace("in_service", "asleep"),
-            Peers.list(9, true, host, "7"),
-            Peers.list(9, true, host).substring(0, 60)
+            LoopbackPeers.list(9, true, host).replace("in_service", "asleep"),
+            LoopbackPeers.list(9, true, host, "7"),
+            LoopbackPeers.list(9, true, host).substring(0, 60)
         }) {
             Seen watch = discovery.asked();
             Discovery.push(watch, bad);
-            assertEquals("failed", Peers.next(module.lists, bad));
+            assertEquals("failed", LoopbackPeers.next(module.lists, bad));
             watch.awaitEnd();
             assertEquals(200, client().unsafe("id" + ids++, 20_000).read().status(), bad);
         }
-        Discovery.push(discovery.asked(), Peers.list(9, true, host, host));
-        assertEquals("FULL [s 1 READY, s 1 READY]", Peers.next(module.lists, "a host named twice"));
+        Discovery.push(discovery.asked(), LoopbackPeers.list(9, true, host, host));
+        assertEquals("FULL [s 1 READY, s 1 READY]", LoopbackPeers.next(module.lists, "a host named twice"));
         assertEquals(200, client().unsafe("last", 20_000).read().status());
     }
 
@@ -209,28 +214,30 @@
 
     @Test
     void aListMayComeIndentedOrBesideAnotherOrCutAtAnyByte() throws Exception {
-        start("", Peers.host("s", "127.0.0.1:1", "in_service"));
+        start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
         Seen watch = discovery.asked();
-        String braces = Peers.host("t}{\\\"]", "127.0.0.1:2", "in_service");
-        Discovery.push(watch, indented(Peers.list(2, true, Peers.host("s", "127.0.0.1:1", "in_service"))));
-        assertEquals("FULL [s 1 READY]", Peers.next(module.lists, "a list over many lines"));
+        String braces = LoopbackPeers.host("t}{\\\"]", "127.0.0.1:2", "in_service");
+        Discovery.push(
+                watch, indented(LoopbackPeers.list(2, true, LoopbackPeers.host("s", "127.0.0.1:1", "in_service"))));
+        assertEquals("FULL [s 1 READY]", LoopbackPeers.next(module.lists, "a list over many lines"));
         Discovery.push(
                 watch,
-                Peers.list(3, false, braces) + "  "
-                        + indented(Peers.list(4, false, Peers.host("s", "127.0.0.1:1", "terminating"))));
-        assertEquals("DELTA [t}{\"] 1 READY]", Peers.next(module.lists, "the first of two in one line"));
-        assertEquals("DELTA [s 1 DRAINING]", Peers.next(module.lists, "the second"));
-        for (char c : (Peers.list(5, true, braces).replace(",", ",\n ") + "\n").toCharArray()) {
+                LoopbackPeers.list(3, false, braces) + "  "
+                        + indented(
+                                LoopbackPeers.list(4, false, LoopbackPeers.host("s", "127.0.0.1:1", "terminating"))));
+        assertEquals("DELTA [t}{\"] 1 READY]", LoopbackPeers.next(module.lists, "the first of two in one line"));
+        assertEquals("DELTA [s 1 DRAINING]", LoopbackPeers.next(module.lists, "the second"));
+        for (char c : (LoopbackPeers.list(5, true, braces).replace(",", ",\n ") + "\n").toCharArray()) {
             watch.write("1\r\n" + c + "\r\n");
         }
-        assertEquals("FULL [t}{\"] 1 READY]", Peers.next(module.lists, "one that came byte by byte"));
+        assertEquals("FULL [t}{\"] 1 READY]", LoopbackPeers.next(module.lists, "one that came byte by byte"));
         watch.reset();
-        assertEquals("failed", Peers.next(module.lists, "the break, and no failure before"));
+        assertEquals("failed", LoopbackPeers.next(module.lists, "the break, and no failure before"));
     }
 
     @Test
     void aListThatComesALittleAtATimeAndHasNoEndIsSilence() throws Exception {
-        start("", Peers.host("s", "127.0.0.1:1", "in_service"));
+        start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
         Seen watch = discovery.asked();
         watch.write("1\r\n{\r\n");
         Thread drip = new Thread(() -> {
@@ -247,7 +254,7 @@
         });
         drip.setDaemon(true);
         drip.start();
-        assertEquals("failed", Peers.next(module.lists, "the silence"));
+        assertEquals("failed", LoopbackPeers.next(module.lists, "the silence"));
         watch.awaitEnd();
         drip.join();
     }
@@ -255,14 +262,14 @@
     @Test
     void emptyLinesKeepAWatchThatHasNothingToTell() throws Exception {
         // Longer than silence is borne; the list that comes in the end comes on the same watch.
-        start("", Peers.host("s", "127.0.0.1:1", "in_service"));
+        start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
         Seen watch = discovery.asked();
         for (int i = 0; i < 12; i++) {
             assertNull(module.lists.poll(500, TimeUnit.MILLISECONDS));
             Discovery.push(watch, "");
         }
-        Discovery.push(watch, Peers.list(2, true));
-        assertEquals("FULL []", Peers.next(module.lists, "the list"));
+        Discovery.push(watch, LoopbackPeers.list(2, true));
+        assertEquals("FULL []", LoopbackPeers.next(module.lists, "the list"));
     }
 
     @Test
@@ -270,14 +277,17 @@
         // Guards the end of a drain: a SIGHUP, or the pause after a failed call, may come after it.
         Discovery old = keep(new Discovery());
         Discovery other = keep(new Discovery());
-        Config config =
-                Config.parse(Peers.config(0, old.server.address(), "", "null").getBytes(StandardCharsets.UTF_8));
+        ClientProxyConfig config = ClientProxyConfig.parse(
+                LoopbackPeers.config(0, old.server.address(), "", "null").getBytes(StandardCharsets.UTF_8));
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         keep(() -> group.shutdownGracefully(0, 0, TimeUnit.SECONDS));
         EventLoop loop = group.next();
         loop.submit(() -> {
                     quartzspan.clientproxy.Discovery stopped = new quartzspan.clientproxy.Discovery(
-                            config, loop, new Upstream(loop, 1, 1, 1), new quartzspan.clientproxy.Discovery.Listener() {
+                            config,
+                            loop,
+                            new ConnectionPool(loop, 1, 1, 1),
+                            new quartzspan.clientproxy.Discovery.Listener() {
                                 @Override
                                 public void listed(Source source, List<Endpoint> endpoints) {}
 
@@ -286,7 +296,7 @@
                             });
                     stopped.stop();
                     stopped.watch();
-                    stopped.move(Config.parse(Peers.config(0, other.server.address(), "", "null")
+                    stopped.move(ClientProxyConfig.parse(LoopbackPeers.config(0, other.server.address(), "", "null")
                                     .getBytes(StandardCharsets.UTF_8))
                             .discovery());
                     return null;
@@ -297,7 +307,7 @@
             keep(new Client(each.server.socket.getLocalPort())).write("GET /last HTTP/1.1\r\n\r\n");
             assertEquals(
                     "GET /last HTTP/1.1",
-                    Peers.next(each.server.seen, "ours").message().first());
+                    LoopbackPeers.next(each.server.seen, "ours").message().first());
             assertEquals(1, each.server.connections.size());
         }
     }
--- a/src/test/java/quartzspan/clientproxy/LeavingTest.java
+++ b/src/test/java/quartzspan/clientproxy/EndpointDrainingTest.java
@@ -9,23 +9,23 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import quartzspan.http.Peers;
-import quartzspan.http.Peers.Client;
-import quartzspan.http.Peers.Deaf;
-import quartzspan.http.Peers.Discovery;
-import quartzspan.http.Peers.Seen;
-import quartzspan.http.Peers.Server;
-import quartzspan.loadbalancing.Balancer.AttemptEnd;
-import quartzspan.loadbalancing.Balancer.Outcome;
+import quartzspan.http.LoopbackPeers;
+import quartzspan.http.LoopbackPeers.Client;
+import quartzspan.http.LoopbackPeers.Deaf;
+import quartzspan.http.LoopbackPeers.Discovery;
+import quartzspan.http.LoopbackPeers.Seen;
+import quartzspan.http.LoopbackPeers.Server;
+import quartzspan.loadbalancing.LoadBalancer.AttemptEnd;
+import quartzspan.loadbalancing.LoadBalancer.Outcome;
 
 /** Clients that leave while their request waits: it is not sent on, whatever it waits for. */
-class LeavingTest extends ProxyRig {
+class EndpointDrainingTest extends ClientProxyFixture {
     private final BlockingQueue<String> held = new LinkedBlockingQueue<>();
 
     /** A host that serves, and a module that sends each request to it but those whose id says to hold them. */
     private Server serving() throws Exception {
         Server host = host(s -> s.served("x"));
-        start("", Peers.host("s", host.address(), "in_service"));
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> {
             if (r.id().startsWith("held")) {
                 held.add(r.id());
@@ -38,7 +38,7 @@
 
     private void onlyTheLastCame(Server host) throws Exception {
         assertEquals(200, client().unsafe("last", 20_000).read().status());
-        assertEquals("last", Peers.next(host.seen, "the last").message().header("x-request-id"));
+        assertEquals("last", LoopbackPeers.next(host.seen, "the last").message().header("x-request-id"));
         assertTrue(host.seen.isEmpty());
     }
 
@@ -68,9 +68,9 @@
     void whileTheModuleHoldsIt() throws Exception {
         Server host = serving();
         Client client = client().unsafe("held", 20_000);
-        Peers.next(held, "the request");
+        LoopbackPeers.next(held, "the request");
         client.close();
-        assertEquals("held", Peers.next(module.gone, "the client's leaving"));
+        assertEquals("held", LoopbackPeers.next(module.gone, "the client's leaving"));
         module.onRequest = r -> {
             module.actions.send("held", "s", 0);
             module.actions.send(r.id(), "s", 0);
@@ -82,9 +82,9 @@
     void behindAnotherRequestOnItsConnection() throws Exception {
         Server host = serving();
         Client client = client().unsafe("held", 20_000).unsafe("behind", 20_000);
-        Peers.next(held, "the first request");
+        LoopbackPeers.next(held, "the first request");
         client.close();
-        assertEquals("held", Peers.next(module.gone, "the client's leaving"));
+        assertEquals("held", LoopbackPeers.next(module.gone, "the client's leaving"));
         onlyTheLastCame(host);
     }
 
@@ -94,24 +94,26 @@
         for (boolean cancels : new boolean[] {true, false}) {
             try (Deaf deaf = new Deaf()) {
                 module.cancels = cancels;
-                start("", Peers.host("s", deaf.address(), "in_service"));
+                start("", LoopbackPeers.host("s", deaf.address(), "in_service"));
                 CountDownLatch sent = new CountDownLatch(1);
                 module.onRequest = r -> {
                     module.actions.send(r.id(), "s", 0);
                     sent.countDown();
                 };
                 Client client = client().unsafe("late", 20_000);
-                assertTrue(sent.await(Peers.PATIENCE_S, TimeUnit.SECONDS));
+                assertTrue(sent.await(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
                 client.close();
-                assertEquals("late", Peers.next(module.gone, "the client's leaving"));
+                assertEquals("late", LoopbackPeers.next(module.gone, "the client's leaving"));
                 if (cancels) {
                     assertEquals(
-                            Outcome.CANCELED, Peers.next(module.ends, "the end").outcome());
+                            Outcome.CANCELED,
+                            LoopbackPeers.next(module.ends, "the end").outcome());
                 } else {
                     deaf.hear();
                     assertTrue(deaf.silent(), "nothing was written");
                     assertEquals(
-                            Outcome.IGNORED, Peers.next(module.ends, "the end").outcome());
+                            Outcome.IGNORED,
+                            LoopbackPeers.next(module.ends, "the end").outcome());
                 }
                 proxy.drain();
             }
@@ -126,19 +128,19 @@
         Seen watch = discovery.asked();
         Discovery.push(
                 watch,
-                Peers.list(
+                LoopbackPeers.list(
                         2,
                         true,
-                        Peers.host("s", host.address(), "in_service"),
-                        Peers.host("t", first.address(), "in_service")));
-        Peers.next(module.lists, "the list");
+                        LoopbackPeers.host("s", host.address(), "in_service"),
+                        LoopbackPeers.host("t", first.address(), "in_service")));
+        LoopbackPeers.next(module.lists, "the list");
         module.onRequest = r -> module.actions.send(r.id(), "t", 0);
         Client client = client().unsafe("twice", 20_000);
-        Peers.next(out, "the first attempt").notRun();
-        AttemptEnd end = Peers.next(module.ends, "its end");
+        LoopbackPeers.next(out, "the first attempt").notRun();
+        AttemptEnd end = LoopbackPeers.next(module.ends, "its end");
         assertEquals(Outcome.QUEUE_FULL, end.outcome());
         client.close();
-        assertEquals("twice", Peers.next(module.gone, "the client's leaving"));
+        assertEquals("twice", LoopbackPeers.next(module.gone, "the client's leaving"));
         module.onRequest = r -> {
             module.actions.send("twice", "s", 0);
             module.actions.send(r.id(), "s", 0);
@@ -152,8 +154,8 @@
         serving();
         client().unsafe("held a", 20_000);
         Client leaves = client().unsafe("held b", 20_000);
-        Peers.next(held, "the first request");
-        Peers.next(held, "the second request");
+        LoopbackPeers.next(held, "the first request");
+        LoopbackPeers.next(held, "the second request");
         Client idle = client();
         assertEquals(200, idle.unsafe("idle", 20_000).read().status());
         proxy.drain();
@@ -171,7 +173,7 @@
         }
         leaves.close();
         boolean inTime = System.nanoTime() - told < TimeUnit.MILLISECONDS.toNanos(3_400);
-        String gone = Peers.next(module.gone, "the client's leaving");
+        String gone = LoopbackPeers.next(module.gone, "the client's leaving");
         // Only this machine's being slow excuses it: the guards were due by then.
         assertEquals(inTime ? "held b" : gone, gone);
     }
--- a/src/test/java/quartzspan/clientproxy/RaceTest.java
+++ b/src/test/java/quartzspan/clientproxy/EventOrderingTest.java
@@ -8,16 +8,16 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import org.junit.jupiter.api.Test;
-import quartzspan.http.Peers;
-import quartzspan.http.Peers.Client;
-import quartzspan.http.Peers.Discovery;
-import quartzspan.http.Peers.Seen;
-import quartzspan.http.Peers.Server;
-import quartzspan.loadbalancing.Balancer.AttemptEnd;
-import quartzspan.loadbalancing.Balancer.Outcome;
+import quartzspan.http.LoopbackPeers;
+import quartzspan.http.LoopbackPeers.Client;
+import quartzspan.http.LoopbackPeers.Discovery;
+import quartzspan.http.LoopbackPeers.Seen;
+import quartzspan.http.LoopbackPeers.Server;
+import quartzspan.loadbalancing.LoadBalancer.AttemptEnd;
+import quartzspan.loadbalancing.LoadBalancer.Outcome;
 
 /** News that meets a request, an answer or a signal on its way, each forced where two could cross. */
-class RaceTest extends ProxyRig {
+class EventOrderingTest extends ClientProxyFixture {
     private static final String READY = "GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n";
     private volatile String late;
 
@@ -26,10 +26,10 @@
         // The answer is there when the loop, which stood still, carries out the cancel.
         BlockingQueue<Seen> out = new LinkedBlockingQueue<>();
         Server host = host(out::add);
-        start("", Peers.host("s", host.address(), "in_service"));
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         Client client = client().unsafe("met", 20_000);
-        Seen attempt = Peers.next(out, "the attempt");
+        Seen attempt = LoopbackPeers.next(out, "the attempt");
         Client other = client();
         module.onEnd = e -> module.actions.fail(e.requestId());
         CountDownLatch goOn = stand(other, () -> module.actions.cancel("met", 0));
@@ -37,7 +37,7 @@
         goOn.countDown();
         assertEquals(503, other.read().status());
         assertEquals(502, client.read().status());
-        AttemptEnd end = Peers.next(module.ends, "the end");
+        AttemptEnd end = LoopbackPeers.next(module.ends, "the end");
         assertEquals(Outcome.CANCELED, end.outcome());
         attempt.awaitEnd();
         assertTrue(module.ends.isEmpty(), "one end");
@@ -48,7 +48,7 @@
     void anAttemptThatTimesOutAsItsAnswerComesIsOneEnd() throws Exception {
         BlockingQueue<Seen> out = new LinkedBlockingQueue<>();
         Server host = host(out::add);
-        start("", Peers.host("s", host.address(), "in_service"));
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 300_000);
         module.onEnd = e -> {
             if (!e.requestDone()) {
@@ -56,14 +56,14 @@
             }
         };
         Client client = client().unsafe("met", 20_000);
-        Seen attempt = Peers.next(out, "the attempt");
+        Seen attempt = LoopbackPeers.next(out, "the attempt");
         Client other = client();
         CountDownLatch goOn = stand(other, () -> {});
         Thread.sleep(400); // the attempt's time runs out while nothing is looked at
         attempt.served("x");
         goOn.countDown();
         int status = client.read().status();
-        AttemptEnd end = Peers.next(module.ends, "the end");
+        AttemptEnd end = LoopbackPeers.next(module.ends, "the end");
         assertEquals(end.outcome() == Outcome.OK ? 200 : 502, status, "the end and the answer agree");
         assertTrue(end.outcome() == Outcome.OK || end.outcome() == Outcome.TIMED_OUT, end.toString());
         assertEquals(503, other.read().status());
@@ -75,27 +75,29 @@
     void aHostToldToDrainBetweenTheChoiceAndAReusedConnectionGetsNothing() throws Exception {
         // The module chose the host before it was told, and the send is carried out after.
         Server host = host(s -> s.served("x"));
-        start("", Peers.host("s", host.address(), "in_service"));
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
         Seen watch = discovery.asked();
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         Client client = client();
         assertEquals(200, client.unsafe("first", 20_000).read().status());
         module.onEnd = e -> module.actions.refuse(e.requestId(), 0);
         module.onRequest = r -> {
-            Discovery.push(watch, Peers.list(2, false, Peers.host("s", host.address(), "terminating")));
+            Discovery.push(watch, LoopbackPeers.list(2, false, LoopbackPeers.host("s", host.address(), "terminating")));
             late = r.id();
         };
         client.unsafe("second", 20_000);
-        assertEquals("DELTA [s 1 DRAINING]", Peers.next(module.lists, "the drain"));
-        Peers.next(host.seen, "the first request").awaitEnd();
+        assertEquals("DELTA [s 1 DRAINING]", LoopbackPeers.next(module.lists, "the drain"));
+        LoopbackPeers.next(host.seen, "the first request").awaitEnd();
         module.onRequest = r -> {
             module.actions.send(late, "s", 0);
             module.actions.refuse(r.id(), 0);
         };
         assertEquals(503, client().unsafe("third", 20_000).read().status());
         assertEquals(503, client.read().status());
-        assertEquals(Outcome.OK, Peers.next(module.ends, "the first end").outcome());
-        assertEquals(Outcome.IGNORED, Peers.next(module.ends, "the second").outcome());
+        assertEquals(
+                Outcome.OK, LoopbackPeers.next(module.ends, "the first end").outcome());
+        assertEquals(
+                Outcome.IGNORED, LoopbackPeers.next(module.ends, "the second").outcome());
         assertTrue(host.seen.isEmpty(), "nothing new");
     }
 
@@ -103,7 +105,7 @@
     void aRequestOnceMoreAfterItsFirstCopyWasClosedOnIsTaken() throws Exception {
         // Its first copy was never read: the connection was closed by us as quiet.
         Server host = host(s -> s.served("x"));
-        start("", Peers.host("s", host.address(), "in_service"));
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         Client half = client().write("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: same\r\n"
                 + "X-Class: unsafe\r\nX-Deadline-Ms: 20000\r\nContent-Length: 4\r\n\r\nbo");
@@ -118,72 +120,76 @@
         // The first copy is out when its client goes; the second is sent on a connection of its own, after.
         BlockingQueue<Seen> out = new LinkedBlockingQueue<>();
         Server host = host(out::add);
-        start("", Peers.host("s", host.address(), "in_service"));
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         Client first = client().safe("same", 20_000);
-        Seen one = Peers.next(out, "the first copy");
+        Seen one = LoopbackPeers.next(out, "the first copy");
         first.close();
-        assertEquals("same", Peers.next(module.gone, "the client's leaving"));
+        assertEquals("same", LoopbackPeers.next(module.gone, "the client's leaving"));
         one.awaitEnd();
         Client second = client().safe("same", 20_000);
-        Peers.next(out, "the second copy").served("again");
+        LoopbackPeers.next(out, "the second copy").served("again");
         assertEquals("again", second.read().text());
-        assertEquals(Outcome.CANCELED, Peers.next(module.ends, "the first end").outcome());
-        assertEquals(Outcome.OK, Peers.next(module.ends, "the second end").outcome());
+        assertEquals(
+                Outcome.CANCELED,
+                LoopbackPeers.next(module.ends, "the first end").outcome());
+        assertEquals(
+                Outcome.OK, LoopbackPeers.next(module.ends, "the second end").outcome());
     }
 
     @Test
     void requestsBehindAnOpenOneAreAnsweredInADrain() throws Exception {
         BlockingQueue<Seen> out = new LinkedBlockingQueue<>();
         Server host = host(out::add);
-        start("", Peers.host("s", host.address(), "in_service"));
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         Client client = client().unsafe("a", 20_000).unsafe("b", 20_000);
-        Seen first = Peers.next(out, "the first");
+        Seen first = LoopbackPeers.next(out, "the first");
         proxy.drain();
         assertEquals(503, client().write(READY).read().status(), "the drain has begun");
         first.served("one");
         assertEquals("one", client.read().text());
-        Peers.next(out, "the second").served("two");
+        LoopbackPeers.next(out, "the second").served("two");
         assertEquals("two", client.read().text());
     }
 
     @Test
     void aMoveWhileACallConnectsAndOneBackGiveUpTheOldCalls() throws Exception {
-        start("", Peers.host("s", "127.0.0.1:1", "in_service"));
+        start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
         Seen watch = discovery.asked();
-        try (Peers.Deaf deaf = new Peers.Deaf()) {
+        try (LoopbackPeers.Deaf deaf = new LoopbackPeers.Deaf()) {
             move(deaf.address());
             watch.awaitEnd();
             move(discovery.server.address());
             Seen back = discovery.asked();
-            Discovery.push(back, Peers.list(7, true, Peers.host("t", "127.0.0.1:1", "in_service")));
-            assertEquals("FULL [t 1 READY]", Peers.next(module.lists, "the list, and no failure before"));
+            Discovery.push(back, LoopbackPeers.list(7, true, LoopbackPeers.host("t", "127.0.0.1:1", "in_service")));
+            assertEquals("FULL [t 1 READY]", LoopbackPeers.next(module.lists, "the list, and no failure before"));
         }
     }
 
     @Test
     void aMoveInADrainIsTakenUp() throws Exception {
         Discovery other = keep(new Discovery());
-        start("", Peers.host("s", "127.0.0.1:1", "in_service"));
+        start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
         discovery.asked();
         module.onRequest = r -> {};
         client().unsafe("open", 20_000);
         proxy.drain();
         move(other.server.address());
-        Discovery.push(other.asked(), Peers.list(2, true, Peers.host("t", "127.0.0.1:1", "in_service")));
-        assertEquals("FULL [t 1 READY]", Peers.next(module.lists, "the other's list"));
+        Discovery.push(
+                other.asked(), LoopbackPeers.list(2, true, LoopbackPeers.host("t", "127.0.0.1:1", "in_service")));
+        assertEquals("FULL [t 1 READY]", LoopbackPeers.next(module.lists, "the other's list"));
     }
 
     @Test
     void aWatchResetHalfWayThroughAListIsAFailedCallAndNothingOfItHolds() throws Exception {
         Server server = host(s -> s.served("x"));
-        start("", Peers.host("s", server.address(), "in_service"));
+        start("", LoopbackPeers.host("s", server.address(), "in_service"));
         Seen watch = discovery.asked();
-        String list = Peers.list(9, true, Peers.host("t", "127.0.0.1:1", "in_service"));
+        String list = LoopbackPeers.list(9, true, LoopbackPeers.host("t", "127.0.0.1:1", "in_service"));
         watch.write("f00\r\n" + list.substring(0, list.length() - 1));
         watch.reset();
-        assertEquals("failed", Peers.next(module.lists, "the break"));
+        assertEquals("failed", LoopbackPeers.next(module.lists, "the break"));
         module.onRequest = r -> {
             module.actions.subscribe();
             module.actions.send(r.id(), "s", 0);
@@ -196,17 +202,17 @@
     @Test
     void aListToldTwiceChangesNothing() throws Exception {
         Server server = host(s -> s.served("x"));
-        start("", Peers.host("s", server.address(), "in_service"));
+        start("", LoopbackPeers.host("s", server.address(), "in_service"));
         Seen watch = discovery.asked();
-        String same = Peers.list(2, true, Peers.host("s", server.address(), "in_service"));
+        String same = LoopbackPeers.list(2, true, LoopbackPeers.host("s", server.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         Client client = client();
         Discovery.push(watch, same);
-        Peers.next(module.lists, "the list");
+        LoopbackPeers.next(module.lists, "the list");
         assertEquals(200, client.unsafe("id1", 20_000).read().status());
         Thread.sleep(20); // a connection rests after an answer before it is used again
         Discovery.push(watch, same);
-        Peers.next(module.lists, "the same list");
+        LoopbackPeers.next(module.lists, "the same list");
         assertEquals(200, client.unsafe("id2", 20_000).read().status());
         assertEquals(1, server.connections.size(), "its connections stay");
     }
@@ -214,8 +220,8 @@
     @Test
     void aRequestWhoseTimePassedWhileTheProcessStoodStillIsNotWritten() throws Exception {
         // As after a freeze: the connection is up before the timer is looked at, and the deadline is long past.
-        try (Peers.Deaf deaf = new Peers.Deaf()) {
-            start("", Peers.host("s", deaf.address(), "in_service"));
+        try (LoopbackPeers.Deaf deaf = new LoopbackPeers.Deaf()) {
+            start("", LoopbackPeers.host("s", deaf.address(), "in_service"));
             module.onRequest = r -> module.actions.send(r.id(), "s", 700_000);
             module.onEnd = e -> module.actions.refuse(e.requestId(), 0);
             Client client = client().unsafe("id1", 20_000);
@@ -225,13 +231,16 @@
             // The connection comes up when its opening is repeated, after a second.
             deaf.hear();
             thaw.countDown();
-            assertTrue(Peers.next(module.ends, "the attempt's end").outcome().neverRan());
+            assertTrue(LoopbackPeers.next(module.ends, "the attempt's end")
+                    .outcome()
+                    .neverRan());
             assertEquals(503, client.read().status());
             assertTrue(deaf.silent(), "nothing was written");
         }
     }
 
     private void move(String address) throws Exception {
-        proxy.reload(Config.parse(Peers.config(0, address, "", "null").getBytes(StandardCharsets.UTF_8)));
+        proxy.reload(ClientProxyConfig.parse(
+                LoopbackPeers.config(0, address, "", "null").getBytes(StandardCharsets.UTF_8)));
     }
 }
--- a/src/test/java/quartzspan/clientproxy/BadClientsTest.java
+++ b/src/test/java/quartzspan/clientproxy/FaultyClientsTest.java
@@ -12,16 +12,16 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import quartzspan.http.Peers;
-import quartzspan.http.Peers.Client;
-import quartzspan.http.Peers.Message;
-import quartzspan.http.Peers.Seen;
-import quartzspan.http.Peers.Server;
-import quartzspan.loadbalancing.Balancer.AttemptEnd;
-import quartzspan.loadbalancing.Balancer.Outcome;
+import quartzspan.http.LoopbackPeers;
+import quartzspan.http.LoopbackPeers.Client;
+import quartzspan.http.LoopbackPeers.Message;
+import quartzspan.http.LoopbackPeers.Seen;
+import quartzspan.http.LoopbackPeers.Server;
+import quartzspan.loadbalancing.LoadBalancer.AttemptEnd;
+import quartzspan.loadbalancing.LoadBalancer.Outcome;
 
 /** Clients that do what the protocol does not ask of them. */
-class BadClientsTest extends ProxyRig {
+class FaultyClientsTest extends ClientProxyFixture {
     @Test
     void atTheMostTheLongestQuietMakesRoom() throws Exception {
         // Guards the limit on descriptors, and the usual clients against hundreds that say nothing.
@@ -124,7 +124,7 @@
         CountDownLatch told = new CountDownLatch(1);
         module.onRequest = r -> told.countDown();
         Client first = client().unsafe("same", 20_000);
-        assertTrue(told.await(Peers.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(told.await(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
         assertEquals(400, client().unsafe("same", 20_000).read().status());
         module.onRequest = r -> {
             module.actions.fail("same");
@@ -139,11 +139,11 @@
         // Guards the order: an error written past an open request would be taken for that one's answer.
         BlockingQueue<Seen> out = new LinkedBlockingQueue<>();
         Server host = host(out::add);
-        start("", Peers.host("s", host.address(), "in_service"));
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         Client client = client().unsafe("a", 20_000)
                 .write("POST /api HTTP/1.1\r\nHost: h\r\nContent-Length: 60000000\r\n\r\n" + "x".repeat(300_000));
-        Peers.next(out, "the first request").served("mine");
+        LoopbackPeers.next(out, "the first request").served("mine");
         assertEquals("mine", client.read().text());
         assertEquals(413, client.read().status());
         assertTrue(client.closed());
@@ -153,17 +153,17 @@
     void aClientThatAsksFirstIsToldToGoOnInItsTurn() throws Exception {
         BlockingQueue<Seen> out = new LinkedBlockingQueue<>();
         Server host = host(out::add);
-        start("", Peers.host("s", host.address(), "in_service"));
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         Client client = client().unsafe("a", 20_000)
                 .write("POST /api HTTP/1.1\r\nHost: h\r\n"
                         + "X-Request-Id: b\r\nX-Class: unsafe\r\nX-Deadline-Ms: 20000\r\n"
                         + "Expect: 100-continue\r\nContent-Length: 4\r\n\r\n");
-        Peers.next(out, "the first request").served("mine");
+        LoopbackPeers.next(out, "the first request").served("mine");
         assertEquals("mine", client.read().text());
         assertEquals(100, client.read().status());
         client.write("body");
-        Seen second = Peers.next(out, "the second request");
+        Seen second = LoopbackPeers.next(out, "the second request");
         assertEquals("body", second.message().text());
         second.served("too");
         assertEquals("too", client.read().text());
@@ -174,14 +174,14 @@
         // Guards memory: reading stops and goes on again, and no request is closed on.
         BlockingQueue<Seen> out = new LinkedBlockingQueue<>();
         Server host = host(out::add);
-        start("", Peers.host("s", host.address(), "in_service"));
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         Client client = client();
         for (int i = 0; i < 300; i++) {
             client.unsafe("id" + i, 20_000);
         }
         for (int i = 0; i < 300; i++) {
-            Seen one = Peers.next(out, "request " + i);
+            Seen one = LoopbackPeers.next(out, "request " + i);
             assertEquals("id" + i, one.message().header("x-request-id"));
             one.served("id" + i);
             assertEquals("id" + i, client.read().text());
@@ -191,15 +191,15 @@
     @Test
     void aClientThatLeavesIsMissedThoughItSentMuchAhead() throws Exception {
         Server host = host(s -> {});
-        start("", Peers.host("s", host.address(), "in_service"));
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         Client client = client();
         for (int i = 0; i < 40; i++) {
             client.unsafe("id" + i, 20_000);
         }
-        Seen first = Peers.next(host.seen, "the first request");
+        Seen first = LoopbackPeers.next(host.seen, "the first request");
         client.close();
-        assertEquals("id0", Peers.next(module.gone, "the client's leaving"));
+        assertEquals("id0", LoopbackPeers.next(module.gone, "the client's leaving"));
         first.awaitEnd();
         assertTrue(module.gone.isEmpty(), "the others were never begun");
     }
@@ -214,20 +214,20 @@
         Message late = client.read();
         assertEquals(503, late.status());
         assertEquals("2", late.header("retry-after"));
-        assertEquals("a", Peers.next(begun, "the first"));
+        assertEquals("a", LoopbackPeers.next(begun, "the first"));
         assertTrue(begun.isEmpty());
     }
 
     @Test
     void aClientThatLeavesTakesItsAttemptAlong() throws Exception {
         Server host = host(s -> {});
-        start("", Peers.host("s", host.address(), "in_service"));
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         Client client = client().unsafe("id1", 20_000);
-        Seen seen = Peers.next(host.seen, "the request");
+        Seen seen = LoopbackPeers.next(host.seen, "the request");
         client.close();
-        assertEquals("id1", Peers.next(module.gone, "the client's leaving"));
-        AttemptEnd end = Peers.next(module.ends, "the end");
+        assertEquals("id1", LoopbackPeers.next(module.gone, "the client's leaving"));
+        AttemptEnd end = LoopbackPeers.next(module.ends, "the end");
         assertEquals(Outcome.CANCELED, end.outcome());
         assertTrue(end.requestDone());
         seen.awaitEnd();
@@ -281,7 +281,7 @@
     @Test
     void requestsSentAheadAreAnsweredInOrder() throws Exception {
         Server host = host(s -> s.served(s.message().header("x-request-id")));
-        start("", Peers.host("s", host.address(), "in_service"));
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         Client client = client().unsafe("a", 20_000).unsafe("b", 20_000).unsafe("c", 20_000);
         for (String id : List.of("a", "b", "c")) {
--- a/src/test/java/quartzspan/clientproxy/BadHostsTest.java
+++ b/src/test/java/quartzspan/clientproxy/FaultyEndpointsTest.java
@@ -15,15 +15,15 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
-import quartzspan.http.Peers;
-import quartzspan.http.Peers.Client;
-import quartzspan.http.Peers.Message;
-import quartzspan.http.Peers.Seen;
-import quartzspan.http.Peers.Server;
-import quartzspan.loadbalancing.Balancer.Outcome;
+import quartzspan.http.LoopbackPeers;
+import quartzspan.http.LoopbackPeers.Client;
+import quartzspan.http.LoopbackPeers.Message;
+import quartzspan.http.LoopbackPeers.Seen;
+import quartzspan.http.LoopbackPeers.Server;
+import quartzspan.loadbalancing.LoadBalancer.Outcome;
 
 /** Answers that are spoilt, late or none, and what they prove. */
-class BadHostsTest extends ProxyRig {
+class FaultyEndpointsTest extends ClientProxyFixture {
     @Test
     void anyOtherAnswerMayHaveRun() throws Exception {
         assertEquals(Outcome.FAILED, outcome(s -> s.answer(500, "", "x"), 0).outcome());
@@ -101,7 +101,7 @@
                 "HTTP/1.1 102 Processing\r\n\r\n".repeat(30) + ok + "Content-Length: 1\r\n\r\na",
                 "HTTP/1.1 503 x\r\nX-Not-Run: 1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\na");
         Server host = host(s -> s.write(spoilt.get(Integer.parseInt(s.message().header("x-request-id")))));
-        start("", Peers.host("s", host.address(), "in_service"));
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         module.onEnd = e -> {
             if (!e.requestDone()) {
@@ -112,8 +112,9 @@
         for (int i = 0; i < spoilt.size(); i++) {
             String what = spoilt.get(i).substring(0, Math.min(80, spoilt.get(i).length()));
             assertEquals(502, client.unsafe("" + i, 20_000).read().status(), what);
-            assertEquals(Outcome.FAILED, Peers.next(module.ends, "an end").outcome(), what);
-            Peers.next(host.seen, "the request").awaitEnd();
+            assertEquals(
+                    Outcome.FAILED, LoopbackPeers.next(module.ends, "an end").outcome(), what);
+            LoopbackPeers.next(host.seen, "the request").awaitEnd();
         }
     }
 
@@ -128,7 +129,7 @@
                 "HTTP/1.1 200 OK\r\nX-Load: %%%\r\nContent-Length: 1\r\nX-Load: {\"\r\n\r\na",
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\n\r\n1\r\na\r\n0\r\nX-T: 1\r\n\r\n");
         Server host = host(s -> s.write(good.get(Integer.parseInt(s.message().header("x-request-id")))));
-        start("", Peers.host("s", host.address(), "in_service"));
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         Client client = client();
         for (int i = 0; i < good.size(); i++) {
@@ -142,13 +143,13 @@
     void whatComesLateOnAnIdleConnectionEndsIt() throws Exception {
         // Guards against a later read: a second copy would be served to another, noise would spoil it.
         Server host = host(s -> s.served(s.message().header("x-request-id")));
-        start("", Peers.host("s", host.address(), "in_service"));
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         Client client = client();
         for (String late : List.of("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray", "no", "\r\n")) {
             String id = "id" + late.length();
             assertEquals(id, client.unsafe(id, 20_000).read().text());
-            Seen seen = Peers.next(host.seen, "the request");
+            Seen seen = LoopbackPeers.next(host.seen, "the request");
             seen.write(late);
             seen.awaitEnd();
         }
@@ -159,7 +160,7 @@
     void silenceTimesOutAndTheConnectionCloses() throws Exception {
         BlockingQueue<Seen> seen = new LinkedBlockingQueue<>();
         assertEquals(Outcome.TIMED_OUT, outcome(seen::add, 50_000).outcome());
-        Peers.next(seen, "the request").awaitEnd();
+        LoopbackPeers.next(seen, "the request").awaitEnd();
     }
 
     @Test
@@ -174,7 +175,7 @@
                 s.served("x");
             }
         });
-        start("", Peers.host("s", host.address(), "in_service"));
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         module.onEnd = e -> {
             if (!e.requestDone()) {
@@ -209,14 +210,14 @@
             });
             resets.setDaemon(true);
             resets.start();
-            start("", Peers.host("s", "127.0.0.1:" + listening.getLocalPort(), "in_service"));
+            start("", LoopbackPeers.host("s", "127.0.0.1:" + listening.getLocalPort(), "in_service"));
             module.onRequest = r -> module.actions.send(r.id(), "s", 0);
             module.onEnd = e -> module.actions.fail(e.requestId());
             Client client = client();
             for (int i = 0; i < 20; i++) {
                 int before = accepted.get();
                 assertEquals(502, client.unsafe("id" + i, 20_000).read().status());
-                Outcome how = Peers.next(module.ends, "the end").outcome();
+                Outcome how = LoopbackPeers.next(module.ends, "the end").outcome();
                 // Which of the two it is depends on when the reset comes; only the third in a row tells.
                 assertTrue(how == Outcome.RESET || accepted.get() - before >= 3, how + " at once");
             }
--- a/src/test/java/quartzspan/clientproxy/ProxyTest.java
+++ b/src/test/java/quartzspan/clientproxy/ProxyTest.java
@@ -17,18 +17,18 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
-import quartzspan.http.Peers;
-import quartzspan.http.Peers.Client;
-import quartzspan.http.Peers.Deaf;
-import quartzspan.http.Peers.Discovery;
-import quartzspan.http.Peers.Message;
-import quartzspan.http.Peers.Seen;
-import quartzspan.http.Peers.Server;
-import quartzspan.loadbalancing.Balancer.AttemptEnd;
-import quartzspan.loadbalancing.Balancer.Outcome;
+import quartzspan.http.LoopbackPeers;
+import quartzspan.http.LoopbackPeers.Client;
+import quartzspan.http.LoopbackPeers.Deaf;
+import quartzspan.http.LoopbackPeers.Discovery;
+import quartzspan.http.LoopbackPeers.Message;
+import quartzspan.http.LoopbackPeers.Seen;
+import quartzspan.http.LoopbackPeers.Server;
+import quartzspan.loadbalancing.LoadBalancer.AttemptEnd;
+import quartzspan.loadbalancing.LoadBalancer.Outcome;
 
 /** Requests and attempts: what goes on to hosts and what comes back, when all behave. */
-class ProxyTest extends ProxyRig {
+class ProxyTest extends ClientProxyFixture {
     @Test
     void a200IsServed() throws Exception {
         assertEquals(Outcome.OK, outcome(s -> s.served("x"), 0).outcome());
@@ -38,7 +38,7 @@
     void theLargestBodiesPass() throws Exception {
         String most = "x".repeat(64 * 1024);
         Server host = host(s -> s.served(s.message().text()));
-        start("", Peers.host("s", host.address(), "in_service"));
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         Message answer = client().write("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: a\r\n"
                         + "X-Class: unsafe\r\nX-Deadline-Ms: 20000\r\nContent-Length: 65536\r\n\r\n" + most)
@@ -51,11 +51,13 @@
     void refusedConnectionsNeverRan() throws Exception {
         ServerSocket none = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         none.close();
-        start("", Peers.host("s", "127.0.0.1:" + none.getLocalPort(), "in_service"));
+        start("", LoopbackPeers.host("s", "127.0.0.1:" + none.getLocalPort(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         module.onEnd = e -> module.actions.refuse(e.requestId(), 250_000);
         Message answer = client().unsafe("id1", 20_000).read();
-        assertEquals(Outcome.CONNECT_ERROR, Peers.next(module.ends, "the end").outcome());
+        assertEquals(
+                Outcome.CONNECT_ERROR,
+                LoopbackPeers.next(module.ends, "the end").outcome());
         assertEquals(503, answer.status());
         assertEquals("0.25", answer.header("retry-after"));
     }
@@ -64,7 +66,7 @@
     void aClientIsServedOnItsConnectionAfterTheDrainBegan() throws Exception {
         // Guards the seconds until SIGKILL: a client that is sent away finds nobody else to ask.
         Server host = host(s -> s.served("x"));
-        start("", Peers.host("s", host.address(), "in_service"));
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         Client client = client();
         assertEquals(200, client.unsafe("before", 20_000).read().status());
@@ -78,7 +80,7 @@
 
     @Test
     void whatComesInADrainIsAnsweredBeforeSigkill() throws Exception {
-        start("", Peers.host("s", "127.0.0.1:1", "in_service"));
+        start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
         AtomicLong budget = new AtomicLong();
         module.onRequest = r -> {
             budget.set(r.budgetUs());
@@ -93,7 +95,7 @@
     void whatIsOpenWhenADrainBeginsIsAnsweredBeforeSigkill() throws Exception {
         // Guards classes whose deadline is longer than the time until SIGKILL: 20 s here, against 3.7 s.
         Server host = host(s -> {});
-        start("", Peers.host("s", host.address(), "in_service"));
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
         BlockingQueue<String> taken = new LinkedBlockingQueue<>();
         module.onRequest = r -> {
             if (r.id().equals("out")) {
@@ -103,8 +105,8 @@
         };
         Client held = client().unsafe("held", 20_000);
         Client out = client().unsafe("out", 20_000);
-        Peers.next(taken, "the first request");
-        Peers.next(taken, "the second request");
+        LoopbackPeers.next(taken, "the first request");
+        LoopbackPeers.next(taken, "the second request");
         long told = System.nanoTime();
         proxy.drain();
         assertEquals(503, held.read().status(), "never sent on");
@@ -118,21 +120,21 @@
         // Guards the moment between listening and the end of the start: who connects in it is served.
         Server host = host(s -> s.served("x"));
         List<Future<?>> end = new ArrayList<>();
-        start(starting -> end.add(starting.drain()), "", Peers.host("s", host.address(), "in_service"));
+        start(starting -> end.add(starting.drain()), "", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         assertEquals(200, client().unsafe("id1", 20_000).read().status());
-        assertTrue(end.get(0).await(Peers.PATIENCE_S, TimeUnit.SECONDS), "it ends");
+        assertTrue(end.get(0).await(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS), "it ends");
     }
 
     @Test
     void anAddressStillInUseIsWaitedFor() throws Exception {
-        discovery = keep(new Peers.Discovery());
+        discovery = keep(new LoopbackPeers.Discovery());
         ServerSocket last = keep(new ServerSocket(0, 1, InetAddress.getLoopbackAddress()));
-        Config config = Config.parse(Peers.config(
+        ClientProxyConfig config = ClientProxyConfig.parse(LoopbackPeers.config(
                         last.getLocalPort(),
                         discovery.server.address(),
                         "",
-                        Peers.list(1, true, Peers.host("s", "127.0.0.1:1", "in_service")))
+                        LoopbackPeers.list(1, true, LoopbackPeers.host("s", "127.0.0.1:1", "in_service")))
                 .getBytes(StandardCharsets.UTF_8));
         Thread going = new Thread(() -> {
             try {
@@ -158,12 +160,13 @@
     void aTimeOutCoversConnecting() throws Exception {
         // Guards against an attempt that hangs where no connection ever comes up: it never ran.
         try (Deaf deaf = new Deaf()) {
-            start("", Peers.host("s", deaf.address(), "in_service"));
+            start("", LoopbackPeers.host("s", deaf.address(), "in_service"));
             module.onRequest = r -> module.actions.send(r.id(), "s", 100_000);
             module.onEnd = e -> module.actions.refuse(e.requestId(), 0);
             assertEquals(503, client().unsafe("id1", 20_000).read().status());
             assertEquals(
-                    Outcome.CONNECT_ERROR, Peers.next(module.ends, "the end").outcome());
+                    Outcome.CONNECT_ERROR,
+                    LoopbackPeers.next(module.ends, "the end").outcome());
         }
     }
 
@@ -171,7 +174,7 @@
     void nothingIsWrittenToAHostToldToDrainWhileConnecting() throws Exception {
         // Guards rule 3: the decision was made before the drain, the connection comes up after it.
         try (Deaf deaf = new Deaf()) {
-            start("", Peers.host("s", deaf.address(), "in_service"));
+            start("", LoopbackPeers.host("s", deaf.address(), "in_service"));
             Seen watch = discovery.asked();
             BlockingQueue<String> sent = new LinkedBlockingQueue<>();
             module.onRequest = r -> {
@@ -180,11 +183,12 @@
             };
             module.onEnd = e -> module.actions.refuse(e.requestId(), 0);
             Client client = client().unsafe("id1", 20_000);
-            Peers.next(sent, "the decision");
-            Discovery.push(watch, Peers.list(2, false, Peers.host("s", deaf.address(), "terminating")));
-            assertEquals("DELTA [s 1 DRAINING]", Peers.next(module.lists, "the drain"));
+            LoopbackPeers.next(sent, "the decision");
+            Discovery.push(watch, LoopbackPeers.list(2, false, LoopbackPeers.host("s", deaf.address(), "terminating")));
+            assertEquals("DELTA [s 1 DRAINING]", LoopbackPeers.next(module.lists, "the drain"));
             deaf.hear();
-            assertEquals(Outcome.IGNORED, Peers.next(module.ends, "the end").outcome());
+            assertEquals(
+                    Outcome.IGNORED, LoopbackPeers.next(module.ends, "the end").outcome());
             assertEquals(503, client.read().status());
             assertTrue(deaf.silent(), "nothing was written");
         }
@@ -195,7 +199,7 @@
         String body = "\0\r\n\u00ff binary";
         Server host =
                 host(s -> s.answer(200, "Content-Type: a/b\r\n", s.message().text() + "!"));
-        start("", Peers.host("s", host.address(), "in_service"));
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         Message answer = client().write("POST /api/x?q=%20a&b HTTP/1.1\r\nHost: origin.svc\r\n"
                         + "X-Request-Id: id1\r\nX-Class: keyed\r\nX-Tenant: acme\r\nX-Key: k\r\n"
@@ -203,7 +207,7 @@
                         + "Idempotency-Key: i-k\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 1\r\n"
                         + "Content-Length: " + body.length() + "\r\n\r\n" + body)
                 .read();
-        Message seen = Peers.next(host.seen, "the request").message();
+        Message seen = LoopbackPeers.next(host.seen, "the request").message();
         assertEquals("POST /api/x?q=%20a&b HTTP/1.1", seen.first());
         assertEquals("id1", seen.header("x-request-id"));
         assertEquals("i-k", seen.header("idempotency-key"));
@@ -225,15 +229,17 @@
                 s.served("x");
             }
         });
-        start("", Peers.host("s", host.address(), "in_service"));
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         module.onEnd = e -> module.actions.fail(e.requestId());
         Client client = client();
         assertEquals(200, client.unsafe("id1", 20_000).read().status());
         Thread.sleep(50); // a connection rests after an answer before it is used again
         assertEquals(502, client.unsafe("id2", 20_000).read().status());
-        assertEquals(Outcome.OK, Peers.next(module.ends, "the first end").outcome());
-        assertEquals(Outcome.RESET, Peers.next(module.ends, "the second end").outcome());
+        assertEquals(
+                Outcome.OK, LoopbackPeers.next(module.ends, "the first end").outcome());
+        assertEquals(
+                Outcome.RESET, LoopbackPeers.next(module.ends, "the second end").outcome());
         assertEquals(1, host.connections.size());
         assertEquals(2, host.seen.size(), "sent once and no more");
     }
@@ -241,10 +247,10 @@
     @Test
     void idleConnectionsCloseBeforeTheHostDoes() throws Exception {
         Server host = host(s -> s.served("x"));
-        start(",\"connIdleUs\":400000", Peers.host("s", host.address(), "in_service"));
+        start(",\"connIdleUs\":400000", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         assertEquals(200, client().unsafe("id1", 20_000).read().status());
-        Peers.next(host.seen, "the request").awaitEnd();
+        LoopbackPeers.next(host.seen, "the request").awaitEnd();
     }
 
     @Test
@@ -252,7 +258,10 @@
         // Guards "at most one attempt at a time": the host told of the second must have lost the first.
         Server silent = host(s -> {});
         Server other = host(s -> s.served("x"));
-        start("", Peers.host("s", silent.address(), "in_service"), Peers.host("t", other.address(), "in_service"));
+        start(
+                "",
+                LoopbackPeers.host("s", silent.address(), "in_service"),
+                LoopbackPeers.host("t", other.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 50_000);
         module.onEnd = e -> {
             if (e.attempt() == 0) {
@@ -260,7 +269,7 @@
             }
         };
         assertEquals(200, client().safe("id1", 20_000).read().status());
-        Peers.next(silent.seen, "the first attempt").awaitEnd();
+        LoopbackPeers.next(silent.seen, "the first attempt").awaitEnd();
         assertEquals(1, other.seen.size());
     }
 
@@ -268,13 +277,16 @@
     void aSecondCopyIsNotSent() throws Exception {
         Server silent = host(s -> {});
         Server other = host(s -> s.served("x"));
-        start("", Peers.host("s", silent.address(), "in_service"), Peers.host("t", other.address(), "in_service"));
+        start(
+                "",
+                LoopbackPeers.host("s", silent.address(), "in_service"),
+                LoopbackPeers.host("t", other.address(), "in_service"));
         module.onRequest = r -> {
             module.actions.send(r.id(), "s", 0);
             module.actions.send(r.id(), "t", 0);
         };
         client().unsafe("id1", 20_000);
-        AttemptEnd end = Peers.next(module.ends, "the second copy's end");
+        AttemptEnd end = LoopbackPeers.next(module.ends, "the second copy's end");
         assertEquals(1, end.attempt());
         assertEquals(Outcome.IGNORED, end.outcome());
         assertEquals(0, other.seen.size());
@@ -284,7 +296,7 @@
     void aCancelledAttemptIsClosedAndOnlyThatOne() throws Exception {
         // Guards the numbering: a second copy that was not sent has a number, and is not the one that is out.
         Server host = host(s -> {});
-        start("", Peers.host("s", host.address(), "in_service"));
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> {
             module.actions.send(r.id(), "s", 0);
             module.actions.send(r.id(), "s", 0);
@@ -300,8 +312,8 @@
         assertEquals(502, client().unsafe("id1", 20_000).read().status());
         assertEquals(
                 Outcome.IGNORED,
-                Peers.next(module.ends, "the second copy's end").outcome());
-        AttemptEnd end = Peers.next(module.ends, "the first's end");
+                LoopbackPeers.next(module.ends, "the second copy's end").outcome());
+        AttemptEnd end = LoopbackPeers.next(module.ends, "the first's end");
         assertEquals(0, end.attempt());
         assertEquals(Outcome.CANCELED, end.outcome());
         assertFalse(end.requestDone());
@@ -311,7 +323,7 @@
     @Test
     void theClientHasAnAnswerInTimeWhateverTheModuleDoes() throws Exception {
         Server host = host(s -> {});
-        start("", Peers.host("s", host.address(), "in_service"));
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
         // Held for ever, with no attempt: a refusal is true. With one out, only for what is safe to repeat.
         Message held = client().unsafe("held", 300).read();
         assertEquals(503, held.status());
@@ -324,13 +336,13 @@
     @Test
     void aDecisionAfterTheAnswerSendsNothing() throws Exception {
         Server host = host(s -> s.served("x"));
-        start("", Peers.host("s", host.address(), "in_service"));
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> {
             module.actions.refuse(r.id(), 0);
             module.actions.send(r.id(), "s", 0);
         };
         assertEquals(503, client().unsafe("id1", 20_000).read().status());
-        AttemptEnd end = Peers.next(module.ends, "the end");
+        AttemptEnd end = LoopbackPeers.next(module.ends, "the end");
         assertEquals(Outcome.IGNORED, end.outcome());
         assertTrue(end.requestDone());
         assertEquals(0, host.seen.size());
@@ -350,12 +362,12 @@
     @Test
     void probesTellOfAHost() throws Exception {
         Server host = host(s -> s.answer(s.message().first().startsWith("GET /-/healthy ") ? 200 : 404, "", ""));
-        start("", Peers.host("s", host.address(), "in_service"));
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> {
             module.actions.probe("s");
             module.actions.fail(r.id());
         };
         client().unsafe("id1", 20_000).read();
-        assertEquals(Outcome.OK, Peers.next(module.probes, "the probe's end"));
+        assertEquals(Outcome.OK, LoopbackPeers.next(module.probes, "the probe's end"));
     }
 }
--- a/src/test/java/quartzspan/controlplane/CoreOfThreeTest.java
+++ b/src/test/java/quartzspan/controlplane/CoreClusterTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Three core machines on loopback addresses, and what their callers are told as they end one after the other. */
-class CoreOfThreeTest {
+class CoreClusterTest {
     private static final List<String> HOSTS = CoreCluster.HOSTS;
     private static final int GRACE_PERIOD_S = 8;
 
@@ -56,9 +56,9 @@
         String change = "{\"version\":2,\"routes\":[],\"services\":[]}";
         assertEquals(
                 200, cluster.status(first, "POST /quartzspan/Configuration.Replace", "X-Base-Version: 0\r\n", change));
-        long begun = System.nanoTime();
+        long started = System.nanoTime();
         cluster.stop(first);
-        assertTrue(System.nanoTime() - begun < TimeUnit.SECONDS.toNanos(7), "handed over before its time was up");
+        assertTrue(System.nanoTime() - started < TimeUnit.SECONDS.toNanos(7), "handed over before its time was up");
         left.remove(first);
         String second = cluster.primary(left);
         assertNotEquals(first, second);
--- a/src/test/java/quartzspan/controlplane/LeaveAcknowledgementsTest.java
+++ b/src/test/java/quartzspan/controlplane/DrainAcknowledgerTest.java
@@ -19,7 +19,7 @@
 import quartzspan.registry.RegistryEntry;
 
 /** A server that leaves is answered only when its word outlives as many machines as may be lost at once. */
-class LeaveAcknowledgementsTest {
+class DrainAcknowledgerTest {
     private static final List<String> CORES = List.of("c1:1", "c2:1", "c3:1", "c4:1", "c5:1");
     private static final List<String> PROXIES = List.of("p1:1", "p2:1");
     private static final RegistryEntry READY = entry(2, RegistryEntry.State.READY);
@@ -36,18 +36,18 @@
     private final List<String> answers = new ArrayList<>();
     private long now;
 
-    private LeaveAcknowledgements leaves;
+    private DrainAcknowledger leaves;
 
     private static RegistryEntry entry(long seq, RegistryEntry.State state) {
         return new RegistryEntry(RegistryEntry.Subject.SERVER, "i", seq, state, "s\t10.0.0.9:80\tz\tm\t1\t0");
     }
 
-    LeaveAcknowledgementsTest() {
+    DrainAcknowledgerTest() {
         CORES.forEach(name -> start(name, true));
         PROXIES.forEach(name -> start(name, false));
-        registries.get("c1:1").take(now, READY);
+        registries.get("c1:1").merge(now, READY);
         run(2_000);
-        leaves = new LeaveAcknowledgements(gossips.get("c1:1"));
+        leaves = new DrainAcknowledger(gossips.get("c1:1"));
     }
 
     private void start(String name, boolean core) {
@@ -58,8 +58,8 @@
                 new Gossip(name, core, CORES, registry, (to, message) -> flights.add(new Flight(name, to, message))));
     }
 
-    private LeaveAcknowledgements.Caller caller() {
-        return new LeaveAcknowledgements.Caller() {
+    private DrainAcknowledger.Caller caller() {
+        return new DrainAcknowledger.Caller() {
             @Override
             public void acknowledge() {
                 answers.add("acknowledged");
@@ -72,8 +72,8 @@
         };
     }
 
-    private LeaveAcknowledgements.Waiting drain(int holders) {
-        registries.get("c1:1").take(now, DRAINING);
+    private DrainAcknowledger.Pending drain(int holders) {
+        registries.get("c1:1").merge(now, DRAINING);
         return leaves.begin(now, DRAINING, holders, caller());
     }
 
@@ -108,7 +108,7 @@
     void oneOtherMachineIsNotEnoughWhereTwoMayBeLost() {
         down.addAll(List.of("c3:1", "c4:1", "c5:1"));
         drain(2);
-        run(LeaveAcknowledgements.BUDGET_MS - 100);
+        run(DrainAcknowledger.ACKNOWLEDGEMENT_TIMEOUT_MS - 100);
         assertEquals(List.of(), answers);
         run(200);
         assertEquals(List.of("NOT_PRIMARY"), answers, "in time for the server to call another machine");
@@ -161,10 +161,10 @@
     @Test
     void aCallerThatWentAwayIsNotAnsweredAndNothingIsKept() {
         down.addAll(List.of("c2:1", "c3:1", "c4:1", "c5:1"));
-        LeaveAcknowledgements.Waiting waiting = drain(1);
-        assertTrue(waiting.open());
-        waiting.hangUp();
-        assertFalse(waiting.open());
+        DrainAcknowledger.Pending waiting = drain(1);
+        assertTrue(waiting.isPending());
+        waiting.cancel();
+        assertFalse(waiting.isPending());
         assertTrue(leaves.idle());
         down.clear();
         run(2_000);
@@ -174,7 +174,7 @@
     @Test
     void whereNothingMayBeLostNobodyIsWaitedFor() {
         down.addAll(List.of("c2:1", "c3:1", "c4:1", "c5:1"));
-        assertFalse(drain(0).open());
+        assertFalse(drain(0).isPending());
         assertEquals(List.of("acknowledged"), answers);
     }
 }
--- a/src/test/java/quartzspan/controlplane/GracefulStopTest.java
+++ b/src/test/java/quartzspan/controlplane/GracefulShutdownPhasesTest.java
@@ -7,20 +7,20 @@
 import org.junit.jupiter.api.Test;
 
 /** When a core machine that was told to end does so. */
-class GracefulStopTest {
+class GracefulShutdownPhasesTest {
     private static final long GRACE_MS = 8_000;
 
     private int leaves;
     private boolean left;
-    private final GracefulStop stop = new GracefulStop(
-            new GracefulStop.Member() {
+    private final GracefulShutdown stop = new GracefulShutdown(
+            new GracefulShutdown.HandoverParticipant() {
                 @Override
-                public void leave(long now) {
+                public void beginHandover(long now) {
                     leaves++;
                 }
 
                 @Override
-                public boolean left(long now) {
+                public boolean isHandoverComplete(long now) {
                     return left;
                 }
             },
@@ -30,7 +30,7 @@
     void itNeverEndsUntold() {
         left = true;
         assertFalse(stop.over(1_000_000, true));
-        assertFalse(stop.begun());
+        assertFalse(stop.started());
     }
 
     @Test
@@ -47,7 +47,7 @@
     @Test
     void itEndsByItselfBeforeItIsKilled() {
         stop.begin(0);
-        assertFalse(stop.over(GRACE_MS - GracefulStop.KILL_MARGIN_MS - 1, true));
-        assertTrue(stop.over(GRACE_MS - GracefulStop.KILL_MARGIN_MS, false));
+        assertFalse(stop.over(GRACE_MS - GracefulShutdown.KILL_MARGIN_MS - 1, true));
+        assertTrue(stop.over(GRACE_MS - GracefulShutdown.KILL_MARGIN_MS, false));
     }
 }
--- a/src/test/java/quartzspan/controlplane/HeartbeatReceiverTest.java
+++ b/src/test/java/quartzspan/controlplane/HeartbeatHandlerTest.java
@@ -15,9 +15,9 @@
 import quartzspan.registry.RegistryEntry;
 
 /** What a core machine takes in of servers, and when it sends them on to another. */
-class HeartbeatReceiverTest {
+class HeartbeatHandlerTest {
     private final Registry registry = new Registry();
-    private final HeartbeatReceiver receiver = new HeartbeatReceiver(
+    private final HeartbeatHandler receiver = new HeartbeatHandler(
             registry,
             new HeartbeatTracker(registry, 1_200),
             new Gossip("c1:1", true, List.of("c1:1", "c2:1"), registry, (to, message) -> {}));
@@ -34,14 +34,14 @@
 
     @Test
     void aMachineThatIsCutOffSendsServersOnButKeepsWhatTheySaid() {
-        registry.fresh(10_000);
-        assertNull(receiver.heartbeat(10_000 + HeartbeatReceiver.IN_TOUCH_MS, "i", body(1, "ready")));
-        long cut = 10_001 + HeartbeatReceiver.IN_TOUCH_MS;
+        registry.confirmFresh(10_000);
+        assertNull(receiver.heartbeat(10_000 + HeartbeatHandler.MAX_STALENESS_MS, "i", body(1, "ready")));
+        long cut = 10_001 + HeartbeatHandler.MAX_STALENESS_MS;
         FleetException why = assertThrows(FleetException.class, () -> receiver.heartbeat(cut, "i", body(2, "ready")));
         assertEquals(503, why.code().status());
         assertThrows(FleetException.class, () -> receiver.heartbeat(cut, "j", body(1, "ready")));
         assertNotNull(registry.entry(RegistryEntry.Subject.SERVER, "j"), "known here all the same");
-        registry.fresh(cut);
+        registry.confirmFresh(cut);
         assertNull(receiver.heartbeat(cut, "i", body(3, "ready")));
     }
 
--- a/src/test/java/quartzspan/controlplane/RolloutDutyTest.java
+++ b/src/test/java/quartzspan/controlplane/RolloutCoordinatorTest.java
@@ -17,7 +17,7 @@
 import quartzspan.replication.Epoch;
 
 /** Who may order servers, from when on, and under which fencing token. */
-class RolloutDutyTest {
+class RolloutCoordinatorTest {
     private static final long LEASE_MS = 3_000;
     private static final long APPLY_MS = 10_000;
     private static final int TICK_MS = 50;
@@ -25,16 +25,16 @@
     /** The control state, as far as the duty goes. */
     private String holder = "";
 
-    private long fence;
+    private long fencingToken;
     private final Map<String, Long> named = new HashMap<>(Map.of("m", 2L));
     private long now = 100_000;
-    private final List<RolloutDuty.Order> orders = new ArrayList<>();
+    private final List<RolloutCoordinator.Order> orders = new ArrayList<>();
     private final List<Long> orderedAt = new ArrayList<>();
 
     /** One machine of the core. */
-    private final class Machine implements RolloutDuty.Out {
+    private final class Machine implements RolloutCoordinator.Out {
         private final String name;
-        private RolloutDuty duty;
+        private RolloutCoordinator duty;
         private long epoch = -1;
         private long confirmedAt;
         private boolean cut;
@@ -48,16 +48,17 @@
 
         void restart() {
             epoch = -1;
-            duty = new RolloutDuty(name, LEASE_MS, new Rollout(APPLY_MS), this::term, this);
+            duty = new RolloutCoordinator(name, LEASE_MS, new RolloutPlanner(APPLY_MS), this::leadership, this);
         }
 
-        private Optional<RolloutDuty.Term> term() {
+        private Optional<RolloutCoordinator.Leadership> leadership() {
             return epoch < 0
                     ? Optional.empty()
-                    : Optional.of(new RolloutDuty.Term(new Epoch(epoch, name, 0), confirmedAt, holder, fence, named));
+                    : Optional.of(new RolloutCoordinator.Leadership(
+                            new Epoch(epoch, name, 0), confirmedAt, holder, fencingToken, named));
         }
 
-        void terms(long inEpoch) {
+        void leaderships(long inEpoch) {
             epoch = inEpoch;
             confirmedAt = now;
         }
@@ -72,11 +73,11 @@
         }
 
         @Override
-        public void claim(Epoch term) {
+        public void claim(Epoch leadership) {
             holder = name;
-            fence++;
+            fencingToken++;
             if (answersClaims) {
-                duty.claimed(term, true, fence);
+                duty.claimed(leadership, true, fencingToken);
             }
         }
 
@@ -84,11 +85,11 @@
         public void announce(Server server, long version) {}
 
         @Override
-        public void order(RolloutDuty.Order order) {
+        public void order(RolloutCoordinator.Order order) {
             if (held.contains(order.server().id())) {
                 return;
             }
-            if (duty.permits(now, order)) {
+            if (duty.mayOrder(now, order)) {
                 orders.add(order);
                 orderedAt.add(now);
             }
@@ -109,7 +110,7 @@
     @Test
     void theFirstHolderWaitsForNobody() {
         Machine a = new Machine("a");
-        a.terms(1);
+        a.leaderships(1);
         a.run(300);
         assertFalse(orders.isEmpty());
         assertEquals(1, orders.get(0).fencingToken());
@@ -119,7 +120,7 @@
     void nothingIsOrderedWhereNothingIsNamed() {
         named.clear();
         Machine a = new Machine("a");
-        a.terms(1);
+        a.leaderships(1);
         a.run(5_000);
         assertTrue(orders.isEmpty());
         assertEquals("", holder, "not even claimed");
@@ -129,13 +130,13 @@
     void aCutHolderIsSilentForTheLeaseBeforeTheNextOneBegins() {
         Machine a = new Machine("a");
         Machine b = new Machine("b");
-        a.terms(1);
+        a.leaderships(1);
         a.run(1_000);
         a.cut = true;
         // At the latest now another machine has a majority; the one that was cut off does not know and goes on.
-        b.terms(2);
+        b.leaderships(2);
         long began = now;
-        List<RolloutDuty.Order> old = new ArrayList<>(orders);
+        List<RolloutCoordinator.Order> old = new ArrayList<>(orders);
         for (int tick = 0; tick < 200; tick++) {
             long at = now;
             a.run(TICK_MS);
@@ -144,7 +145,7 @@
         }
         long lastOfA = orderedAt.get(lastIndex(1));
         long firstOfB = orderedAt.get(firstIndex(2));
-        assertTrue(lastOfA <= began + RolloutDuty.CONFIRMED_MS, "stops by itself");
+        assertTrue(lastOfA <= began + RolloutCoordinator.CONFIRMATION_VALID_MS, "stops by itself");
         assertTrue(firstOfB - lastOfA >= LEASE_MS, "no turns within the lease");
         assertTrue(firstOfB - began < LEASE_MS + 1_500, "and no longer than it must: weights have their time");
         assertTrue(orders.size() > old.size());
@@ -170,12 +171,12 @@
     @Test
     void aFrozenHolderThatThawsSendsNothing() {
         Machine a = new Machine("a");
-        a.terms(1);
+        a.leaderships(1);
         a.run(200);
         int before = orders.size();
-        RolloutDuty.Order open = orders.get(0);
+        RolloutCoordinator.Order open = orders.get(0);
         now += 20_000;
-        assertFalse(a.duty.permits(now, open), "asked right before the write, however long the connection took");
+        assertFalse(a.duty.mayOrder(now, open), "asked right before the write, however long the connection took");
         a.cut = true;
         a.run(1_000);
         assertEquals(before, orders.size());
@@ -184,20 +185,20 @@
     @Test
     void anAnnouncedOrderOfAnEarlierTermIsNotSent() {
         Machine a = new Machine("a");
-        a.terms(1);
+        a.leaderships(1);
         a.run(200);
-        RolloutDuty.Order early = orders.get(0);
-        a.terms(3);
+        RolloutCoordinator.Order early = orders.get(0);
+        a.leaderships(3);
         a.run(200);
-        assertFalse(a.duty.permits(now, early), "its token is of an earlier claim");
+        assertFalse(a.duty.mayOrder(now, early), "its token is of an earlier claim");
     }
 
     @Test
     void theSameHolderGoesOnAtOnceUnderAHigherToken() {
         Machine a = new Machine("a");
-        a.terms(1);
+        a.leaderships(1);
         a.run(200);
-        a.terms(2);
+        a.leaderships(2);
         long again = now;
         a.run(4_000);
         int first = firstIndex(2);
@@ -209,17 +210,17 @@
     void aClaimThatWasTakenUnansweredDoesNotHideTheHolderBefore() {
         Machine a = new Machine("a");
         Machine b = new Machine("b");
-        b.terms(1);
+        b.leaderships(1);
         b.run(1_000);
         long lastOfB = last();
         b.epoch = -1;
         a.answersClaims = false;
-        a.terms(2);
+        a.leaderships(2);
         a.run(100);
         a.epoch = -1;
         a.run(100);
         a.answersClaims = true;
-        a.terms(3);
+        a.leaderships(3);
         a.run(6_000);
         assertEquals("a", holder);
         int first = firstIndex(3);
@@ -230,10 +231,10 @@
     @Test
     void aRestartedHolderWaitsAsAnyOther() {
         Machine a = new Machine("a");
-        a.terms(1);
+        a.leaderships(1);
         a.run(200);
         a.restart();
-        a.terms(2);
+        a.leaderships(2);
         long restarted = now;
         a.run(6_000);
         assertTrue(orderedAt.get(firstIndex(2)) - restarted >= LEASE_MS, "it can't know what came of its claims");
@@ -249,7 +250,7 @@
             if (epoch % 4 == 0) {
                 next.restart();
             }
-            next.terms(epoch);
+            next.leaderships(epoch);
             int before = orders.size();
             next.run(epoch % 3 == 0 ? 1_000 : 6_000);
             orders.subList(before, orders.size())
@@ -266,9 +267,9 @@
     void weightsNamedLongAfterTheTakeOverAreOrderedAtOnce() {
         named.clear();
         holder = "other";
-        fence = 7;
+        fencingToken = 7;
         Machine a = new Machine("a");
-        a.terms(5);
+        a.leaderships(5);
         a.run(10_000);
         named.put("m", 2L);
         long at = now;
@@ -280,15 +281,15 @@
     @Test
     void anOrderThatWasNotSentIsGivenAnewSoonAndOneWithoutAnAnswerLater() {
         Machine a = new Machine("a");
-        a.terms(1);
+        a.leaderships(1);
         a.run(200);
-        RolloutDuty.Order first = orders.get(0);
-        a.duty.answered(now, first, ServerClient.NOT_SENT);
+        RolloutCoordinator.Order first = orders.get(0);
+        a.duty.onResponse(now, first, ServerClient.NOT_SENT);
         int before = orders.size();
         a.run(700);
         assertTrue(orders.size() > before, "nothing went out");
-        RolloutDuty.Order second = orders.get(orders.size() - 1);
-        a.duty.answered(now, second, ServerClient.NO_ANSWER);
+        RolloutCoordinator.Order second = orders.get(orders.size() - 1);
+        a.duty.onResponse(now, second, ServerClient.NO_ANSWER);
         int then = orders.size();
         a.run(1_000);
         assertEquals(then, orders.size(), "it may have been taken");
@@ -299,9 +300,9 @@
     @Test
     void whoMeetsAHigherTokenClaimsAnew() {
         Machine a = new Machine("a");
-        a.terms(1);
+        a.leaderships(1);
         a.run(200);
-        a.duty.answered(now, orders.get(0), 412);
+        a.duty.onResponse(now, orders.get(0), 412);
         a.run(4_000);
         assertEquals(2, orders.get(orders.size() - 1).fencingToken());
     }
@@ -309,10 +310,10 @@
     @Test
     void whatANewHolderWaitsCountsAsTimeUsed() {
         holder = "other";
-        fence = 7;
+        fencingToken = 7;
         Machine a = new Machine("a");
-        a.terms(5);
-        a.run(LEASE_MS + RolloutDuty.CONFIRMED_MS + RolloutDuty.DELIVERY_MS + 300);
+        a.leaderships(5);
+        a.run(LEASE_MS + RolloutCoordinator.CONFIRMATION_VALID_MS + RolloutCoordinator.ORDER_TIMEOUT_MS + 300);
         assertEquals(2, orders.size(), "two of three at once, where it is one at the beginning of a rollout");
     }
 }
--- a/src/test/java/quartzspan/controlplane/RolloutTest.java
+++ b/src/test/java/quartzspan/controlplane/RolloutPlannerTest.java
@@ -15,12 +15,12 @@
 import quartzspan.registry.Server;
 
 /** How many servers load named weights at once, and until when all have them. */
-class RolloutTest {
+class RolloutPlannerTest {
     private static final String MODEL = "m";
     private static final long APPLY_MS = 10_000;
     private static final int TICK_MS = 50;
 
-    private final Rollout rollout = new Rollout(APPLY_MS);
+    private final RolloutPlanner rollout = new RolloutPlanner(APPLY_MS);
     private final Map<String, Long> loadedAt = new HashMap<>();
     private final Set<String> loaded = new HashSet<>();
     private int most;
@@ -37,7 +37,7 @@
             if (loaded.size() == servers) {
                 return now;
             }
-            for (Rollout.Order order : rollout.due(now, Map.of(MODEL, 2L), servers(servers))) {
+            for (RolloutPlanner.Order order : rollout.due(now, Map.of(MODEL, 2L), servers(servers))) {
                 rollout.ordered(now, order.server().id());
                 loadedAt.putIfAbsent(order.server().id(), now + loadMs);
             }
@@ -74,7 +74,7 @@
         for (int servers : new int[] {6, 8, 63, 78}) {
             loaded.clear();
             loadedAt.clear();
-            assertTrue(new RolloutTest().finishedAt(servers, 3_300) < 0.9 * APPLY_MS, servers + " servers");
+            assertTrue(new RolloutPlannerTest().finishedAt(servers, 3_300) < 0.9 * APPLY_MS, servers + " servers");
         }
     }
 
--- a/src/test/java/quartzspan/controlplane/ServerClientTest.java
+++ b/src/test/java/quartzspan/controlplane/ServerClientTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import quartzspan.http.Upstream;
+import quartzspan.http.ConnectionPool;
 import quartzspan.registry.RegistryEntry;
 import quartzspan.registry.Server;
 
@@ -33,7 +33,7 @@
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final ServerClient client = new ServerClient(new Upstream(loop, 500_000, 2_000_000, 16));
+    private final ServerClient client = new ServerClient(new ConnectionPool(loop, 500_000, 2_000_000, 16));
     private ServerSocket listening;
     private Server server;
 
--- a/src/test/java/quartzspan/frontend/FrontendRig.java
+++ b/src/test/java/quartzspan/frontend/FleetFixture.java
@@ -17,17 +17,17 @@
 import org.junit.jupiter.api.io.TempDir;
 import quartzspan.common.Settings;
 import quartzspan.controlplane.ControlPlane;
-import quartzspan.http.Peers;
-import quartzspan.http.Peers.Client;
-import quartzspan.http.Peers.Message;
-import quartzspan.http.Peers.Seen;
-import quartzspan.http.Peers.Server;
+import quartzspan.http.LoopbackPeers;
+import quartzspan.http.LoopbackPeers.Client;
+import quartzspan.http.LoopbackPeers.Message;
+import quartzspan.http.LoopbackPeers.Seen;
+import quartzspan.http.LoopbackPeers.Server;
 
 /**
  * A core machine and a frontend proxy in this process, and model servers that are plain sockets under a test's script. Each
  * test takes a service of its own, so that nothing which an earlier test taught the proxy bears on it.
  */
-abstract class FrontendRig {
+abstract class FleetFixture {
     private static final int SERVICES = 60;
     private static final int MOST_CALLS = 20_000;
     private static final String SEAL = "X-Server-Seal: seal.1\r\n";
@@ -258,6 +258,6 @@
     }
 
     static Seen next(Server server, String what) throws InterruptedException {
-        return Peers.next(server.seen, what);
+        return LoopbackPeers.next(server.seen, what);
     }
 }
--- a/src/test/java/quartzspan/frontend/GracefulShutdownTest.java
+++ b/src/test/java/quartzspan/frontend/GracefulShutdownTest.java
@@ -9,12 +9,12 @@
 import java.net.SocketTimeoutException;
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
-import quartzspan.http.Peers.Client;
-import quartzspan.http.Peers.Message;
-import quartzspan.http.Peers.Server;
+import quartzspan.http.LoopbackPeers.Client;
+import quartzspan.http.LoopbackPeers.Message;
+import quartzspan.http.LoopbackPeers.Server;
 
 /** A proxy that gets SIGTERM finishes what it has forwarded, and forwards nothing that it may not finish. */
-class GracefulShutdownTest extends FrontendRig {
+class GracefulShutdownTest extends FleetFixture {
     private static final int GRACE_PERIOD_S = 8;
     private static final int FREEZE_MS = 3_200;
     private static final String STREAM_HEAD = "HTTP/1.1 200 OK\r\nX-Attempt-Id: stream\r\nX-Server-Seal: seal.1\r\n"
--- a/src/test/java/quartzspan/frontend/ProxyProcess.java
+++ b/src/test/java/quartzspan/frontend/ProxyProcess.java
@@ -4,8 +4,8 @@
 import java.net.InetAddress;
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
-import quartzspan.http.Peers;
-import quartzspan.http.Peers.Client;
+import quartzspan.http.LoopbackPeers;
+import quartzspan.http.LoopbackPeers.Client;
 
 /** The frontend program as a process that gets signals, at a loopback address of its own. */
 final class ProxyProcess implements AutoCloseable {
@@ -34,7 +34,7 @@
 
     /** Asks until the readiness has a status; fails after some time. */
     void awaitReadiness(int status) {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Peers.PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackPeers.PATIENCE_S);
         while (readiness() != status) {
             if (System.nanoTime() > end) {
                 throw new AssertionError("the readiness is never " + status);
@@ -61,7 +61,7 @@
 
     /** Whether the process ends by itself in time. */
     boolean ends() throws InterruptedException {
-        return process.waitFor(Peers.PATIENCE_S, TimeUnit.SECONDS);
+        return process.waitFor(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS);
     }
 
     @Override
--- a/src/test/java/quartzspan/frontend/ResendsTest.java
+++ b/src/test/java/quartzspan/frontend/RequestResendTest.java
@@ -17,14 +17,14 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import org.junit.jupiter.api.Test;
-import quartzspan.http.Peers;
-import quartzspan.http.Peers.Client;
-import quartzspan.http.Peers.Message;
-import quartzspan.http.Peers.Seen;
-import quartzspan.http.Peers.Server;
+import quartzspan.http.LoopbackPeers;
+import quartzspan.http.LoopbackPeers.Client;
+import quartzspan.http.LoopbackPeers.Message;
+import quartzspan.http.LoopbackPeers.Seen;
+import quartzspan.http.LoopbackPeers.Server;
 
 /** A request that may run once is written once, whatever becomes of its connection; and what its client is told then. */
-class ResendsTest extends FrontendRig {
+class RequestResendTest extends FleetFixture {
     private static final String EVENTS = "3\r\n1st\r\n3\r\n2nd\r\n0\r\n\r\n";
 
     /** A server that keeps its connections but forgets them while they are idle: what is sent next is reset. */
@@ -185,7 +185,7 @@
 
     private static void refuse(Socket socket, Queue<String> refused) {
         try {
-            String id = Peers.readHead(socket.getInputStream()).header("x-attempt-id");
+            String id = LoopbackPeers.readHead(socket.getInputStream()).header("x-attempt-id");
             refused.add(id);
             String answer = answer(503, "X-Attempt-Id: " + id + "\r\nX-Not-Executed: 1\r\nConnection: close\r\n", "");
             socket.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
--- a/src/test/java/quartzspan/frontend/AnswersTest.java
+++ b/src/test/java/quartzspan/frontend/ResponseMatchingTest.java
@@ -5,12 +5,12 @@
 import java.net.Socket;
 import java.util.concurrent.atomic.AtomicReference;
 import org.junit.jupiter.api.Test;
-import quartzspan.http.Peers.Client;
-import quartzspan.http.Peers.Message;
-import quartzspan.http.Peers.Server;
+import quartzspan.http.LoopbackPeers.Client;
+import quartzspan.http.LoopbackPeers.Message;
+import quartzspan.http.LoopbackPeers.Server;
 
 /** One answer belongs to one request: what servers send late, twice or without their marks is never another's. */
-class AnswersTest extends FrontendRig {
+class ResponseMatchingTest extends FleetFixture {
     @Test
     void aWholeAnswerIsPassedOnUnchanged() throws Exception {
         server("plain", s -> s.write(answer(id(s), "done")));
--- a/src/test/java/quartzspan/http/FrontendTest.java
+++ b/src/test/java/quartzspan/http/HttpServerTest.java
@@ -20,30 +20,31 @@
 import org.junit.jupiter.api.Test;
 
 /** What clients connect to, by itself. */
-class FrontendTest {
+class HttpServerTest {
     /** A next request that is slow in coming is its own affair: what is open on its connection is answered. */
     @Test
     void aHalfSentNextRequestDoesNotEndTheOpenOne() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
         try {
-            Frontend frontend = loop.submit(() -> new Frontend(
-                            new Frontend.Desk() {
+            HttpServer frontend = loop.submit(() -> new HttpServer(
+                            new HttpServer.RequestHandler() {
                                 @Override
                                 public long now() {
                                     return System.nanoTime() / 1000;
                                 }
 
                                 @Override
-                                public void take(Frontend.Client client, HttpRequest in, byte[] body, long at) {
+                                public void take(
+                                        HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
                                     // Long after the slow one's time is up.
                                     loop.schedule(
                                             () -> client.answer(HttpResponseStatus.OK), 900, TimeUnit.MILLISECONDS);
                                 }
 
                                 @Override
-                                public Frontend.Terms terms() {
-                                    return new Frontend.Terms(8, 8_192, 8_192, 30_000, 100);
+                                public HttpServer.ConnectionLimits limits() {
+                                    return new HttpServer.ConnectionLimits(8, 8_192, 8_192, 30_000, 100);
                                 }
                             },
                             loop))
@@ -73,22 +74,23 @@
         EventLoop loop = group.next();
         AtomicInteger taken = new AtomicInteger();
         try {
-            Frontend frontend = loop.submit(() -> new Frontend(
-                            new Frontend.Desk() {
+            HttpServer frontend = loop.submit(() -> new HttpServer(
+                            new HttpServer.RequestHandler() {
                                 @Override
                                 public long now() {
                                     return System.nanoTime() / 1000;
                                 }
 
                                 @Override
-                                public void take(Frontend.Client client, HttpRequest in, byte[] body, long at) {
+                                public void take(
+                                        HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
                                     taken.incrementAndGet();
                                     client.answer(HttpResponseStatus.OK);
                                 }
 
                                 @Override
-                                public Frontend.Terms terms() {
-                                    return new Frontend.Terms(8, 8_192, 8_192, 30_000, 10_000);
+                                public HttpServer.ConnectionLimits limits() {
+                                    return new HttpServer.ConnectionLimits(8, 8_192, 8_192, 30_000, 10_000);
                                 }
                             },
                             loop))
@@ -96,7 +98,7 @@
             loop.submit(() -> frontend.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)))
                     .get()
                     .await();
-            try (Peers.Client kept = new Peers.Client(frontend.port())) {
+            try (LoopbackPeers.Client kept = new LoopbackPeers.Client(frontend.port())) {
                 String request = "GET /a HTTP/1.1\r\nHost: h\r\n\r\n";
                 assertEquals(200, kept.write(request).read().status());
                 loop.submit(() -> {
--- a/src/test/java/quartzspan/http/IdleLimitTest.java
+++ b/src/test/java/quartzspan/http/IdleTimeoutTest.java
@@ -6,9 +6,9 @@
 import org.junit.jupiter.api.Test;
 
 /** How idle a kept connection may be, by what lately became of others. */
-class IdleLimitTest {
+class IdleTimeoutTest {
     private static final long MS = 1_000_000;
-    private final IdleLimit limit = new IdleLimit(6_000 * MS);
+    private final IdleTimeout limit = new IdleTimeout(6_000 * MS);
 
     @Test
     void allIsAllowedWhileNothingWasStale() {
--- a/src/test/java/quartzspan/http/Peers.java
+++ b/src/test/java/quartzspan/http/LoopbackPeers.java
@@ -23,11 +23,11 @@
 import java.util.function.Consumer;
 
 /** The other ends of a client proxy, as small as they can be: plain sockets that do what a test says. */
-public final class Peers {
+public final class LoopbackPeers {
     /** Bound of every wait; a test that passes waits for no more than it needs. */
     public static final long PATIENCE_S = 30;
 
-    private Peers() {}
+    private LoopbackPeers() {}
 
     public static <T> T next(BlockingQueue<T> queue, String what) throws InterruptedException {
         T got = queue.poll(PATIENCE_S, TimeUnit.SECONDS);
@@ -217,12 +217,12 @@
         }
 
         public Message read() throws IOException {
-            return Peers.read(in);
+            return LoopbackPeers.read(in);
         }
 
         /** The head of an answer, whose body is not read. */
         public Message readHead() throws IOException {
-            return Peers.readHead(in);
+            return LoopbackPeers.readHead(in);
         }
 
         /** Whether the proxy has closed, with nothing more sent. */
@@ -266,14 +266,14 @@
 
         /** Takes the connections that fill the queue, and then the one that waited. */
         public void hear() throws Exception {
-            server.setSoTimeout((int) Peers.PATIENCE_S * 1000);
+            server.setSoTimeout((int) LoopbackPeers.PATIENCE_S * 1000);
             for (int i = 0; i <= fill.size(); i++) {
                 last = server.accept();
             }
         }
 
         public boolean silent() throws Exception {
-            last.setSoTimeout((int) Peers.PATIENCE_S * 1000);
+            last.setSoTimeout((int) LoopbackPeers.PATIENCE_S * 1000);
             return last.getInputStream().read() < 0;
         }
 
