--- a/src/main/java/quartzspan/controlplane/ControlPlane.java
+++ b/src/main/java/quartzspan/controlplane/ControlPlane.java
@@ -7,23 +7,16 @@
 import io.netty.channel.nio.NioIoHandler;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponseStatus;
-import jakarta.json.JsonArray;
-import jakarta.json.JsonObject;
 import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Optional;
 import java.util.concurrent.CountDownLatch;
-import java.util.concurrent.ExecutorService;
-import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import quartzspan.common.FleetException;
 import quartzspan.common.Settings;
-import quartzspan.configuration.Configuration;
 import quartzspan.http.Clock;
 import quartzspan.http.ConnectionPool;
 import quartzspan.http.HttpServer;
@@ -34,200 +27,164 @@
 import quartzspan.registry.HeartbeatTracker;
 import quartzspan.registry.Registry;
 import quartzspan.registry.RegistryEntry;
-import quartzspan.registry.Server;
-import quartzspan.replication.Change;
-import quartzspan.replication.ChangeHistory;
 import quartzspan.replication.ControlState;
-import quartzspan.replication.Epoch;
 import quartzspan.replication.Replica;
 import quartzspan.replication.ReplicaMessage;
-import quartzspan.replication.ReplicaStore;
-import quartzspan.store.FileDisk;
-import quartzspan.store.SlotStore;
 import quartzspan.transport.MessageCodec.Hello;
 import quartzspan.transport.TcpTransport;
 
 /**
- * A core machine's process: keeps the control state with the others, takes servers' and operators' calls, and tells proxies.
- * One event loop owns all of it; only the disk has a thread of its own.
+ * The process of a core machine: replicates the control state with the other core machines, answers servers and operators, and
+ * keeps the proxies up to date. One event loop owns all of its state; only the disk has a thread of its own.
  */
 public final class ControlPlane implements HttpServer.RequestHandler {
     private static final Logger LOG = LoggerFactory.getLogger(ControlPlane.class);
     private static final int TICK_MS = 50;
+    private static final int MAX_HEADER_BYTES = 32 * 1024;
     private static final int MAX_BODY_BYTES = 12 * 1024 * 1024;
-    /** Older knowledge than this is no ground to count anybody as lost. */
+    private static final int CLIENT_TIMEOUT_MS = 30_000;
+    private static final int MIN_CLIENT_CONNECTIONS = 64;
+    /** With an older state no server or proxy may be counted as lost. */
     private static final long MAX_STALENESS_MS = 1_000;
 
-    private static final int DIAL_US = 500_000;
-    private static final int IDLE_US = 2_000_000;
-    private static final int MOST_CONNECTIONS = 256;
+    private static final int CONNECT_TIMEOUT_US = 500_000;
+    private static final int IDLE_TIMEOUT_US = 2_000_000;
+    private static final int MAX_SERVER_CONNECTIONS = 256;
     private static final int IDLE_CONNECTION_MS = 10_000;
-    /** A core machine not heard for so long counts as away. */
-    private static final long CORE_ALIVE_MS = 1_500;
+    /** A core machine that was not heard for so long counts as down. */
+    private static final long CORE_TIMEOUT_MS = 1_500;
+
+    private static final long SHUTDOWN_TIMEOUT_MS = 200;
 
     private final Settings settings;
     private final Clock clock = new Clock();
     private final EventLoopGroup group;
     private final EventLoop loop;
-    private final ExecutorService disk = Executors.newSingleThreadExecutor(r -> new Thread(r, "disk"));
     private final Registry registry = new Registry();
     private final HeartbeatTracker heartbeats;
     private final Gossip gossip;
     private final TcpTransport transport;
-    private final ReplicaStore replicaStore;
+    private final ReplicaHost replicaHost;
     private final Replica replica;
-    private final HttpServer frontend;
-    private final ConnectionPool upstream;
+    private final HttpServer httpServer;
     private final HttpServer.ConnectionLimits connectionLimits;
-    private final RequestRouter calls;
+    private final ConnectionPool connectionPool;
+    private final RequestRouter router;
     private final String self;
-    private final PendingReplicaRequests requestIds = new PendingReplicaRequests();
-    private final DrainAcknowledger leaves;
+    private final DrainAcknowledger drainAcknowledger;
     private final ServerClient servers;
-    private final RolloutCoordinator rollout;
-    private final PrefixCacheIndexer prefixCacheIndex;
-    private final GracefulShutdown ending;
+    private final RolloutActions rollout;
+    private final PrefixCacheIndexer prefixCacheIndexer;
+    private final GracefulShutdown shutdown;
     private final CountDownLatch ended = new CountDownLatch(1);
     /** When other core machines were last heard. */
-    private final Map<String, Long> coreHeard = new HashMap<>();
-
-    private String lastRole = "";
+    private final Map<String, Long> coreHeardAtMs = new HashMap<>();
 
     private ControlPlane(Settings settings, EventLoopGroup group, EventLoop loop) {
         this.settings = settings;
         this.group = group;
         this.loop = loop;
-        InetSocketAddress control = settings.listens("control_plane");
         this.self = text(settings.internal());
-        // Seeds are control_plane addresses; on all machines of a day the ports are alike.
-        List<String> seeds = settings.seeds().stream()
-                .map(s -> s.getHostString() + ':' + settings.internalPort())
-                .toList();
         this.connectionLimits = new HttpServer.ConnectionLimits(
-                Math.max(64, settings.descriptors() / 2), 32 * 1024, MAX_BODY_BYTES, 30_000, 30_000);
-        this.replicaStore = new ReplicaStore(new SlotStore(new FileDisk(settings.disk())));
-        List<byte[]> kept = open(replicaStore);
-        this.upstream = new ConnectionPool(loop, DIAL_US, IDLE_US, MOST_CONNECTIONS);
-        this.servers = new ServerClient(upstream);
-        this.transport = new TcpTransport(loop, new Hello(true, self, text(control), settings.zone()), this::received);
+                Math.max(MIN_CLIENT_CONNECTIONS, settings.descriptors() / 2),
+                MAX_HEADER_BYTES,
+                MAX_BODY_BYTES,
+                CLIENT_TIMEOUT_MS,
+                CLIENT_TIMEOUT_MS);
+        List<String> seeds = seeds(settings);
+        String control = text(settings.listens("control_plane"));
+        this.transport = new TcpTransport(loop, new Hello(true, self, control, settings.zone()), this::received);
+        this.replicaHost = new ReplicaHost(settings, self, seeds, loop, this::nowMs, transport, this::stateCommitted);
+        this.replica = replicaHost.replica();
+        this.connectionPool = new ConnectionPool(loop, CONNECT_TIMEOUT_US, IDLE_TIMEOUT_US, MAX_SERVER_CONNECTIONS);
+        this.servers = new ServerClient(connectionPool);
         this.heartbeats = new HeartbeatTracker(registry, settings.heartbeatMs());
         this.gossip = new Gossip(self, true, seeds, registry, transport::send, Gossip.firstNonce(System.nanoTime()));
-        this.frontend = new HttpServer(this, loop);
-        this.replica = new Replica(
-                self,
-                seeds,
-                settings.losses(),
-                settings.bootstrap() && !replicaStore.discarded(),
-                kept,
-                System.nanoTime(),
-                ms(),
-                new Replica.Out() {
-                    @Override
-                    public void send(String to, ReplicaMessage message) {
-                        transport.send(to, message);
-                    }
-
-                    @Override
-                    public void persist(long seq, byte[] record) {
-                        disk.execute(() -> {
-                            boolean ok = replicaStore.keep(record);
-                            loop.execute(() -> replica().onPersisted(ms(), seq, ok));
-                        });
-                    }
-
-                    @Override
-                    public void done(long requestId, FleetException why, ControlState state) {
-                        requestIds.done(requestId, why, state);
-                    }
+        this.httpServer = new HttpServer(this, loop);
+        this.drainAcknowledger = new DrainAcknowledger(gossip);
+        this.rollout = new RolloutActions(settings, self, this::nowMs, replicaHost, heartbeats, gossip, servers);
+        this.prefixCacheIndexer = new PrefixCacheIndexer(this::nowMs, self, registry, gossip, transport, servers);
+        this.shutdown = new GracefulShutdown(new ReplicaHandover(), gracePeriodMs());
+        this.router = router();
+    }
 
-                    @Override
-                    public void committed(long index, ControlState state, ChangeHistory history) {
-                        inForce(index, state);
-                    }
-                });
-        this.leaves = new DrainAcknowledger(gossip);
-        RolloutPlanner schedule = new RolloutPlanner(settings.bounds().versionApplyMs());
-        this.rollout = new RolloutCoordinator(
-                self, settings.bounds().leaseMs(), schedule, this::leadership, new RolloutOrders());
-        this.prefixCacheIndex = new PrefixCacheIndexer(this::ms, self, registry, gossip, transport, servers);
-        this.ending = new GracefulShutdown(
-                new ReplicaHandover(), (long) (settings.bounds().gracePeriodS() * 1000));
-        ServerApi fromServers = new ServerApi(
-                this::ms, new HeartbeatHandler(registry, heartbeats, gossip), leaves, this::holdersOfLeaves);
-        OperatorApi fromOperators = new OperatorApi(this::ms, replica, registry, requestIds);
-        this.calls = new RequestRouter()
-                .on("POST", "/quartzspan/Instances.Heartbeat/", fromServers::heartbeat)
-                .on("POST", "/quartzspan/Instances.Deregister/", fromServers::deregister)
-                .on("POST", "/quartzspan/Configuration.Replace", fromOperators::replace)
-                .on("POST", "/quartzspan/Configuration.Update", fromOperators::update)
-                .on("GET", "/quartzspan/Configuration.Describe", fromOperators::describe)
-                .on("POST", "/quartzspan/version-put", fromOperators::nameWeights)
+    private RequestRouter router() {
+        ServerApi serverApi = new ServerApi(
+                this::nowMs,
+                new HeartbeatHandler(registry, heartbeats, gossip),
+                drainAcknowledger,
+                this::requiredDrainHolders);
+        OperatorApi operatorApi = new OperatorApi(this::nowMs, replicaHost, registry);
+        return new RequestRouter()
+                .on("POST", "/quartzspan/Instances.Heartbeat/", serverApi::heartbeat)
+                .on("POST", "/quartzspan/Instances.Deregister/", serverApi::deregister)
+                .on("POST", "/quartzspan/Configuration.Replace", operatorApi::replace)
+                .on("POST", "/quartzspan/Configuration.Update", operatorApi::update)
+                .on("GET", "/quartzspan/Configuration.Describe", operatorApi::describe)
+                .on("POST", "/quartzspan/version-put", operatorApi::nameWeights)
                 .on("GET", "/quartzspan/status", this::status);
     }
 
-    /** Damage is as good as an empty disk: the others know what this machine promised. */
-    private static List<byte[]> open(ReplicaStore replicaStore) {
-        try {
-            return replicaStore.open();
-        } catch (FleetException why) {
-            if (why.code() != FleetException.Code.STORE_DAMAGED) {
-                throw why;
-            }
-            LOG.error("{}; it is put aside and this machine asks the others", why.toString());
-            replicaStore.discard();
-            return List.of();
-        }
+    /** Internal addresses of the seeds: the settings give their control_plane addresses, and ports are alike on all machines. */
+    private static List<String> seeds(Settings settings) {
+        return settings.seeds().stream()
+                .map(seed -> seed.getHostString() + ':' + settings.internalPort())
+                .toList();
     }
 
-    private Replica replica() {
-        return replica;
+    private static String text(InetSocketAddress address) {
+        return address.getHostString() + ':' + address.getPort();
     }
 
-    private static String text(InetSocketAddress at) {
-        return at.getHostString() + ':' + at.getPort();
+    private long gracePeriodMs() {
+        return (long) (settings.bounds().gracePeriodS() * 1000);
     }
 
-    /** Starts to serve; returns once it listens. */
+    /**
+     * Starts a core machine; returns once it listens.
+     *
+     * @throws FleetException if an address is in use or the store refuses
+     */
     public static ControlPlane start(Settings settings) throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
-        ControlPlane c =
+        ControlPlane started =
                 loop.submit(() -> new ControlPlane(settings, group, loop)).get();
-        ChannelFuture inside = c.transport.listen(settings.internal()).await();
-        ChannelFuture outside = c.loop.submit(() -> c.frontend.listen(settings.listens("control_plane")))
-                .get()
-                .await();
-        for (ChannelFuture f : List.of(inside, outside)) {
-            if (!f.isSuccess()) {
+        InetSocketAddress control = settings.listens("control_plane");
+        ChannelFuture internal = started.transport.listen(settings.internal()).await();
+        ChannelFuture external =
+                loop.submit(() -> started.httpServer.listen(control)).get().await();
+        for (ChannelFuture bound : List.of(internal, external)) {
+            if (!bound.isSuccess()) {
                 throw new FleetException(
                         FleetException.Code.ADDRESS_TAKEN,
-                        "can't listen: " + f.cause().getMessage(),
-                        "end what holds the address");
+                        "can't listen: " + bound.cause().getMessage(),
+                        "end the process that uses the address");
             }
         }
-        c.loop.submit(() -> {
-                    c.upstream.begin();
-                    c.registry.merge(
-                            c.ms(),
-                            new CoreMachine(c.self, text(settings.listens("control_plane")), settings.zone()).entry());
-                    c.loop.scheduleWithFixedDelay(c::tick, 1, TICK_MS, TimeUnit.MILLISECONDS);
-                })
-                .get();
-        LOG.info("core machine {} takes calls at {}", settings.nodeName(), settings.listens("control_plane"));
-        return c;
+        loop.submit(started::begin).get();
+        LOG.info("core machine {} listens at {}", settings.nodeName(), control);
+        return started;
+    }
+
+    private void begin() {
+        connectionPool.begin();
+        String control = text(settings.listens("control_plane"));
+        registry.merge(nowMs(), new CoreMachine(self, control, settings.zone()).entry());
+        loop.scheduleWithFixedDelay(this::tick, 1, TICK_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Hands over, answering or redirecting calls meanwhile, and ends: what was answered is on disk. */
+    /** Hands over, answering or redirecting requests meanwhile, and ends: what was acknowledged is on disk. */
     public void stop() {
-        loop.execute(() -> ending.begin(ms()));
+        loop.execute(() -> shutdown.begin(nowMs()));
         try {
-            ended.await((long) (settings.bounds().gracePeriodS() * 1000), TimeUnit.MILLISECONDS);
+            ended.await(gracePeriodMs(), TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        loop.execute(frontend::leave);
-        group.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS).awaitUninterruptibly();
-        disk.shutdownNow();
+        loop.execute(httpServer::leave);
+        group.shutdownGracefully(0, SHUTDOWN_TIMEOUT_MS, TimeUnit.MILLISECONDS).awaitUninterruptibly();
+        replicaHost.close();
     }
 
     @Override
@@ -235,7 +192,7 @@
         return clock.now();
     }
 
-    private long ms() {
+    private long nowMs() {
         return clock.now() / 1000;
     }
 
@@ -246,183 +203,117 @@
 
     @Override
     public void take(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
-        calls.take(client, in, body);
+        router.route(client, in, body);
     }
 
-    // ---- the loop ------------------------------------------------------------------------------------
+    private void status(HttpServer.ClientConnection client, HttpRequest in, byte[] body, String rest) {
+        byte[] report = StatusReport.json(nowMs(), settings.nodeName(), replica, registry);
+        RequestRouter.answer(client, HttpResponseStatus.OK, report);
+    }
+
+    // ---- the event loop ------------------------------------------------------------------------------
 
     private void tick() {
         try {
-            long now = ms();
-            replica.onTick(now);
-            if (!replica.role().equals(lastRole)) {
-                lastRole = replica.role();
-                if (!lastRole.equals("CANDIDATE")) {
-                    LOG.info(
-                            "{}, promised {}, view {}",
-                            lastRole,
-                            replica.promisedEpoch().text(),
-                            replica.membership().text());
-                }
-            }
+            long now = nowMs();
+            replicaHost.onTick(now);
             if (replica.isPrimary()) {
-                registry.confirmFresh(replica.confirmedAt());
+                registry.confirmFresh(replica.confirmedAtMs());
             }
             gossip.onTick(now, replica.isPrimary() ? null : replica.knownPrimary(now));
-            List<RegistryEntry> heard = heartbeats.takeUnreported(now);
-            if (!heard.isEmpty()) {
-                GossipMessage t = GossipMessage.heartbeats(heard);
-                gossip.cores().forEach(c -> transport.send(c, t));
-            }
-            if (now - registry.freshAt() > MAX_STALENESS_MS) {
-                heartbeats.restartTimeouts(now);
-            } else {
-                List<RegistryEntry> lost = heartbeats.expireSilent(now);
-                if (!lost.isEmpty()) {
-                    LOG.info("lost: {}", lost.stream().map(RegistryEntry::key).toList());
-                    gossip.broadcast(now, new Registry.Update(lost, false), null);
-                }
-            }
+            reportHeartbeats(now);
+            expireSilent(now);
             registry.expire(now);
             transport.closeIdle(IDLE_CONNECTION_MS);
-            servers.tidy(this::gone);
-            leaves.onTick(now);
-            rollout.onTick(now, registry::servers);
-            prefixCacheIndex.onTick(now, coresHeard(now));
-            if (ending.over(now, leaves.idle() && requestIds.idle())) {
+            servers.forget(this::isDeregistered);
+            drainAcknowledger.onTick(now);
+            rollout.onTick(now, registry);
+            prefixCacheIndexer.onTick(now, liveCores(now));
+            if (shutdown.isOver(now, drainAcknowledger.isIdle() && replicaHost.isIdle())) {
                 ended.countDown();
             }
         } catch (RuntimeException e) {
-            LOG.error("a turn failed", e);
+            // The next tick may succeed: one bad input must not end the machine.
+            LOG.error("tick failed", e);
+        }
+    }
+
+    /** Reports to the other core machines which servers and proxies were heard here. */
+    private void reportHeartbeats(long now) {
+        List<RegistryEntry> heard = heartbeats.takeUnreported(now);
+        if (!heard.isEmpty()) {
+            GossipMessage report = GossipMessage.heartbeats(heard);
+            gossip.cores().forEach(core -> transport.send(core, report));
+        }
+    }
+
+    private void expireSilent(long now) {
+        if (now - registry.freshAt() > MAX_STALENESS_MS) {
+            heartbeats.restartTimeouts(now);
+            return;
+        }
+        List<RegistryEntry> lost = heartbeats.expireSilent(now);
+        if (!lost.isEmpty()) {
+            LOG.info("lost: {}", lost.stream().map(RegistryEntry::key).toList());
+            gossip.broadcast(now, new Registry.Update(lost, false), null);
         }
     }
 
-    private boolean gone(String server) {
+    private boolean isDeregistered(String server) {
         RegistryEntry entry = registry.entry(RegistryEntry.Subject.SERVER, server);
         return entry != null && entry.state() == RegistryEntry.State.GONE;
     }
 
-    private List<String> coresHeard(long now) {
-        coreHeard.values().removeIf(at -> now - at > CORE_ALIVE_MS);
-        return List.copyOf(coreHeard.keySet());
+    private List<String> liveCores(long now) {
+        coreHeardAtMs.values().removeIf(at -> now - at > CORE_TIMEOUT_MS);
+        return List.copyOf(coreHeardAtMs.keySet());
     }
 
     private void received(Hello from, Object message) {
-        long now = ms();
+        long now = nowMs();
         if (from.core()) {
-            coreHeard.put(from.address(), now);
+            coreHeardAtMs.put(from.address(), now);
         }
-        if (message instanceof PrefixCacheUpdate c) {
-            prefixCacheIndex.received(from.address(), from.core(), c);
-        } else if (message instanceof ReplicaMessage step && from.core()) {
-            replica.onMessage(now, from.address(), step);
-        } else if (message instanceof GossipMessage update) {
-            if (update.kind() == GossipMessage.Kind.HEARTBEATS) {
-                heartbeats.onPeerReport(now, update.entries());
-                return;
-            }
-            if (!from.core()) {
-                tell(heartbeats.onProxyMessage(now, from.address(), from.zone()));
-            }
-            gossip.onGossip(now, from.address(), update);
+        if (message instanceof PrefixCacheUpdate update) {
+            prefixCacheIndexer.received(from.address(), from.core(), update);
+        } else if (message instanceof ReplicaMessage replicaMessage && from.core()) {
+            replica.onMessage(now, from.address(), replicaMessage);
+        } else if (message instanceof GossipMessage gossipMessage) {
+            receivedGossip(now, from, gossipMessage);
         }
     }
 
-    private void inForce(long index, ControlState state) {
-        long now = ms();
-        if (registry.publish(index, state)) {
-            gossip.onPublished(now);
+    private void receivedGossip(long now, Hello from, GossipMessage message) {
+        if (message.kind() == GossipMessage.Kind.HEARTBEATS) {
+            heartbeats.onPeerReport(now, message.entries());
+            return;
         }
+        if (!from.core()) {
+            RegistryEntry joined = heartbeats.onProxyMessage(now, from.address(), from.zone());
+            if (joined != null) {
+                gossip.broadcast(now, joined);
+            }
+        }
+        gossip.onGossip(now, from.address(), message);
     }
 
-    private void tell(RegistryEntry update) {
-        if (update != null) {
-            gossip.broadcast(ms(), update);
+    private void stateCommitted(long index, ControlState state) {
+        if (registry.publish(index, state)) {
+            gossip.onPublished(nowMs());
         }
     }
 
-    /** As many as may be lost at once must hold the word of a server that leaves, besides this machine. */
-    private int holdersOfLeaves() {
+    /** Number of other core machines that must have the entry of a draining server: as many as may be lost at once. */
+    private int requiredDrainHolders() {
         int others = replica.membership().voters().size() - 1;
         return others < 0 ? settings.losses() : Math.min(settings.losses(), others);
     }
 
-    private void status(HttpServer.ClientConnection client, HttpRequest in, byte[] body, String rest) {
-        RequestRouter.answer(
-                client, HttpResponseStatus.OK, StatusReport.json(ms(), settings.nodeName(), replica, registry));
-    }
-
-    // ---- the rollout of weights ----------------------------------------------------------------------
-
-    private Optional<RolloutCoordinator.Leadership> leadership() {
-        if (!replica.isPrimary()) {
-            return Optional.empty();
-        }
-        ControlState state = replica.state();
-        return Optional.of(new RolloutCoordinator.Leadership(
-                replica.membership().epoch(),
-                replica.confirmedAt(),
-                state.rolloutHolder(),
-                state.fencingToken(),
-                state.weights()));
-    }
-
-    /** What the rollout does, in calls to servers and news to proxies. */
-    private final class RolloutOrders implements RolloutCoordinator.Out {
-        @Override
-        public void claim(Epoch leadership) {
-            long requestId = requestIds.issue((why, state) -> {
-                boolean granted = why == null && state.rolloutHolder().equals(self);
-                rollout.claimed(leadership, granted, granted ? state.fencingToken() : 0);
-            });
-            replica.submit(
-                    ms(), requestId, new Change(Change.Kind.ROLLOUT_CLAIM, 0, self.getBytes(StandardCharsets.UTF_8)));
-        }
-
-        @Override
-        public void announce(Server server, long version) {
-            tell(heartbeats.onLoadOrdered(ms(), server.id(), version));
-        }
-
-        @Override
-        public void order(RolloutCoordinator.Order order) {
-            Server server = order.server();
-            LOG.info("{} is ordered to load version {} of {}", server.id(), order.version(), order.model());
-            servers.post(
-                    server,
-                    "/quartzspan/order",
-                    RolloutCoordinator.json(order, settings.nodeName()),
-                    RolloutCoordinator.ORDER_TIMEOUT_MS,
-                    () -> rollout.mayOrder(ms(), order),
-                    (status, body) -> {
-                        if (status != 200 && status != 202) {
-                            LOG.info("{} answers an order with {}", server.id(), status);
-                        }
-                        rollout.onResponse(ms(), order, status);
-                    });
-        }
-
-        @Override
-        public void report(Server server) {
-            servers.get(server, "/quartzspan/report", Map.of(), (status, body) -> {
-                if (status == 200) {
-                    JsonObject report = Configuration.json(body);
-                    if (!report.getBoolean("busy", false)
-                            && report.get("models") instanceof JsonArray models
-                            && !models.isEmpty()) {
-                        long version = Configuration.whole(models.getJsonObject(0), "version", 0);
-                        tell(heartbeats.onWeightsReported(ms(), server.id(), version));
-                    }
-                }
-            });
-        }
-    }
-
-    /** This machine's part in the control state, when it ends as planned. */
+    /** Hands over this machine's role in the control state when the process ends as planned. */
     private final class ReplicaHandover implements GracefulShutdown.HandoverParticipant {
         @Override
         public void beginHandover(long now) {
-            LOG.info("told to end as {}", replica.role());
+            LOG.info("shutdown requested, role {}", replica.role());
             gossip.stopAcknowledging();
             replica.beginHandover(now);
         }
--- a/src/main/java/quartzspan/controlplane/DrainAcknowledger.java
+++ b/src/main/java/quartzspan/controlplane/DrainAcknowledger.java
@@ -10,23 +10,23 @@
 import quartzspan.registry.RegistryEntry;
 
 /**
- * Acknowledges what servers say before a planned end ({@code draining}, {@code Deregister}). After the acknowledgement all
- * proxies must learn it although as many core machines as may be lost at once are lost right then, the one that
- * acknowledged among them. So it is given only when that many others hold the entry; else the caller is refused in time to
- * call another machine. No clock, no I/O; times are milliseconds of a steady clock.
+ * Acknowledges the drain announcements of servers ({@code draining}, {@code Deregister}). After the acknowledgement all proxies
+ * must learn of it even if as many core machines as may be lost at once are lost right then, the acknowledging one among them.
+ * So a request is acknowledged only when that many other core machines have the entry; else it is refused in time for the
+ * server to call another machine. No clock, no I/O; times are milliseconds of a steady clock.
  */
 final class DrainAcknowledger {
-    /** A server waits a second for its answer; a refusal has to reach it before. */
+    /** A server waits one second for the response; a refusal has to reach it before. */
     static final long ACKNOWLEDGEMENT_TIMEOUT_MS = 800;
 
-    /** The server that waits for its answer. */
+    /** The server that waits for the response. */
     interface Caller {
         void acknowledge();
 
         void refuse(FleetException why);
     }
 
-    /** One call that waits; {@link #hangUp} ends it without an answer. */
+    /** One request that waits; {@link #cancel} ends it without a response. */
     final class Pending {
         private final Caller caller;
         private final long deadlineMs;
@@ -42,7 +42,7 @@
             return pending.contains(this);
         }
 
-        /** The caller has gone away. */
+        /** The caller has disconnected. */
         void cancel() {
             if (pending.remove(this)) {
                 gossip.cancelBroadcast(broadcast);
@@ -58,9 +58,9 @@
     }
 
     /**
-     * Tells an entry and answers the caller once it is held.
+     * Broadcasts an entry, and acknowledges it once enough core machines have it.
      *
-     * @param holders how many other core machines must hold it
+     * @param requiredHolders number of other core machines that must have it
      */
     Pending begin(long now, RegistryEntry entry, int requiredHolders, Caller caller) {
         Pending call = new Pending(caller, now + ACKNOWLEDGEMENT_TIMEOUT_MS);
@@ -78,7 +78,7 @@
         return call;
     }
 
-    /** Refuses those whose time is over; to be called every 50 ms or so. */
+    /** Refuses requests that have timed out; to be called every 50 ms or so. */
     void onTick(long now) {
         for (Iterator<Pending> all = pending.iterator(); all.hasNext(); ) {
             Pending call = all.next();
@@ -93,8 +93,8 @@
         }
     }
 
-    /** Whether nobody waits. */
-    boolean idle() {
+    /** Whether no request waits. */
+    boolean isIdle() {
         return pending.isEmpty();
     }
 }
--- a/src/main/java/quartzspan/controlplane/GracefulShutdown.java
+++ b/src/main/java/quartzspan/controlplane/GracefulShutdown.java
@@ -1,42 +1,42 @@
 package quartzspan.controlplane;
 
 /**
- * The planned end of a core machine: it hands over its part of the control state, and answers or redirects calls until that
- * is done or the time that the platform gives is nearly over. No clock, no I/O; times are milliseconds of a steady clock.
+ * The planned end of a core machine: it hands over its role in the control state, and answers or redirects requests until that
+ * is complete or the platform's grace period is nearly over. No clock, no I/O; times are milliseconds of a steady clock.
  */
 final class GracefulShutdown {
     /** How long before the platform kills the process it ends by itself. */
     static final long KILL_MARGIN_MS = 700;
 
-    /** The part in the control state that is handed over. */
+    /** Whoever has a role to hand over. */
     interface HandoverParticipant {
         /** Begins to hand over; later calls change nothing. */
         void beginHandover(long now);
 
-        /** Whether the others can do without this machine. */
+        /** Whether the other machines can do without this one. */
         boolean isHandoverComplete(long now);
     }
 
-    private final HandoverParticipant member;
-    private final long graceMs;
-    private long begunAt;
+    private final HandoverParticipant participant;
+    private final long gracePeriodMs;
+    private long startedAtMs;
     private boolean started;
 
-    GracefulShutdown(HandoverParticipant member, long graceMs) {
-        this.member = member;
-        this.graceMs = graceMs;
+    GracefulShutdown(HandoverParticipant participant, long gracePeriodMs) {
+        this.participant = participant;
+        this.gracePeriodMs = gracePeriodMs;
     }
 
-    /** The process was told to end. */
+    /** The process was asked to end. */
     void begin(long now) {
         if (!started) {
             started = true;
-            begunAt = now;
-            member.beginHandover(now);
+            startedAtMs = now;
+            participant.beginHandover(now);
         }
     }
 
-    /** Whether the process was told to end. */
+    /** Whether the process was asked to end. */
     boolean started() {
         return started;
     }
@@ -44,10 +44,10 @@
     /**
      * Whether the process may end now.
      *
-     * @param callsAnswered whether no call waits for its answer
+     * @param idle whether no request waits for its answer
      */
-    boolean over(long now, boolean callsAnswered) {
+    boolean isOver(long now, boolean idle) {
         return started
-                && (member.isHandoverComplete(now) && callsAnswered || now - begunAt >= graceMs - KILL_MARGIN_MS);
+                && (participant.isHandoverComplete(now) && idle || now - startedAtMs >= gracePeriodMs - KILL_MARGIN_MS);
     }
 }
--- a/src/main/java/quartzspan/controlplane/HeartbeatHandler.java
+++ b/src/main/java/quartzspan/controlplane/HeartbeatHandler.java
@@ -10,12 +10,12 @@
 import quartzspan.registry.RegistryEntry;
 import quartzspan.registry.Server;
 
-/** Takes in what servers say of themselves. No clock, no I/O; times are milliseconds of a steady clock. */
+/** Applies the heartbeats and deregistrations of servers to the registry. No clock, no I/O; times are milliseconds of a steady clock. */
 final class HeartbeatHandler {
     /**
-     * Out of touch with the rest of the core for longer than this, a machine takes heartbeats in but sends the server on: the
-     * others would count as lost a server that is heard here alone. Together with two heartbeats it has to stay below the
-     * silence after which they do.
+     * Disconnected from the rest of the core for longer than this, a machine applies heartbeats but refuses them: the other
+     * machines would count a server as lost that is heard here alone. Together with two heartbeats it has to stay below the
+     * timeout after which they do.
      */
     static final long MAX_STALENESS_MS = 1_200;
 
@@ -32,8 +32,8 @@
     /**
      * A heartbeat.
      *
-     * @return what has to be held by others before the heartbeat is acknowledged; null if nothing
-     * @throws FleetException if the server had better call another machine
+     * @return the entry that other core machines must have before the heartbeat is acknowledged; null if none
+     * @throws FleetException if the server has to call another machine
      */
     RegistryEntry heartbeat(long now, String id, byte[] body) {
         JsonObject json = Configuration.json(body);
@@ -53,19 +53,19 @@
         if (now - registry.freshAt() > MAX_STALENESS_MS) {
             throw new FleetException(
                     FleetException.Code.NOT_PRIMARY,
-                    "this machine is out of touch with the core",
+                    "this machine is disconnected from the core",
                     "call another machine of the core");
         }
         return null;
     }
 
-    /** A server's last word; returns what has to be held by others before it is acknowledged. */
+    /** A deregistration; returns the entry that other core machines must have before it is acknowledged. */
     RegistryEntry deregistration(long now, String id) {
         RegistryEntry update = heartbeats.onDeregistered(now, id);
         return update != null ? update : registry.entry(RegistryEntry.Subject.SERVER, id);
     }
 
-    /** What a server says of itself. */
+    /** The server that a heartbeat describes. */
     private static Server server(String id, JsonObject json) {
         String model = "";
         long weights = 0;
@@ -84,7 +84,9 @@
                 Server.of(new RegistryEntry(RegistryEntry.Subject.SERVER, id, 0, RegistryEntry.State.READY, text));
         if (server == null) {
             throw new FleetException(
-                    FleetException.Code.MESSAGE_INVALID, "a heartbeat can't be read", "send it as the page says");
+                    FleetException.Code.MESSAGE_INVALID,
+                    "a heartbeat can't be read",
+                    "send service, address, zone, state, models and call_count as documented");
         }
         return server;
     }
--- a/src/main/java/quartzspan/controlplane/OperatorApi.java
+++ b/src/main/java/quartzspan/controlplane/OperatorApi.java
@@ -2,6 +2,7 @@
 
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponseStatus;
+import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import quartzspan.common.FleetException;
@@ -15,20 +16,18 @@
 import quartzspan.replication.Replica;
 
 /**
- * The calls that operators make. Only the primary answers them, and only what a majority has confirmed: a refusal that
- * depends on the state as much as an acknowledgement. Everybody else sends the caller to the primary, or on to another machine.
+ * The requests of operators. Only the primary answers them, and only what a quorum has confirmed: a refusal that depends on the
+ * state as much as an acknowledgement. Any other machine redirects the caller to the primary, or refuses with a remedy.
  */
 final class OperatorApi {
     private final LongSupplier clockMs;
-    private final Replica replica;
+    private final ReplicaHost replicaHost;
     private final Registry registry;
-    private final PendingReplicaRequests requestIds;
 
-    OperatorApi(LongSupplier clockMs, Replica replica, Registry registry, PendingReplicaRequests requestIds) {
+    OperatorApi(LongSupplier clockMs, ReplicaHost replicaHost, Registry registry) {
         this.clockMs = clockMs;
-        this.replica = replica;
+        this.replicaHost = replicaHost;
         this.registry = registry;
-        this.requestIds = requestIds;
     }
 
     void replace(ClientConnection client, HttpRequest in, byte[] body, String rest) {
@@ -55,50 +54,49 @@
     }
 
     private void change(ClientConnection client, HttpRequest in, Change.Kind kind, long base, byte[] body) {
-        if (!sentToPrimary(client, in)) {
-            long requestId = requestId(client, state -> RequestRouter.ok(client));
-            replica.submit(clockMs.getAsLong(), requestId, new Change(kind, base, body));
+        if (!redirectedToPrimary(client, in)) {
+            replicaHost.submit(new Change(kind, base, body), answerTo(client, state -> RequestRouter.ok(client)));
         }
     }
 
     void describe(ClientConnection client, HttpRequest in, byte[] body, String rest) {
-        if (!sentToPrimary(client, in)) {
-            long requestId = requestId(
+        if (!redirectedToPrimary(client, in)) {
+            replicaHost.read(answerTo(
                     client,
                     state -> RequestRouter.answer(
-                            client, HttpResponseStatus.OK, state.configuration().bytes()));
-            replica.read(clockMs.getAsLong(), requestId);
+                            client, HttpResponseStatus.OK, state.configuration().bytes())));
         }
     }
 
-    /** A ticket for the replica's answer, which goes to a client as long as it waits for one. */
-    private long requestId(ClientConnection client, Consumer<ControlState> granted) {
-        boolean[] left = {false};
-        client.opened(() -> left[0] = true);
-        return requestIds.issue((why, state) -> {
-            if (left[0]) {
+    /** Passes the replica's answer on to a client, unless that has disconnected by then. */
+    private static PendingReplicaRequests.Callback answerTo(ClientConnection client, Consumer<ControlState> onGranted) {
+        AtomicBoolean disconnected = new AtomicBoolean();
+        client.opened(() -> disconnected.set(true));
+        return (refusal, state) -> {
+            if (disconnected.get()) {
                 return;
             }
-            if (why == null) {
-                granted.accept(state);
+            if (refusal == null) {
+                onGranted.accept(state);
             } else {
-                RequestRouter.refuse(client, why);
+                RequestRouter.refuse(client, refusal);
             }
-        });
+        };
     }
 
-    /** Sends the caller to the primary, if that is another; whether it did. */
-    private boolean sentToPrimary(ClientConnection client, HttpRequest in) {
+    /** Redirects the caller to the primary, if that is another machine; whether it did. */
+    private boolean redirectedToPrimary(ClientConnection client, HttpRequest in) {
+        Replica replica = replicaHost.replica();
         if (replica.isPrimary()) {
             return false;
         }
-        String leader = replica.knownPrimary(clockMs.getAsLong());
-        RegistryEntry there = leader == null ? null : registry.entry(RegistryEntry.Subject.CORE, leader);
-        if (there == null) {
+        String primary = replica.knownPrimary(clockMs.getAsLong());
+        RegistryEntry entry = primary == null ? null : registry.entry(RegistryEntry.Subject.CORE, primary);
+        if (entry == null) {
             throw new FleetException(
-                    FleetException.Code.NOT_PRIMARY, "nobody decides at present", "ask again in a moment");
+                    FleetException.Code.NOT_PRIMARY, "no primary is known at present", "retry in a moment");
         }
-        RequestRouter.redirect(client, "http://" + CoreMachine.of(there).control() + in.uri());
+        RequestRouter.redirect(client, "http://" + CoreMachine.of(entry).control() + in.uri());
         return true;
     }
 }
--- a/src/main/java/quartzspan/controlplane/PendingReplicaRequests.java
+++ b/src/main/java/quartzspan/controlplane/PendingReplicaRequests.java
@@ -5,32 +5,31 @@
 import quartzspan.common.FleetException;
 import quartzspan.replication.ControlState;
 
-/** Who waits for which answer of the replica. */
+/** The requests to the replica that wait for its answer, by number. */
 final class PendingReplicaRequests {
-    /** Told once what became of a question; {@code why} is null if it was granted. */
-    interface Pending {
-        void done(FleetException why, ControlState state);
+    /** Called once with the answer; {@code refusal} is null if the request was granted. */
+    interface Callback {
+        void completed(FleetException refusal, ControlState state);
     }
 
-    private final Map<Long, Pending> open = new HashMap<>();
-    private long last;
+    private final Map<Long, Callback> callbacks = new HashMap<>();
+    private long lastRequestId;
 
-    /** A ticket for a question to the replica. */
-    long issue(Pending waiting) {
-        open.put(++last, waiting);
-        return last;
+    /** Registers a request; returns its number. */
+    long add(Callback callback) {
+        callbacks.put(++lastRequestId, callback);
+        return lastRequestId;
     }
 
-    /** The replica's answer. */
-    void done(long requestId, FleetException why, ControlState state) {
-        Pending waiting = open.remove(requestId);
-        if (waiting != null) {
-            waiting.done(why, state);
+    /** The replica has answered a request. */
+    void complete(long requestId, FleetException refusal, ControlState state) {
+        Callback callback = callbacks.remove(requestId);
+        if (callback != null) {
+            callback.completed(refusal, state);
         }
     }
 
-    /** Whether nobody waits. */
-    boolean idle() {
-        return open.isEmpty();
+    boolean isEmpty() {
+        return callbacks.isEmpty();
     }
 }
--- /dev/null
+++ b/src/main/java/quartzspan/controlplane/ReplicaHost.java
@@ -0,0 +1,155 @@
+package quartzspan.controlplane;
+
+import io.netty.channel.EventLoop;
+import java.util.List;
+import java.util.concurrent.ExecutorService;
+import java.util.concurrent.Executors;
+import java.util.function.LongSupplier;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import quartzspan.common.FleetException;
+import quartzspan.common.Settings;
+import quartzspan.replication.Change;
+import quartzspan.replication.ChangeHistory;
+import quartzspan.replication.ControlState;
+import quartzspan.replication.Replica;
+import quartzspan.replication.ReplicaMessage;
+import quartzspan.replication.ReplicaRole;
+import quartzspan.replication.ReplicaStore;
+import quartzspan.store.FileDisk;
+import quartzspan.store.SlotStore;
+import quartzspan.transport.Transport;
+
+/**
+ * Runs the replica of the control state: gives it the network, a disk with a thread of its own, and the requests that wait
+ * for its answer. All calls come on the event loop.
+ */
+final class ReplicaHost {
+    private static final Logger LOG = LoggerFactory.getLogger(ReplicaHost.class);
+
+    /** Called with each state that is committed. */
+    interface CommitListener {
+        void committed(long index, ControlState state);
+    }
+
+    private final EventLoop loop;
+    private final LongSupplier clockMs;
+    private final Transport transport;
+    private final CommitListener listener;
+    private final ExecutorService diskThread = Executors.newSingleThreadExecutor(task -> new Thread(task, "disk"));
+    private final ReplicaStore store;
+    private final PendingReplicaRequests pending = new PendingReplicaRequests();
+    private final Replica replica;
+    private ReplicaRole lastRole;
+
+    /**
+     * @param self own internal address
+     * @param seeds internal addresses of the founding core machines
+     */
+    ReplicaHost(
+            Settings settings,
+            String self,
+            List<String> seeds,
+            EventLoop loop,
+            LongSupplier clockMs,
+            Transport transport,
+            CommitListener listener) {
+        this.loop = loop;
+        this.clockMs = clockMs;
+        this.transport = transport;
+        this.listener = listener;
+        this.store = new ReplicaStore(new SlotStore(new FileDisk(settings.disk())));
+        List<byte[]> kept = open(store);
+        this.replica = new Replica(
+                self,
+                seeds,
+                settings.losses(),
+                settings.bootstrap() && !store.discarded(),
+                kept,
+                System.nanoTime(),
+                clockMs.getAsLong(),
+                new ReplicaOutput());
+    }
+
+    /** Damage is as good as an empty disk: the other machines know what this one has promised. */
+    private static List<byte[]> open(ReplicaStore store) {
+        try {
+            return store.open();
+        } catch (FleetException refusal) {
+            if (refusal.code() != FleetException.Code.STORE_DAMAGED) {
+                throw refusal;
+            }
+            LOG.error("store discarded, recovering from the other core machines: {}", refusal.toString());
+            store.discard();
+            return List.of();
+        }
+    }
+
+    Replica replica() {
+        return replica;
+    }
+
+    /** Asks for a change of the control state; the callback gets the answer. */
+    void submit(Change change, PendingReplicaRequests.Callback callback) {
+        replica.submit(clockMs.getAsLong(), pending.add(callback), change);
+    }
+
+    /** Asks for the newest control state; the callback gets the answer once a quorum has confirmed it. */
+    void read(PendingReplicaRequests.Callback callback) {
+        replica.read(clockMs.getAsLong(), pending.add(callback));
+    }
+
+    /** Whether no request waits for its answer. */
+    boolean isIdle() {
+        return pending.isEmpty();
+    }
+
+    void onTick(long now) {
+        replica.onTick(now);
+        ReplicaRole role = replica.role();
+        if (role != lastRole) {
+            lastRole = role;
+            logRole(role);
+        }
+    }
+
+    private void logRole(ReplicaRole role) {
+        if (role != ReplicaRole.CANDIDATE) {
+            LOG.info(
+                    "role {}, promised epoch {}, membership {}",
+                    role,
+                    replica.promisedEpoch().text(),
+                    replica.membership().text());
+        }
+    }
+
+    /** Stops the disk's thread; what was acknowledged is on the disk. */
+    void close() {
+        diskThread.shutdownNow();
+    }
+
+    private final class ReplicaOutput implements Replica.Output {
+        @Override
+        public void send(String to, ReplicaMessage message) {
+            transport.send(to, message);
+        }
+
+        @Override
+        public void persist(long number, byte[] record) {
+            diskThread.execute(() -> {
+                boolean durable = store.keep(record);
+                loop.execute(() -> replica.onPersisted(clockMs.getAsLong(), number, durable));
+            });
+        }
+
+        @Override
+        public void completed(long requestId, FleetException refusal, ControlState state) {
+            pending.complete(requestId, refusal, state);
+        }
+
+        @Override
+        public void committed(long index, ControlState state, ChangeHistory history) {
+            listener.committed(index, state);
+        }
+    }
+}
--- a/src/main/java/quartzspan/controlplane/RequestRouter.java
+++ b/src/main/java/quartzspan/controlplane/RequestRouter.java
@@ -14,21 +14,21 @@
 import quartzspan.http.ConnectionPool.Response;
 import quartzspan.http.HttpServer.ClientConnection;
 
-/** The calls that servers and operators make, each declared beside its handler. */
+/** Routes the requests of servers and operators to their handlers, by method and path. */
 final class RequestRouter {
     private static final Logger LOG = LoggerFactory.getLogger(RequestRouter.class);
 
-    /** One call; {@code rest} is what follows the declared path. */
+    /** Handles one kind of request; {@code rest} is what follows the declared path. */
     interface Handler {
         void handle(ClientConnection client, HttpRequest in, byte[] body, String rest);
     }
 
-    /** By method and path: a string, for a record's hash and equality are built by the JVM at their first use, during a start. */
-    private final Map<String, Handler> calls = new LinkedHashMap<>();
+    /** By method and path. The key is a string: a record's hash and equality are built by the JVM at their first use, during a start. */
+    private final Map<String, Handler> handlers = new LinkedHashMap<>();
 
-    /** Declares a call; a path that ends with a slash takes a name after it. */
+    /** Adds a route; a path that ends with a slash takes a name after it. */
     RequestRouter on(String method, String path, Handler handler) {
-        calls.put(key(method, path), handler);
+        handlers.put(key(method, path), handler);
         return this;
     }
 
@@ -36,47 +36,46 @@
         return method + ' ' + path;
     }
 
-    void take(ClientConnection client, HttpRequest in, byte[] body) {
+    void route(ClientConnection client, HttpRequest in, byte[] body) {
         String path = in.uri().split("\\?", 2)[0];
         int slash = path.lastIndexOf('/');
-        Handler whole = calls.get(key(in.method().name(), path));
-        Handler named = calls.get(key(in.method().name(), path.substring(0, slash + 1)));
+        Handler exact = handlers.get(key(in.method().name(), path));
+        Handler byPrefix = handlers.get(key(in.method().name(), path.substring(0, slash + 1)));
         try {
-            if (whole != null) {
-                whole.handle(client, in, body, "");
-            } else if (named != null && slash + 1 < path.length()) {
-                named.handle(client, in, body, path.substring(slash + 1));
+            if (exact != null) {
+                exact.handle(client, in, body, "");
+            } else if (byPrefix != null && slash + 1 < path.length()) {
+                byPrefix.handle(client, in, body, path.substring(slash + 1));
             } else {
                 error(
                         client,
                         HttpResponseStatus.NOT_FOUND,
                         "NO_SUCH_CALL",
-                        "there is no such call",
-                        "see docs/operate for the calls");
+                        "unknown method or path",
+                        "see docs/operate for the API");
             }
-        } catch (FleetException why) {
-            refuse(client, why);
-        } catch (RuntimeException why) {
-            // The caller goes on to another machine; without an answer it would have to wait for its own time to run
-            // out.
-            LOG.error("{} {} failed", in.method(), path, why);
+        } catch (FleetException refusal) {
+            refuse(client, refusal);
+        } catch (RuntimeException failure) {
+            // The caller goes on to another machine; without an answer it would have to wait for its own timeout.
+            LOG.error("request {} {} failed", in.method(), path, failure);
             error(
                     client,
                     HttpResponseStatus.INTERNAL_SERVER_ERROR,
                     "FAILED",
-                    "the call failed",
+                    "the request failed",
                     "ask another machine of the core");
         }
     }
 
-    /** Says no, with what would mend it. */
-    static void refuse(ClientConnection client, FleetException why) {
+    /** Answers with a refusal and its remedy. */
+    static void refuse(ClientConnection client, FleetException refusal) {
         error(
                 client,
-                HttpResponseStatus.valueOf(why.code().status()),
-                why.code().name(),
-                why.getMessage(),
-                why.remedy());
+                HttpResponseStatus.valueOf(refusal.code().status()),
+                refusal.code().name(),
+                refusal.getMessage(),
+                refusal.remedy());
     }
 
     private static void error(
@@ -96,7 +95,7 @@
         client.answer(status, new Response(json, "application/json", null), 0);
     }
 
-    /** Sends the caller to another machine. */
+    /** Redirects the caller to another machine. */
     static void redirect(ClientConnection client, String to) {
         HttpHeaders headers = new DefaultHttpHeaders().set("Location", to);
         client.answer(HttpResponseStatus.TEMPORARY_REDIRECT, new Response(new byte[0], null, headers), 0);
--- /dev/null
+++ b/src/main/java/quartzspan/controlplane/RolloutActions.java
@@ -0,0 +1,129 @@
+package quartzspan.controlplane;
+
+import jakarta.json.JsonArray;
+import jakarta.json.JsonObject;
+import java.nio.charset.StandardCharsets;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.LongSupplier;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import quartzspan.common.Settings;
+import quartzspan.configuration.Configuration;
+import quartzspan.registry.Gossip;
+import quartzspan.registry.HeartbeatTracker;
+import quartzspan.registry.Registry;
+import quartzspan.registry.RegistryEntry;
+import quartzspan.registry.Server;
+import quartzspan.replication.Change;
+import quartzspan.replication.ControlState;
+import quartzspan.replication.Epoch;
+import quartzspan.replication.Replica;
+
+/** Carries out the weights rollout: claims it in the control state, calls servers, and updates the registry. */
+final class RolloutActions implements RolloutCoordinator.Out {
+    private static final Logger LOG = LoggerFactory.getLogger(RolloutActions.class);
+    private static final int OK = 200;
+    private static final int ACCEPTED = 202;
+
+    private final String self;
+    private final String nodeName;
+    private final LongSupplier clockMs;
+    private final ReplicaHost replicaHost;
+    private final HeartbeatTracker heartbeats;
+    private final Gossip gossip;
+    private final ServerClient servers;
+    private final RolloutCoordinator coordinator;
+
+    RolloutActions(
+            Settings settings,
+            String self,
+            LongSupplier clockMs,
+            ReplicaHost replicaHost,
+            HeartbeatTracker heartbeats,
+            Gossip gossip,
+            ServerClient servers) {
+        this.self = self;
+        this.nodeName = settings.nodeName();
+        this.clockMs = clockMs;
+        this.replicaHost = replicaHost;
+        this.heartbeats = heartbeats;
+        this.gossip = gossip;
+        this.servers = servers;
+        RolloutPlanner planner = new RolloutPlanner(settings.bounds().versionApplyMs());
+        this.coordinator = new RolloutCoordinator(self, settings.bounds().leaseMs(), planner, this::leadership, this);
+    }
+
+    void onTick(long now, Registry registry) {
+        coordinator.onTick(now, registry::servers);
+    }
+
+    private Optional<RolloutCoordinator.Leadership> leadership() {
+        Replica replica = replicaHost.replica();
+        if (!replica.isPrimary()) {
+            return Optional.empty();
+        }
+        ControlState state = replica.state();
+        return Optional.of(new RolloutCoordinator.Leadership(
+                replica.membership().epoch(),
+                replica.confirmedAtMs(),
+                state.rolloutHolder(),
+                state.fencingToken(),
+                state.weights()));
+    }
+
+    @Override
+    public void claim(Epoch epoch) {
+        Change claim = new Change(Change.Kind.ROLLOUT_CLAIM, 0, self.getBytes(StandardCharsets.UTF_8));
+        replicaHost.submit(claim, (refusal, state) -> {
+            boolean granted = refusal == null && state.rolloutHolder().equals(self);
+            coordinator.claimed(epoch, granted, granted ? state.fencingToken() : 0);
+        });
+    }
+
+    @Override
+    public void announce(Server server, long version) {
+        broadcast(heartbeats.onLoadOrdered(clockMs.getAsLong(), server.id(), version));
+    }
+
+    private void broadcast(RegistryEntry changed) {
+        if (changed != null) {
+            gossip.broadcast(clockMs.getAsLong(), changed);
+        }
+    }
+
+    @Override
+    public void order(RolloutCoordinator.Order order) {
+        Server server = order.server();
+        LOG.info("server {} is ordered to load version {} of {}", server.id(), order.version(), order.model());
+        servers.post(
+                server,
+                "/quartzspan/order",
+                RolloutCoordinator.json(order, nodeName),
+                RolloutCoordinator.ORDER_TIMEOUT_MS,
+                () -> coordinator.mayOrder(clockMs.getAsLong(), order),
+                (status, body) -> {
+                    if (status != OK && status != ACCEPTED) {
+                        LOG.info("server {} answers an order with status {}", server.id(), status);
+                    }
+                    coordinator.onResponse(clockMs.getAsLong(), order, status);
+                });
+    }
+
+    @Override
+    public void report(Server server) {
+        servers.get(server, "/quartzspan/report", Map.of(), (status, body) -> {
+            if (status == OK) {
+                onReport(server, Configuration.json(body));
+            }
+        });
+    }
+
+    private void onReport(Server server, JsonObject report) {
+        boolean busy = report.getBoolean("busy", false);
+        if (!busy && report.get("models") instanceof JsonArray models && !models.isEmpty()) {
+            long version = Configuration.whole(models.getJsonObject(0), "version", 0);
+            broadcast(heartbeats.onWeightsReported(clockMs.getAsLong(), server.id(), version));
+        }
+    }
+}
--- a/src/main/java/quartzspan/controlplane/ServerApi.java
+++ b/src/main/java/quartzspan/controlplane/ServerApi.java
@@ -7,35 +7,35 @@
 import quartzspan.http.HttpServer.ClientConnection;
 import quartzspan.registry.RegistryEntry;
 
-/** The calls that servers make: heartbeats, and the word that they leave. */
+/** The requests of servers: heartbeats and deregistrations. */
 final class ServerApi {
     private final LongSupplier clockMs;
-    private final HeartbeatHandler receiver;
-    private final DrainAcknowledger leaves;
-    private final IntSupplier holders;
+    private final HeartbeatHandler handler;
+    private final DrainAcknowledger drains;
+    private final IntSupplier requiredHolders;
 
-    /** @param holders how many other core machines must hold the word of a server that leaves */
-    ServerApi(LongSupplier clockMs, HeartbeatHandler receiver, DrainAcknowledger leaves, IntSupplier holders) {
+    /** @param requiredHolders number of other core machines that must have the entry of a draining server */
+    ServerApi(LongSupplier clockMs, HeartbeatHandler handler, DrainAcknowledger drains, IntSupplier requiredHolders) {
         this.clockMs = clockMs;
-        this.receiver = receiver;
-        this.leaves = leaves;
-        this.holders = holders;
+        this.handler = handler;
+        this.drains = drains;
+        this.requiredHolders = requiredHolders;
     }
 
     void heartbeat(ClientConnection client, HttpRequest in, byte[] body, String id) {
-        RegistryEntry leaving = receiver.heartbeat(clockMs.getAsLong(), id, body);
-        if (leaving == null) {
+        RegistryEntry draining = handler.heartbeat(clockMs.getAsLong(), id, body);
+        if (draining == null) {
             RequestRouter.ok(client);
         } else {
-            acknowledgeLeave(client, leaving);
+            acknowledgeDrain(client, draining);
         }
     }
 
     void deregister(ClientConnection client, HttpRequest in, byte[] body, String id) {
-        acknowledgeLeave(client, receiver.deregistration(clockMs.getAsLong(), id));
+        acknowledgeDrain(client, handler.deregistration(clockMs.getAsLong(), id));
     }
 
-    private void acknowledgeLeave(ClientConnection client, RegistryEntry leaving) {
+    private void acknowledgeDrain(ClientConnection client, RegistryEntry draining) {
         DrainAcknowledger.Caller caller = new DrainAcknowledger.Caller() {
             @Override
             public void acknowledge() {
@@ -47,7 +47,8 @@
                 RequestRouter.refuse(client, why);
             }
         };
-        DrainAcknowledger.Pending pending = leaves.begin(clockMs.getAsLong(), leaving, holders.getAsInt(), caller);
+        DrainAcknowledger.Pending pending =
+                drains.begin(clockMs.getAsLong(), draining, requiredHolders.getAsInt(), caller);
         if (pending.isPending()) {
             client.opened(pending::cancel);
         }
--- a/src/main/java/quartzspan/controlplane/ServerClient.java
+++ b/src/main/java/quartzspan/controlplane/ServerClient.java
@@ -17,56 +17,63 @@
 import quartzspan.loadbalancing.LoadBalancer.Outcome;
 import quartzspan.registry.Server;
 
-/** The core machine's own calls to servers, over connections that are kept: a new one costs a server as much as a small request. */
+/**
+ * The core machine's own requests to servers, over pooled connections: a new one costs a server as much as a small request.
+ */
 final class ServerClient {
     private static final Logger LOG = LoggerFactory.getLogger(ServerClient.class);
     private static final long CALL_TIMEOUT_MS = 2_000;
     private static final int CONNECTIONS_PER_SERVER = 4;
-    /** Status of a call that ended without an answer: it may have been carried out. */
-    static final int NO_ANSWER = 0;
-    /** Status of a call of which the server surely read nothing. */
+    /** Status of a request that ended without a response: it may have been executed. */
+    static final int NO_RESPONSE = 0;
+    /** Status of a request that was surely not executed. */
     static final int NOT_SENT = -1;
 
-    /** Told once how a call ended: a status of HTTP, {@link #NO_ANSWER} or {@link #NOT_SENT}. */
+    /** Called once when a request ends, with a status of HTTP, {@link #NO_RESPONSE} or {@link #NOT_SENT}. */
     interface ResponseListener {
         void onResponse(int status, byte[] body);
     }
 
-    private final ConnectionPool upstream;
+    private final ConnectionPool connectionPool;
     private final Map<String, ConnectionPool.Endpoint> endpoints = new HashMap<>();
 
-    ServerClient(ConnectionPool upstream) {
-        this.upstream = upstream;
-        // An order that was given up must not reach its server after the orders of the next holder.
-        upstream.discardUnsentOnClose();
+    ServerClient(ConnectionPool connectionPool) {
+        this.connectionPool = connectionPool;
+        // An order that was abandoned must not reach its server after the orders of the next lease holder.
+        connectionPool.discardUnsentOnClose();
     }
 
-    /** Forgets the connections to servers that are gone. */
-    void tidy(Predicate<String> gone) {
+    /** Closes the connections to servers that have deregistered. */
+    void forget(Predicate<String> gone) {
         endpoints.entrySet().removeIf(e -> {
             if (!gone.test(e.getKey())) {
                 return false;
             }
-            upstream.closeIdle(e.getValue());
+            connectionPool.closeIdle(e.getValue());
             return true;
         });
     }
 
-    /** Asks for something. */
-    void get(Server server, String path, Map<String, String> headers, ResponseListener then) {
-        call(server, "GET", path, headers, "", CALL_TIMEOUT_MS, () -> true, then);
+    /** Sends a GET request. */
+    void get(Server server, String path, Map<String, String> headers, ResponseListener listener) {
+        call(server, "GET", path, headers, "", CALL_TIMEOUT_MS, () -> true, listener);
     }
 
     /**
-     * Sends something that must go out only while it is permitted.
+     * Sends a POST request that must go out only while it is permitted.
      *
-     * @param timeoutMs time after which it is given up and can't arrive any more
-     * @param permitted asked right before each write to the socket, when the connection stands
+     * @param timeoutMs time after which it is abandoned and can't arrive any more
+     * @param permitted asked right before each write to the socket, once the connection is established
      */
     void post(
-            Server server, String path, String json, long timeoutMs, BooleanSupplier permitted, ResponseListener then) {
+            Server server,
+            String path,
+            String json,
+            long timeoutMs,
+            BooleanSupplier permitted,
+            ResponseListener listener) {
         Map<String, String> headers = Map.of("Content-Type", "application/json");
-        call(server, "POST", path, headers, json, timeoutMs, permitted, then);
+        call(server, "POST", path, headers, json, timeoutMs, permitted, listener);
     }
 
     private void call(
@@ -77,7 +84,7 @@
             String body,
             long timeoutMs,
             BooleanSupplier permitted,
-            ResponseListener then) {
+            ResponseListener listener) {
         HttpHeaders headers = new DefaultHttpHeaders().set("Host", server.address());
         if (!server.model().isEmpty()) {
             headers.set("X-Expected-Instance", server.id());
@@ -86,16 +93,18 @@
         AnyResponse reading = new AnyResponse();
         ConnectionPool.CompletionListener end = (outcome, answer) -> {
             try {
-                then.onResponse(
-                        answer != null ? reading.status : outcome.neverRan() ? NOT_SENT : NO_ANSWER,
+                listener.onResponse(
+                        answer != null ? reading.status : outcome.neverRan() ? NOT_SENT : NO_RESPONSE,
                         answer != null ? answer.body() : new byte[0]);
             } catch (RuntimeException e) {
-                LOG.warn("an answer of {} can't be read", server.id(), e);
+                LOG.warn("response of server {} can't be read", server.id(), e);
             }
         };
-        // Servers' answers to these calls bear no id: one too many on a kept connection would be taken for an order's.
+        // Servers' responses to these requests bear no id: a late one on a pooled connection would be taken for an
+        // order's.
         ConnectionPool.Reuse reuse = method.equals("POST") ? ConnectionPool.Reuse.NONE : ConnectionPool.Reuse.ANY;
-        upstream.attempt(
+        connectionPool
+                .attempt(
                         endpoint(server),
                         new OutgoingRequest(method, path, headers, body.getBytes(StandardCharsets.UTF_8)),
                         TimeUnit.MILLISECONDS.toMicros(timeoutMs),
@@ -117,7 +126,7 @@
         return endpoint;
     }
 
-    /** The whole answer of a server, whatever it is. */
+    /** Takes the complete response of a server, whatever its status. */
     private static final class AnyResponse implements ConnectionPool.ResponseHandler {
         private int status;
 
--- a/src/main/java/quartzspan/controlplane/StatusReport.java
+++ b/src/main/java/quartzspan/controlplane/StatusReport.java
@@ -7,14 +7,17 @@
 import quartzspan.registry.RegistryEntry;
 import quartzspan.replication.Replica;
 
-/** What a core machine says of itself to its operators. It vouches for nothing: {@code fresh_ms} tells how old it may be. */
+/**
+ * The status of a core machine as operators read it. It is not confirmed by a quorum: {@code fresh_ms} is the age of the last
+ * confirmation.
+ */
 final class StatusReport {
     private StatusReport() {}
 
     static byte[] json(long now, String node, Replica replica, Registry registry) {
         StringBuilder json = new StringBuilder("{\"node\":");
         JsonLines.quote(json, node);
-        JsonLines.quote(json.append(",\"role\":"), replica.role());
+        JsonLines.quote(json.append(",\"role\":"), replica.role().statusName());
         JsonLines.quote(json.append(",\"leader\":"), String.valueOf(replica.knownPrimary(now)));
         JsonLines.quote(json.append(",\"view\":"), replica.membership().text());
         JsonLines.quote(json.append(",\"duty\":"), registry.state().rolloutHolder());
--- a/src/main/java/quartzspan/loadbalancing/RingHashLoadBalancer.java
+++ b/src/main/java/quartzspan/loadbalancing/RingHashLoadBalancer.java
@@ -14,7 +14,7 @@
 import quartzspan.loadbalancing.State.Req;
 
 /**
- * Every decision of the client proxy; types, events and actions are in {@link LoadBalancer} (LoadBalancer.java).
+ * All decisions of the client proxy; types, events and actions are in {@link LoadBalancer}.
  *
  * <p>The path of a request. Where the whole fleet is late, only a share is admitted, by worth. It is given a
  * point on the ring: the hash of its key, or a random one. From there {@link #pick} walks the ring to the
--- a/src/main/java/quartzspan/replication/CandidateState.java
+++ b/src/main/java/quartzspan/replication/CandidateState.java
@@ -1,7 +1,6 @@
 package quartzspan.replication;
 
 import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
@@ -11,15 +10,17 @@
 import quartzspan.replication.ReplicaMessage.Kind;
 
 /**
- * One attempt of a replica to become primary, or of a primary to change its view.
+ * One attempt of a replica to become primary, or of a primary to change its membership.
  *
  * <ol>
- *   <li>Pre-vote: whether a quorum would grant an epoch; promises nothing, so that a replica that hears nobody deposes nobody.
- *   <li>Vote: a quorum promises, durably, to take nothing below the epoch, and names the newest view it knows.
- *   <li>Fetch: the state of one copy of that view is taken over. It holds all that was ever answered, since a change is only
- *       answered when every copy has it, and this one takes nothing of the old view any more.
- *   <li>Copy: the copies of the view to be sync the state.
- *   <li>Accept: a quorum of the view to be, and of the voters before it, syncs the view. Then it is in force.
+ *   <li>Pre-vote: asks whether a quorum would grant an epoch; promises nothing, so that a replica that hears nobody deposes
+ *       nobody.
+ *   <li>Vote: a quorum promises, durably, to take nothing below the epoch, and names the latest membership it knows.
+ *   <li>Fetch: the state of one data replica of that membership is taken over. It has all changes that were ever acknowledged,
+ *       since a change is acknowledged only when every data replica has it, and this one takes nothing of the old membership any
+ *       more.
+ *   <li>Replicate: the data replicas of the next membership sync the state.
+ *   <li>Accept: a quorum of the next membership, and of the voters before it, syncs the membership. Then it is in effect.
  * </ol>
  */
 final class CandidateState {
@@ -32,46 +33,35 @@
         ACCEPT
     }
 
-    /** What becomes of a candidacy. */
+    /** The outcome of an election; called once. */
     interface Listener {
-        /** The view is in force. */
+        /** The membership is in effect. */
         void elected(Membership membership);
 
-        /** It leads to nothing. */
+        /** The election has failed. */
         void abandoned();
 
-        /** The disk refused. */
+        /** The own disk refused a record. */
         void diskRefused();
     }
 
-    /**
-     * What the view to be should look like.
-     *
-     * @param voters the voters wanted; null to leave them as they are
-     * @param avoided replicas that should hold no copy if others can
-     * @param handedOver whether the primary has asked for this candidacy
-     */
-    record Plan(List<String> voters, Set<String> avoided, boolean handedOver) {
-        static final Plan TAKE_OVER = new Plan(null, Set.of(), false);
-    }
-
     private final ReplicaContext context;
     private final VoterState voter;
     private final ReplicaLog log;
-    private final Plan plan;
+    private final ElectionPlan plan;
+    private final MembershipPlanner planner;
     private final Listener listener;
 
     private Step step;
-    private long stepSince;
-    private long retryAt;
+    private long stepSinceMs;
+    private long retryAtMs;
     private Epoch epoch;
-    /** Answers to the present step, by replica; of the votes those that count. */
-    private final Map<String, ReplicaMessage> replies = new TreeMap<>();
-    /** The states that the copies to be hold, as far as they told. */
+    private final ElectionReplies replies;
+    /** The log positions that the next data replicas have reported. */
     private final Map<String, ReplicaMessage> reportedPositions = new TreeMap<>();
 
     private final Set<String> synced = new TreeSet<>();
-    /** The newest view that the votes told. */
+    /** The latest membership that the votes have named. */
     private Membership latest;
 
     private Membership next;
@@ -79,49 +69,44 @@
     /** The replica whose state is taken over. */
     private String source;
 
-    CandidateState(ReplicaContext context, VoterState voter, ReplicaLog log, Plan plan, Listener listener) {
+    CandidateState(ReplicaContext context, VoterState voter, ReplicaLog log, ElectionPlan plan, Listener listener) {
         this.context = context;
         this.voter = voter;
         this.log = log;
         this.plan = plan;
+        this.planner = new MembershipPlanner(context.self(), context.losses(), plan);
+        this.replies = new ElectionReplies(voter);
         this.listener = listener;
         this.wantedVoters = plan.voters();
         this.latest = voter.membership();
     }
 
-    Step step() {
-        return step;
-    }
-
-    Epoch epoch() {
-        return epoch;
-    }
-
     private void enter(Step entered) {
         step = entered;
-        stepSince = context.now();
-        retryAt = context.now() + Timing.RETRY_MS;
+        stepSinceMs = context.now();
+        retryAtMs = context.now() + Timing.RETRY_MS;
         replies.clear();
     }
 
     void onTick() {
         long now = context.now();
-        boolean movesState = step == Step.FETCH || step == Step.REPLICATE;
-        if (now - stepSince > (movesState ? Timing.STATE_TRANSFER_TIMEOUT_MS : Timing.ELECTION_STEP_TIMEOUT_MS)) {
+        boolean transfersState = step == Step.FETCH || step == Step.REPLICATE;
+        long timeoutMs = transfersState ? Timing.STATE_TRANSFER_TIMEOUT_MS : Timing.ELECTION_STEP_TIMEOUT_MS;
+        if (now - stepSinceMs > timeoutMs) {
             listener.abandoned();
-        } else if (now >= retryAt) {
-            retryAt = now + Timing.RETRY_MS;
-            repeat();
+        } else if (now >= retryAtMs) {
+            retryAtMs = now + Timing.RETRY_MS;
+            resend();
         }
     }
 
-    /** Sends the present step's request again to whom it may not have reached. */
-    private void repeat() {
+    /** Sends the current step's request again to those it may not have reached. */
+    private void resend() {
         switch (step) {
-            case PRE_VOTE -> askUnanswered(Kind.PRE_VOTE);
+            case PRE_VOTE -> requestFromSilent(Kind.PRE_VOTE);
             case VOTE -> {
-                if (replies.containsKey(context.self())) {
-                    askUnanswered(Kind.VOTE);
+                if (replies.contains(context.self())) {
+                    requestFromSilent(Kind.VOTE);
                 }
             }
             case FETCH -> {
@@ -135,17 +120,17 @@
                 }
             }
             case ACCEPT -> {
-                if (replies.containsKey(context.self())) {
+                if (replies.contains(context.self())) {
                     sendAccept();
                 }
             }
-            default -> throw new IllegalStateException("no step " + step);
+            default -> throw new IllegalStateException("unknown step " + step);
         }
     }
 
-    private void askUnanswered(Kind kind) {
+    private void requestFromSilent(Kind kind) {
         for (String name : electorate()) {
-            if (!replies.containsKey(name)) {
+            if (!replies.contains(name)) {
                 context.send(name, request(kind));
             }
         }
@@ -155,12 +140,12 @@
         return ReplicaMessage.of(kind, epoch).withGranted(plan.handedOver()).withMembership(latest);
     }
 
-    /** Voters that hear of the candidacy now and then do not stand themselves. */
+    /** Voters that hear of this election again and again start none themselves. */
     private void remindVoters() {
         electorate().forEach(name -> context.send(name, request(Kind.VOTE)));
     }
 
-    /** Everybody whose vote may count, but this replica. */
+    /** All replicas whose vote may count, but this one. */
     private Set<String> electorate() {
         Set<String> all = new LinkedHashSet<>(latest.electorate());
         all.addAll(voter.membership().electorate());
@@ -177,7 +162,7 @@
         enter(Step.PRE_VOTE);
         epoch = nextEpoch();
         replies.put(context.self(), ownReply(Kind.PRE_VOTE_REPLY));
-        askUnanswered(Kind.PRE_VOTE);
+        requestFromSilent(Kind.PRE_VOTE);
         countPreVotes();
     }
 
@@ -189,7 +174,7 @@
         voter.learn(reply.membership());
         latest = voter.membership();
         replies.put(from, reply);
-        if (!mayLead()) {
+        if (!isVoter()) {
             listener.abandoned();
         } else if (reply.promisedEpoch().isAbove(voter.promisedEpoch())) {
             voter.promise(reply.promisedEpoch());
@@ -199,59 +184,48 @@
         }
     }
 
-    /** Whether the newest view that is known has this replica among its voters; else it has been dropped. */
-    private boolean mayLead() {
+    /** Whether the latest membership has this replica among its voters; else it has been removed. */
+    private boolean isVoter() {
         return latest.voters().contains(context.self());
     }
 
     private void countPreVotes() {
-        if (step == Step.PRE_VOTE && latest.isQuorum(granting())) {
+        if (step == Step.PRE_VOTE && latest.isQuorum(replies.granting())) {
             startWithVote();
         }
     }
 
-    /** Who granted what the present step asks for. */
-    private Set<String> granting() {
-        Set<String> all = new TreeSet<>();
-        replies.forEach((name, reply) -> {
-            if (reply.granted() && !isVoid(name, reply)) {
-                all.add(name);
-            }
-        });
-        return all;
-    }
-
-    /** Whether another one that answered knows that the answering disk was lost since. */
-    private boolean isVoid(String name, ReplicaMessage reply) {
-        long own = voter.generations().getOrDefault(name, 0L);
-        return own > reply.generation()
-                || replies.values().stream()
-                        .anyMatch(other -> other.generations().getOrDefault(name, 0L) > reply.generation());
-    }
-
     // ---- vote ----------------------------------------------------------------------------------------
 
     void startWithVote() {
         enter(Step.VOTE);
         epoch = nextEpoch();
         voter.promise(epoch);
-        Epoch mine = epoch;
-        voter.persist(context.now(), durable -> {
-            if (!isAt(Step.VOTE, mine)) {
-                return;
-            }
-            if (!durable) {
-                listener.diskRefused();
-                return;
-            }
+        persistVoter(Step.VOTE, () -> {
             replies.put(context.self(), ownReply(Kind.VOTE_REPLY));
-            askUnanswered(Kind.VOTE);
+            requestFromSilent(Kind.VOTE);
             countVotes();
         });
     }
 
-    private boolean isAt(Step wanted, Epoch wantedEpoch) {
-        return context.isCurrent(this) && step == wanted && epoch.equals(wantedEpoch);
+    /** Persists what this replica promises and knows, and goes on if the election is still at the step. */
+    private void persistVoter(Step atStep, Runnable whenDurable) {
+        voter.persist(context.now(), continueAt(atStep, whenDurable));
+    }
+
+    private DiskQueue.Completion continueAt(Step atStep, Runnable whenDurable) {
+        Epoch atEpoch = epoch;
+        return durable -> {
+            boolean current = context.isCurrent(this) && step == atStep && epoch.equals(atEpoch);
+            if (!current) {
+                return;
+            }
+            if (durable) {
+                whenDurable.run();
+            } else {
+                listener.diskRefused();
+            }
+        };
     }
 
     private ReplicaMessage ownReply(Kind kind) {
@@ -276,28 +250,19 @@
             countVotes();
         } else if (reply.membership().supersedes(latest)
                 && !reply.membership().epoch().equals(epoch)) {
-            // A view that was accepted before this vote: the state taken over may not hold what it answered.
+            // It was accepted before this vote: the state taken over may lack what it has acknowledged.
             voter.learn(reply.membership());
             listener.abandoned();
         }
     }
 
     private void countVotes() {
-        if (step != Step.VOTE || !replies.containsKey(context.self())) {
+        if (step != Step.VOTE || !replies.contains(context.self())) {
             return;
         }
-        Set<String> granting = granting();
-        Membership newest = voter.membership();
-        for (String name : granting) {
-            Membership reported = replies.get(name).membership();
-            newest = reported.supersedes(newest) ? reported : newest;
-        }
-        if (!newest.epoch().equals(latest.epoch())) {
-            // The wish was about another view.
-            wantedVoters = null;
-        }
-        latest = newest;
-        if (!mayLead()) {
+        Set<String> granting = replies.granting();
+        adoptLatestMembership(granting);
+        if (!isVoter()) {
             voter.learn(latest);
             listener.abandoned();
             return;
@@ -305,82 +270,43 @@
         if (!latest.isQuorum(granting)) {
             return;
         }
-        String source = mostCompleteReplica(granting);
-        if (source != null) {
+        String mostComplete = planner.mostCompleteReplica(latest, granting, replies.byReplica());
+        if (mostComplete != null) {
             reportedPositions.clear();
-            reportedPositions.putAll(replies);
-            takeOver(source, granting);
+            reportedPositions.putAll(replies.byReplica());
+            takeOver(mostComplete, granting);
         }
     }
 
-    /** Of the copies of the newest view that granted, the one that has most; this replica where it has as much. */
-    private String mostCompleteReplica(Set<String> granting) {
-        Comparator<String> order = Comparator.<String, Epoch>comparing(
-                        name -> replies.get(name).logEpoch())
-                .thenComparingLong(name -> replies.get(name).logIndex())
-                .thenComparing(name -> name.equals(context.self()));
-        return latest.dataReplicas().stream()
-                .filter(granting::contains)
-                .filter(name -> !replies.get(name).logEpoch().isBelow(latest.epoch()))
-                .max(order)
-                .orElse(null);
+    private void adoptLatestMembership(Set<String> granting) {
+        Membership newest = voter.membership();
+        for (String name : granting) {
+            Membership reported = replies.byReplica().get(name).membership();
+            newest = reported.supersedes(newest) ? reported : newest;
+        }
+        if (!newest.epoch().equals(latest.epoch())) {
+            // The wanted voters were worked out from another membership.
+            wantedVoters = null;
+        }
+        latest = newest;
     }
 
     // ---- fetch ---------------------------------------------------------------------------------------
 
     private void takeOver(String from, Set<String> granting) {
-        List<String> dataReplicas = chooseDataReplicas(granting);
-        if (dataReplicas == null) {
+        Membership planned = planner.next(epoch, latest, wantedVoters, granting);
+        if (planned == null) {
             return;
         }
-        next = nextMembership(dataReplicas);
+        next = planned;
         source = from;
         enter(Step.FETCH);
         fetch();
     }
 
-    private Membership nextMembership(List<String> dataReplicas) {
-        if (latest.joint()) {
-            // Whether it is in force is not known: its change of voters is carried to the end first.
-            return new Membership(epoch, context.self(), dataReplicas, latest.voters(), latest.previousVoters());
-        }
-        List<String> voters = votersToBe();
-        List<String> previous = voters.equals(latest.voters()) ? List.of() : latest.voters();
-        return new Membership(epoch, context.self(), dataReplicas, voters, previous);
-    }
-
-    private List<String> votersToBe() {
-        return wantedVoters == null || latest.joint() ? latest.voters() : wantedVoters;
-    }
-
-    /** Copies for the view to be: who answered, who is not to be avoided, and who has a copy already go first. */
-    private List<String> chooseDataReplicas(Set<String> granting) {
-        List<String> voters = votersToBe();
-        List<String> able = new ArrayList<>(voters);
-        able.retainAll(granting);
-        able.remove(context.self());
-        able.sort(Comparator.<String, Boolean>comparing(plan.avoided()::contains)
-                .thenComparing(name -> !latest.dataReplicas().contains(name)));
-        int needed = Math.min(context.losses() + 1, voters.size());
-        if (able.size() + 1 < needed) {
-            return null;
-        }
-        int count = Math.min(wantedDataReplicas(voters, context.losses()), able.size() + 1);
-        List<String> dataReplicas = new ArrayList<>();
-        dataReplicas.add(context.self());
-        dataReplicas.addAll(able.subList(0, count - 1));
-        return dataReplicas;
-    }
-
-    /** One copy more than may be lost at once, and one for each voter more than that needs. */
-    static int wantedDataReplicas(List<String> voters, int losses) {
-        int spare = Math.max(0, voters.size() - (2 * losses + 1));
-        return Math.min(losses + 1 + spare, voters.size());
-    }
-
     private void fetch() {
         if (source.equals(context.self())) {
-            replicateState(null);
+            replicate(null);
             return;
         }
         context.send(source, ReplicaMessage.of(Kind.FETCH, epoch).withLogPosition(log.epoch(), log.index()));
@@ -392,36 +318,28 @@
         }
         StateUpdate update = StateUpdate.parse(reply.body());
         if (log.isApplicable(update)) {
-            replicateState(update);
+            replicate(update);
         }
     }
 
-    // ---- copy ----------------------------------------------------------------------------------------
+    // ---- replicate -----------------------------------------------------------------------------------
 
-    /** Writes the state taken over, under the new epoch, here first and then at the other copies. */
-    private void replicateState(StateUpdate fetched) {
+    /** Writes the state taken over, in the new epoch, here first and then at the other data replicas. */
+    private void replicate(StateUpdate fetched) {
         if (log.isAppending()) {
             return;
         }
         enter(Step.REPLICATE);
         synced.clear();
-        StateUpdate update = underNewEpoch(fetched);
-        Epoch mine = epoch;
-        log.append(context.now(), update, log.stateAfter(update), durable -> {
-            if (!isAt(Step.REPLICATE, mine)) {
-                return;
-            }
-            if (!durable) {
-                listener.diskRefused();
-                return;
-            }
+        StateUpdate update = inNewEpoch(fetched);
+        log.append(context.now(), update, log.stateAfter(update), continueAt(Step.REPLICATE, () -> {
             synced.add(context.self());
             replicateToAll();
-            countReplicated();
-        });
+            countSynced();
+        }));
     }
 
-    private StateUpdate underNewEpoch(StateUpdate fetched) {
+    private StateUpdate inNewEpoch(StateUpdate fetched) {
         if (fetched == null) {
             return log.nextEntry(epoch, null);
         }
@@ -440,7 +358,7 @@
     private void replicateTo(String to) {
         ReplicaMessage reported = reportedPositions.get(to);
         StateUpdate update = log.updateFrom(reported.logEpoch(), reported.logIndex());
-        context.send(to, Replica.replicateMessage(update, reported.generation()));
+        context.send(to, ReplicaMessage.replicate(update, reported.generation()));
     }
 
     private void onReplicateReply(String from, ReplicaMessage reply) {
@@ -450,20 +368,20 @@
         if (reply.granted()) {
             if (reply.logIndex() == log.index() && synced.contains(context.self())) {
                 synced.add(from);
-                countReplicated();
+                countSynced();
             }
         } else if (reply.promisedEpoch().isAbove(epoch)) {
             voter.promise(reply.promisedEpoch());
             listener.abandoned();
         } else if (reportedPositions.containsKey(from)) {
-            boolean changed = !Replica.sameLogPosition(reportedPositions.put(from, reply), reply);
+            boolean changed = !reportedPositions.put(from, reply).hasSameLogPosition(reply);
             if (changed && synced.contains(context.self())) {
                 replicateTo(from);
             }
         }
     }
 
-    private void countReplicated() {
+    private void countSynced() {
         if (step == Step.REPLICATE && synced.containsAll(next.dataReplicas())) {
             accept();
         }
@@ -473,16 +391,8 @@
 
     private void accept() {
         enter(Step.ACCEPT);
-        Epoch mine = epoch;
         voter.learn(next);
-        voter.persist(context.now(), durable -> {
-            if (!isAt(Step.ACCEPT, mine)) {
-                return;
-            }
-            if (!durable) {
-                listener.diskRefused();
-                return;
-            }
+        persistVoter(Step.ACCEPT, () -> {
             replies.put(context.self(), ownReply(Kind.ACCEPT_REPLY));
             sendAccept();
             countAcceptances();
@@ -491,7 +401,7 @@
 
     private void sendAccept() {
         for (String name : next.electorate()) {
-            if (!replies.containsKey(name)) {
+            if (!replies.contains(name)) {
                 context.send(name, ReplicaMessage.of(Kind.ACCEPT, epoch).withMembership(next));
             }
         }
@@ -511,12 +421,12 @@
     }
 
     private void countAcceptances() {
-        if (step == Step.ACCEPT && next.isQuorum(granting())) {
+        if (step == Step.ACCEPT && next.isQuorum(replies.granting())) {
             listener.elected(next);
         }
     }
 
-    /** An answer to one of this candidacy's requests. */
+    /** A reply to one of this election's requests; replies to others are ignored. */
     void onReply(String from, ReplicaMessage reply) {
         if (!reply.epoch().equals(epoch)) {
             return;
@@ -531,7 +441,7 @@
             case FETCH_REPLY -> onFetchReply(from, reply);
             case REPLICATE_REPLY -> onReplicateReply(from, reply);
             case ACCEPT_REPLY -> onAcceptReply(from, reply);
-            default -> throw new IllegalStateException("no answer to a candidate: " + reply.kind());
+            default -> throw new IllegalStateException("not a reply to a candidate: " + reply.kind());
         }
     }
 }
--- a/src/main/java/quartzspan/replication/Change.java
+++ b/src/main/java/quartzspan/replication/Change.java
@@ -5,13 +5,13 @@
 import quartzspan.common.FleetException;
 
 /**
- * A change of the control state that somebody asks for.
+ * A requested change of the control state.
  *
  * @param base the configuration version that it builds on; 0 where it builds on none
  * @param body the request's body, as it was sent
  */
 public record Change(Kind kind, long base, byte[] body) {
-    /** What is changed: the whole configuration, some items of it, named weights, or the holder of the weights duty. */
+    /** What is changed: the complete configuration, some items of it, named weights, or the holder of the rollout lease. */
     public enum Kind {
         REPLACE,
         UPDATE,
--- a/src/main/java/quartzspan/replication/ControlState.java
+++ b/src/main/java/quartzspan/replication/ControlState.java
@@ -14,9 +14,12 @@
 import quartzspan.common.FleetException;
 import quartzspan.configuration.Configuration;
 
-/** The control state, as a value: the configuration in force, what was taken under each version, and the weights named. */
+/**
+ * The control state, as an immutable value: the configuration in effect, the digest of the change accepted under each version,
+ * the weights named, and the claim of the weights rollout.
+ */
 public final class ControlState {
-    /** Number of accepted versions whose digests are kept, to tell an order that is sent again from another one. */
+    /** Number of accepted versions whose digests are kept, to recognise a change that is sent again. */
     private static final int MAX_ACCEPTED_DIGESTS = 4096;
     /** Before the first change. */
     public static final ControlState EMPTY =
@@ -46,7 +49,7 @@
         this.fencingToken = fencingToken;
     }
 
-    /** The configuration in force. */
+    /** The configuration in effect. */
     public Configuration configuration() {
         return configuration;
     }
@@ -56,18 +59,18 @@
         return weights;
     }
 
-    /** The replica that last claimed the duty of loading weights; empty if nobody did. */
+    /** The replica that last claimed the rollout of weights; empty if none did. */
     public String rolloutHolder() {
         return rolloutHolder;
     }
 
-    /** Rises with every claim of the duty, so that no two claims share one. */
+    /** Rises with every claim of the rollout, so that no two claims share one. */
     public long fencingToken() {
         return fencingToken;
     }
 
     /**
-     * The state after a change; this very one if the change is in it already.
+     * The state after a change; this same object if the change is in it already.
      *
      * @throws FleetException if the change is invalid or builds on another version
      */
@@ -95,13 +98,13 @@
         if (before == null && version <= highestDroppedVersion) {
             throw new FleetException(
                     FleetException.Code.ORDER_FORGOTTEN,
-                    "version " + version + " is older than the orders that are remembered",
-                    "read the configuration in force with Configuration.Describe");
+                    "version " + version + " is older than the changes that are remembered",
+                    "read the configuration in effect with Configuration.Describe");
         }
         if (change.base() != configuration.version()) {
             throw new FleetException(
                     FleetException.Code.CONFIG_STALE,
-                    "version " + configuration.version() + " is in force, not " + change.base(),
+                    "version " + configuration.version() + " is in effect, not " + change.base(),
                     "read it with Configuration.Describe and build on it");
         }
         if (version <= configuration.version()) {
@@ -144,7 +147,7 @@
         return configuration.bytes().length + (long) acceptedDigests.size() * 2 * Long.BYTES;
     }
 
-    /** As written to disk and sent to copies. */
+    /** Binary form, written to disk and sent to other replicas. */
     public byte[] bytes() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
--- a/src/main/java/quartzspan/replication/DiskLossRecovery.java
+++ b/src/main/java/quartzspan/replication/DiskLossRecovery.java
@@ -9,13 +9,13 @@
  * How a replica whose disk was lost learns again what it may have promised.
  *
  * <p>It asks the others in the name of a new generation of its disk. Of each set of voters that it belongs to, so many have to
- * answer that no majority which it took part in is without one of them; of any other set a majority. Who answers has noted
+ * answer that no majority which it took part in is without one of them; of any other set a majority. Who replies has noted
  * the generation durably, so that what was promised before the loss cannot be counted any more.
  */
 final class DiskLossRecovery {
     private final String self;
     private final VoterState voter;
-    private final Map<String, ReplicaMessage> answers = new TreeMap<>();
+    private final Map<String, ReplicaMessage> replies = new TreeMap<>();
 
     DiskLossRecovery(String self, VoterState voter, long nonce) {
         this.self = self;
@@ -23,7 +23,7 @@
         voter.beginIncarnation(new DiskIncarnation(1, nonce));
     }
 
-    /** The question to all others that are known. */
+    /** The request to all other replicas that are known. */
     ReplicaMessage request() {
         return ReplicaMessage.of(ReplicaMessage.Kind.RECOVERY, Epoch.NONE)
                 .withNonce(voter.incarnationNonce())
@@ -32,9 +32,9 @@
     }
 
     /**
-     * Takes an answer in.
+     * Takes a reply in.
      *
-     * @return whether enough have answered; what they know has been taken over then, and is to be persisted
+     * @return whether enough have replied; what they know has been taken over then, and is to be persisted
      */
     boolean onReply(String from, ReplicaMessage reply) {
         if (reply.nonce() != voter.incarnationNonce()) {
@@ -49,33 +49,33 @@
         if (noted != voter.generation()) {
             return false;
         }
-        answers.put(from, reply);
+        replies.put(from, reply);
         if (!enough(voter.membership())) {
             return false;
         }
-        answers.values().forEach(answer -> voter.promise(answer.promisedEpoch()));
-        answers.clear();
+        replies.values().forEach(received -> voter.promise(received.promisedEpoch()));
+        replies.clear();
         return true;
     }
 
-    /** Another life of this disk has used the generation: the count begins again with a higher one. */
+    /** Another incarnation of this disk has used the generation: the count begins again with a higher one. */
     private void claimGenerationAbove(long noted) {
         if (noted >= voter.generation()) {
             voter.beginIncarnation(new DiskIncarnation(noted + 1, voter.incarnationNonce()));
-            answers.clear();
+            replies.clear();
         }
     }
 
     private boolean enough(Membership membership) {
         return !membership.voters().isEmpty()
                 && enough(membership.voters())
-                && (!membership.joint() || enough(membership.previousVoters()));
+                && (!membership.isJoint() || enough(membership.previousVoters()));
     }
 
     private boolean enough(List<String> voters) {
-        long told = answers.keySet().stream().filter(voters::contains).count();
+        long replied = replies.keySet().stream().filter(voters::contains).count();
         int majority = Membership.majority(voters);
         int needed = voters.contains(self) ? voters.size() - majority + 1 : majority;
-        return told >= needed;
+        return replied >= needed;
     }
 }
--- a/src/main/java/quartzspan/replication/DiskQueue.java
+++ b/src/main/java/quartzspan/replication/DiskQueue.java
@@ -2,35 +2,35 @@
 
 import java.util.TreeMap;
 
-/** Records on their way to the disk. The disk takes them in order and tells of each once it is durable or refused. */
+/** Records on their way to the disk, which takes them in order and reports each once it is durable or refused. */
 final class DiskQueue {
-    /** What follows once a record is durable or refused. */
+    /** Called once a record is durable or refused. */
     interface Completion {
         void done(boolean durable);
     }
 
-    private final Replica.Out out;
+    private final Replica.Output output;
     private final TreeMap<Long, Completion> pending = new TreeMap<>();
     private long lastNumber;
     /** Since when the oldest record has been waiting. */
-    private long oldestSince;
+    private long oldestSinceMs;
 
-    DiskQueue(Replica.Out out) {
-        this.out = out;
+    DiskQueue(Replica.Output output) {
+        this.output = output;
     }
 
     void write(long now, byte[] record, Completion completion) {
         if (pending.isEmpty()) {
-            oldestSince = now;
+            oldestSinceMs = now;
         }
         lastNumber++;
         pending.put(lastNumber, completion);
-        out.persist(lastNumber, record);
+        output.persist(lastNumber, record);
     }
 
     void onPersisted(long now, long number, boolean durable) {
         Completion completion = pending.remove(number);
-        oldestSince = now;
+        oldestSinceMs = now;
         if (completion != null) {
             completion.done(durable);
         }
@@ -42,6 +42,6 @@
 
     /** How long the oldest record has been waiting; 0 if there is none. */
     long waitingFor(long now) {
-        return pending.isEmpty() ? 0 : now - oldestSince;
+        return pending.isEmpty() ? 0 : now - oldestSinceMs;
     }
 }
--- a/src/main/java/quartzspan/replication/Epoch.java
+++ b/src/main/java/quartzspan/replication/Epoch.java
@@ -1,17 +1,17 @@
 package quartzspan.replication;
 
 /**
- * Identifies one candidacy. Epochs are totally ordered by number, then candidate, then attempt; two candidacies never share
+ * Identifies one election. Epochs are totally ordered by number, then candidate, then attempt; two elections never share
  * one, not even where a candidate has lost its disk and counts from an earlier number again.
  *
- * @param number rises with every candidacy that its candidate knows of
- * @param candidate the replica that stands
- * @param attempt drawn at random for each candidacy
+ * @param number rises with every election that its candidate knows of
+ * @param candidate the replica that started the election
+ * @param attempt drawn at random for each election
  */
 public record Epoch(long number, String candidate, long attempt) implements Comparable<Epoch> {
     /** Lower than any other; nothing is known. */
     public static final Epoch NONE = new Epoch(-1, "", 0);
-    /** The epoch of the founding view, which nobody stood for. */
+    /** The epoch of the founding membership, which was not elected. */
     public static final Epoch FOUNDING = new Epoch(0, "", 0);
 
     private static final String SEPARATOR = "/";
--- /dev/null
+++ b/src/main/java/quartzspan/replication/FollowerState.java
@@ -0,0 +1,239 @@
+package quartzspan.replication;
+
+import quartzspan.replication.ReplicaMessage.Kind;
+
+/**
+ * A replica as voter and backup: answers candidates and the primary. It does so in every role, since a primary or candidate
+ * follows as soon as another one has a higher epoch.
+ */
+final class FollowerState {
+    /** What only the replica itself may decide. */
+    interface Transitions {
+        /** Stops being primary or candidate. */
+        void becomeFollower();
+
+        /** Whether this replica is primary or candidate. */
+        boolean isPrimaryOrCandidate();
+
+        /** Whether this replica is primary and a quorum has confirmed that of late. */
+        boolean isConfirmedPrimary();
+    }
+
+    private final ReplicaContext context;
+    private final VoterState voter;
+    private final ReplicaLog log;
+    private final PeerLiveness peers;
+    private final ReplyFactory replies;
+    private final Transitions transitions;
+    /** When the primary, or a candidate in its stead, was last heard. */
+    private long primaryHeardAtMs;
+    /** The epoch of the membership that was last heard to be in effect. */
+    private Epoch activeEpoch = Epoch.NONE;
+    /** Whether the primary can do without this replica's vote. */
+    private boolean replaceable;
+
+    FollowerState(
+            ReplicaContext context,
+            VoterState voter,
+            ReplicaLog log,
+            PeerLiveness peers,
+            ReplyFactory replies,
+            Transitions transitions) {
+        this.context = context;
+        this.voter = voter;
+        this.log = log;
+        this.peers = peers;
+        this.replies = replies;
+        this.transitions = transitions;
+        // A primary that is alive is heard within a heartbeat or two; after a loss of power of all replicas none has to
+        // be
+        // waited for.
+        this.primaryHeardAtMs = context.now() - Timing.ELECTION_TIMEOUT_MS + 2 * Timing.HEARTBEAT_MS;
+    }
+
+    /** Whether the primary was heard within a time, this replica not counted. */
+    boolean isPrimaryHeardWithin(long ms) {
+        return context.now() - primaryHeardAtMs < ms;
+    }
+
+    /** The primary counts as heard just now. */
+    void restartElectionTimeout() {
+        primaryHeardAtMs = context.now();
+    }
+
+    /** Whether the primary said of late that the membership known here is in effect. */
+    boolean isMembershipActive() {
+        return activeEpoch.equals(voter.membership().epoch());
+    }
+
+    /** Whether the primary can do without this replica's vote. */
+    boolean isReplaceable() {
+        return replaceable;
+    }
+
+    // ---- elections -----------------------------------------------------------------------------------
+
+    void onPreVote(String from, ReplicaMessage request) {
+        boolean granted = !voter.isRecovering() && request.epoch().isAbove(voter.promisedEpoch()) && mayGrant(request);
+        context.send(
+                from,
+                replies.refusal(Kind.PRE_VOTE_REPLY, request.epoch())
+                        .withGranted(granted)
+                        .withMembership(voter.durableMembership()));
+    }
+
+    /** Whether a vote may be granted: not while another primary is confirmed, unless that one has asked for the election. */
+    private boolean mayGrant(ReplicaMessage request) {
+        boolean handedOver = request.granted() && !voter.membership().supersedes(request.membership());
+        return handedOver || !transitions.isConfirmedPrimary() && !isPrimaryHeardWithin(Timing.VOTE_STICKINESS_MS);
+    }
+
+    void onVote(String from, ReplicaMessage request) {
+        Epoch epoch = request.epoch();
+        boolean grantedBefore = epoch.equals(voter.promisedEpoch());
+        if (voter.isRecovering() || epoch.isBelow(voter.promisedEpoch()) || !grantedBefore && !mayGrant(request)) {
+            context.send(from, replies.refusal(Kind.VOTE_REPLY, epoch));
+            return;
+        }
+        deferElection();
+        if (!grantedBefore) {
+            transitions.becomeFollower();
+            voter.promise(epoch);
+        }
+        if (epoch.equals(voter.durablePromisedEpoch())) {
+            context.send(from, vote(epoch));
+            return;
+        }
+        voter.persist(context.now(), durable -> {
+            boolean holds = durable && epoch.equals(voter.promisedEpoch());
+            context.send(from, holds ? vote(epoch) : replies.refusal(Kind.VOTE_REPLY, epoch));
+        });
+    }
+
+    private ReplicaMessage vote(Epoch epoch) {
+        return replies.reply(Kind.VOTE_REPLY, epoch, true).withMembership(voter.durableMembership());
+    }
+
+    /** A candidate has time for its steps before another election is started. */
+    private void deferElection() {
+        primaryHeardAtMs = Math.max(primaryHeardAtMs, context.now() - Timing.ELECTION_DEFERRAL_AGE_MS);
+    }
+
+    void onFetch(String from, ReplicaMessage request) {
+        if (voter.isRecovering() || !request.epoch().equals(voter.durablePromisedEpoch()) || log.index() < 0) {
+            return;
+        }
+        StateUpdate update = log.updateFrom(request.logEpoch(), request.logIndex());
+        context.send(
+                from, replies.reply(Kind.FETCH_REPLY, request.epoch(), true).withBody(update.bytes()));
+    }
+
+    void onAccept(String from, ReplicaMessage request) {
+        Epoch epoch = request.epoch();
+        if (voter.isRecovering() || !request.membership().epoch().equals(epoch)) {
+            return;
+        }
+        if (epoch.isBelow(voter.promisedEpoch())) {
+            context.send(from, replies.refusal(Kind.ACCEPT_REPLY, epoch));
+            return;
+        }
+        stepDownIfNeeded();
+        restartElectionTimeout();
+        voter.promise(epoch);
+        voter.learn(request.membership());
+        voter.persist(context.now(), durable -> {
+            if (durable) {
+                context.send(from, replies.reply(Kind.ACCEPT_REPLY, epoch, true));
+            }
+        });
+    }
+
+    private void stepDownIfNeeded() {
+        if (transitions.isPrimaryOrCandidate()) {
+            transitions.becomeFollower();
+        }
+    }
+
+    // ---- the primary ---------------------------------------------------------------------------------
+
+    void onHeartbeat(String from, ReplicaMessage heartbeat) {
+        Epoch epoch = heartbeat.epoch();
+        if (epoch.isBelow(voter.promisedEpoch()) && !voter.isRecovering()) {
+            context.send(from, replies.refusal(Kind.HEARTBEAT_REPLY, epoch).withNonce(heartbeat.nonce()));
+            return;
+        }
+        Membership membership = heartbeat.membership();
+        if (!membership.epoch().equals(epoch) || !membership.primary().equals(from)) {
+            return;
+        }
+        restartElectionTimeout();
+        activeEpoch = epoch;
+        replaceable = heartbeat.granted();
+        peers.learnSinceHeard(context.now(), heartbeat.sinceHeardMs());
+        if (voter.isRecovering()) {
+            // The membership names the replicas to ask; a reply would vouch for an epoch.
+            voter.learn(membership);
+            return;
+        }
+        stepDownIfNeeded();
+        boolean newer = epoch.isAbove(voter.promisedEpoch()) || membership.supersedes(voter.membership());
+        if (!newer) {
+            acknowledge(from, heartbeat);
+            return;
+        }
+        voter.promise(epoch);
+        voter.learn(membership);
+        voter.persist(context.now(), durable -> {
+            if (durable) {
+                acknowledge(from, heartbeat);
+            }
+        });
+    }
+
+    private void acknowledge(String from, ReplicaMessage heartbeat) {
+        boolean holds = !voter.promisedEpoch().isAbove(heartbeat.epoch());
+        ReplicaMessage reply = holds
+                ? replies.reply(Kind.HEARTBEAT_REPLY, heartbeat.epoch(), true)
+                : replies.refusal(Kind.HEARTBEAT_REPLY, heartbeat.epoch());
+        context.send(from, reply.withNonce(heartbeat.nonce()));
+    }
+
+    void onReplicate(String from, ReplicaMessage request) {
+        Epoch epoch = request.epoch();
+        if (voter.isRecovering()) {
+            return;
+        }
+        if (epoch.isBelow(voter.promisedEpoch()) || request.generation() != voter.generation()) {
+            context.send(from, replies.refusal(Kind.REPLICATE_REPLY, epoch));
+            return;
+        }
+        if (epoch.equals(log.epoch()) && request.logIndex() <= log.index()) {
+            context.send(from, replicated(request));
+            return;
+        }
+        stepDownIfNeeded();
+        deferElection();
+        if (log.isAppending()) {
+            return;
+        }
+        StateUpdate update = StateUpdate.parse(request.body());
+        if (!log.isApplicable(update)) {
+            context.send(from, replies.refusal(Kind.REPLICATE_REPLY, epoch));
+            return;
+        }
+        if (epoch.isAbove(voter.promisedEpoch())) {
+            voter.promise(epoch);
+            voter.persist(context.now(), durable -> {});
+        }
+        log.append(context.now(), update, log.stateAfter(update), durable -> {
+            if (durable) {
+                context.send(from, replicated(request));
+            }
+        });
+    }
+
+    private ReplicaMessage replicated(ReplicaMessage request) {
+        return replies.reply(Kind.REPLICATE_REPLY, request.epoch(), true)
+                .withLogPosition(request.epoch(), request.logIndex());
+    }
+}
--- a/src/main/java/quartzspan/replication/Membership.java
+++ b/src/main/java/quartzspan/replication/Membership.java
@@ -7,23 +7,25 @@
 import java.util.Set;
 
 /**
- * Who does what from an epoch on.
+ * The roles of all replicas from an epoch on.
  *
- * <p>A view that changes the voters is <em>joint</em>: it names the voters before it too, and every quorum needs a majority of
- * either set until the view is in force and its primary has settled it ({@link #settled}).
+ * <p>A membership that changes the voters is <em>joint</em> (as in Raft's joint consensus): it names the voters before it too, and
+ * every quorum needs a majority of either set until the membership is in effect and its primary has {@link #committed} it.
  *
- * @param epoch the candidacy that formed the view; each forms one at most
+ * @param epoch the election that formed the membership; each forms one at most
  * @param primary the replica that accepts changes
- * @param copies the replicas that hold the control state, the primary first; each of them syncs a change before it is
- *     answered
- * @param voters the replicas that grant epochs: the copies and the witnesses
- * @param previousVoters the voters before a joint view; empty otherwise
+ * @param dataReplicas the replicas that hold the control state, the primary first; each of them syncs a change before it is
+ *     acknowledged
+ * @param voters the replicas that grant epochs: the data replicas and the witnesses
+ * @param previousVoters the voters before a joint membership; empty otherwise
  */
 public record Membership(
         Epoch epoch, String primary, List<String> dataReplicas, List<String> voters, List<String> previousVoters) {
     /** Before anything is known. */
     public static final Membership NONE = new Membership(Epoch.NONE, "", List.of(), List.of(), List.of());
 
+    private static final String FIELD_SEPARATOR = ";";
+    private static final String NAME_SEPARATOR = ",";
     private static final int FIELDS = 5;
 
     /** Copies the lists. */
@@ -39,55 +41,55 @@
     }
 
     /** Whether a change of voters is under way. */
-    public boolean joint() {
+    public boolean isJoint() {
         return !previousVoters.isEmpty();
     }
 
-    /** Whether the replicas are a majority of the voters and, in a joint view, of those before them. */
+    /** Whether the replicas are a majority of the voters and, in a joint membership, of those before them. */
     public boolean isQuorum(Collection<String> replicas) {
-        return isMajority(voters, replicas) && (!joint() || isMajority(previousVoters, replicas));
+        return isMajority(voters, replicas) && (!isJoint() || isMajority(previousVoters, replicas));
     }
 
     private static boolean isMajority(List<String> voters, Collection<String> replicas) {
         return voters.stream().filter(replicas::contains).count() >= majority(voters);
     }
 
-    /** Everybody whose word may be needed for a quorum. */
+    /** All replicas whose vote may be needed for a quorum. */
     public Set<String> electorate() {
         Set<String> all = new LinkedHashSet<>(voters);
         all.addAll(previousVoters);
         return all;
     }
 
-    /** The same view once it is in force: the voters before it are needed no more. */
-    public Membership settled() {
-        return joint() ? new Membership(epoch, primary, dataReplicas, voters, List.of()) : this;
+    /** The same membership once it is in effect: the voters before it are needed no more. */
+    public Membership committed() {
+        return isJoint() ? new Membership(epoch, primary, dataReplicas, voters, List.of()) : this;
     }
 
-    /** Whether this view supersedes the other: a higher epoch, or the same view settled. */
+    /** Whether this membership supersedes the other: it has a higher epoch, or is the other one committed. */
     public boolean supersedes(Membership other) {
         int order = epoch.compareTo(other.epoch);
-        return order > 0 || order == 0 && other.joint() && !joint();
+        return order > 0 || order == 0 && other.isJoint() && !isJoint();
     }
 
     /** Text form, used on disk and between processes. */
     public String text() {
         return String.join(
-                ";",
+                FIELD_SEPARATOR,
                 epoch.text(),
                 primary,
-                String.join(",", dataReplicas),
-                String.join(",", voters),
-                String.join(",", previousVoters));
+                String.join(NAME_SEPARATOR, dataReplicas),
+                String.join(NAME_SEPARATOR, voters),
+                String.join(NAME_SEPARATOR, previousVoters));
     }
 
     /**
      * Reads {@link #text}.
      *
-     * @return null if the text is no view
+     * @return null if the text is no membership
      */
     public static Membership parse(String text) {
-        String[] fields = text.split(";", -1);
+        String[] fields = text.split(FIELD_SEPARATOR, -1);
         if (fields.length != FIELDS) {
             return null;
         }
@@ -98,7 +100,7 @@
     }
 
     private static List<String> names(String text) {
-        List<String> all = new ArrayList<>(List.of(text.split(",")));
+        List<String> all = new ArrayList<>(List.of(text.split(NAME_SEPARATOR)));
         all.removeIf(String::isEmpty);
         return all;
     }
--- /dev/null
+++ b/src/main/java/quartzspan/replication/MembershipPlanner.java
@@ -0,0 +1,90 @@
+package quartzspan.replication;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/** Works out the membership that a candidate is to form. */
+final class MembershipPlanner {
+    private final String self;
+    private final int losses;
+    private final ElectionPlan plan;
+
+    /** @param losses number of replicas that may be lost at once */
+    MembershipPlanner(String self, int losses, ElectionPlan plan) {
+        this.self = self;
+        this.losses = losses;
+        this.plan = plan;
+    }
+
+    /**
+     * The membership that follows the latest one.
+     *
+     * @param wantedVoters the voters wanted; null to leave them as they are
+     * @param granting the replicas that have granted their vote
+     * @return null if too few of the voters have granted it to hold the data
+     */
+    Membership next(Epoch epoch, Membership latest, List<String> wantedVoters, Set<String> granting) {
+        List<String> voters = wantedVoters == null || latest.isJoint() ? latest.voters() : wantedVoters;
+        List<String> dataReplicas = chooseDataReplicas(latest, voters, granting);
+        if (dataReplicas == null) {
+            return null;
+        }
+        if (latest.isJoint()) {
+            // Whether it is in effect is not known: its change of voters is completed first.
+            return new Membership(epoch, self, dataReplicas, voters, latest.previousVoters());
+        }
+        List<String> previousVoters = voters.equals(latest.voters()) ? List.of() : latest.voters();
+        return new Membership(epoch, self, dataReplicas, voters, previousVoters);
+    }
+
+    /** Replicas that granted their vote, are not to be avoided, and hold data already go first. */
+    private List<String> chooseDataReplicas(Membership latest, List<String> voters, Set<String> granting) {
+        List<String> able = new ArrayList<>(voters);
+        able.retainAll(granting);
+        able.remove(self);
+        able.sort(Comparator.<String, Boolean>comparing(plan.avoided()::contains)
+                .thenComparing(name -> !latest.dataReplicas().contains(name)));
+        int needed = Math.min(losses + 1, voters.size());
+        if (able.size() + 1 < needed) {
+            return null;
+        }
+        int count = Math.min(wantedDataReplicas(voters, losses), able.size() + 1);
+        List<String> dataReplicas = new ArrayList<>();
+        dataReplicas.add(self);
+        dataReplicas.addAll(able.subList(0, count - 1));
+        return dataReplicas;
+    }
+
+    /** One data replica more than may be lost at once, and one for each voter more than that needs. */
+    static int wantedDataReplicas(List<String> voters, int losses) {
+        int spareVoters = Math.max(0, voters.size() - neededVoters(losses));
+        return Math.min(losses + 1 + spareVoters, voters.size());
+    }
+
+    /** Number of voters of which a majority is left after the losses. */
+    static int neededVoters(int losses) {
+        return 2 * losses + 1;
+    }
+
+    /**
+     * Of the data replicas of the latest membership that granted their vote, the one with the most complete log; this replica
+     * where its own is as complete.
+     *
+     * @param replies the granting replies by replica
+     * @return null if none of them has a log of that membership
+     */
+    String mostCompleteReplica(Membership latest, Set<String> granting, Map<String, ReplicaMessage> replies) {
+        Comparator<String> byCompleteness = Comparator.<String, Epoch>comparing(
+                        name -> replies.get(name).logEpoch())
+                .thenComparingLong(name -> replies.get(name).logIndex())
+                .thenComparing(name -> name.equals(self));
+        return latest.dataReplicas().stream()
+                .filter(granting::contains)
+                .filter(name -> !replies.get(name).logEpoch().isBelow(latest.epoch()))
+                .max(byCompleteness)
+                .orElse(null);
+    }
+}
--- a/src/main/java/quartzspan/replication/PeerLiveness.java
+++ b/src/main/java/quartzspan/replication/PeerLiveness.java
@@ -7,14 +7,14 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** When which other replica was last heard of, who stands by without a vote, and who is about to end. */
+/** When each other replica was last heard, which ones are standbys without a vote, and which ones are about to end. */
 final class PeerLiveness {
-    /** A standby asks every {@link Timing#RETRY_MS}; three of these without a word and it is not counted on. */
+    /** A standby asks every {@link Timing#RETRY_MS}; after some of these without a request it is not counted on. */
     private static final long STANDBY_TIMEOUT_MS = 1_000;
-    /** A replica that ends says so every {@link Timing#RETRY_MS}; this long after its last word it has ended or come back. */
+    /** A replica that ends says so every {@link Timing#RETRY_MS}; so long after the last time it has ended or come back. */
     private static final long LEAVING_TIMEOUT_MS = 1_000;
 
-    /** Since when a replica has stood by, and when it last said so. */
+    /** Since when a replica has been a standby, and when it last said so. */
     private record Standby(long since, long heardAt) {}
 
     private final String self;
@@ -32,12 +32,12 @@
         heardAt.put(name, now);
     }
 
-    /** How long nothing was heard of a replica, by this one or by a primary that told it. */
+    /** Time since a replica was heard, by this one or by a primary that reported it. */
     long sinceHeardMs(long now, String name) {
         return name.equals(self) ? 0 : now - heardAt.getOrDefault(name, startedAt);
     }
 
-    /** Takes in how long another has not heard of the rest. */
+    /** Learns how long ago another replica heard the others. */
     void learnSinceHeard(long now, Map<String, Long> sinceHeard) {
         sinceHeard.forEach((name, elapsedMs) -> heardAt.merge(name, now - elapsedMs, Math::max));
     }
@@ -63,7 +63,7 @@
                 .toList();
     }
 
-    /** How long a replica has stood by without a break. */
+    /** How long a replica has been a standby without a break. */
     long standbyForMs(long now, String name) {
         Standby standby = standbys.get(name);
         return standby == null ? 0 : now - standby.since();
--- /dev/null
+++ b/src/main/java/quartzspan/replication/RecoveryResponder.java
@@ -0,0 +1,43 @@
+package quartzspan.replication;
+
+import quartzspan.replication.ReplicaMessage.Kind;
+import quartzspan.replication.VoterState.DiskIncarnation;
+
+/** Helps replicas that have lost their disk, or have no vote yet: tells them what this one has promised and knows. */
+final class RecoveryResponder {
+    private final ReplicaContext context;
+    private final VoterState voter;
+    private final PeerLiveness peers;
+    private final ReplyFactory replies;
+
+    RecoveryResponder(ReplicaContext context, VoterState voter, PeerLiveness peers, ReplyFactory replies) {
+        this.context = context;
+        this.voter = voter;
+        this.peers = peers;
+        this.replies = replies;
+    }
+
+    void onRequest(String from, ReplicaMessage request) {
+        if (voter.isRecovering()) {
+            return;
+        }
+        if (!request.recovering()) {
+            peers.onStandby(context.now(), from);
+            context.send(
+                    from,
+                    replies.reply(Kind.RECOVERY_REPLY, Epoch.NONE, true).withMembership(voter.durableMembership()));
+            return;
+        }
+        DiskIncarnation claimed = new DiskIncarnation(request.generation(), request.nonce());
+        boolean recorded = voter.recordIncarnation(from, claimed);
+        voter.persist(context.now(), durable -> {
+            if (durable) {
+                context.send(
+                        from,
+                        replies.reply(Kind.RECOVERY_REPLY, Epoch.NONE, recorded)
+                                .withNonce(request.nonce())
+                                .withMembership(voter.durableMembership()));
+            }
+        });
+    }
+}
--- a/src/main/java/quartzspan/replication/Replica.java
+++ b/src/main/java/quartzspan/replication/Replica.java
@@ -4,66 +4,73 @@
 import java.util.List;
 import java.util.Set;
 import quartzspan.common.FleetException;
-import quartzspan.replication.CandidateState.Plan;
 import quartzspan.replication.ReplicaMessage.Kind;
-import quartzspan.replication.VoterState.DiskIncarnation;
 
 /**
- * One core machine's part in keeping the control state, without clock, thread or I/O.
+ * The replica of the control state on one core machine, without clock, thread or I/O. It owns the role objects and is the only
+ * one that makes transitions between roles:
  *
- * <p>A {@link Epoch} forms one {@link Membership} at most: a primary, the backups that hold copies, and the voters. A change is
- * answered when the disks of the primary and of all backups have it. Whoever wants to take over asks the voters for a higher
- * epoch ({@link CandidateState}); there is no log that a majority replicates, and voters without a copy keep promises and views
- * only. A replica whose disk was lost takes no part until it has recovered ({@link DiskLossRecovery}).
+ * <pre>
+ * RECOVERING  disk lost           to STANDBY, BACKUP, WITNESS   enough others have told what was promised
+ * STANDBY     no vote             to BACKUP, WITNESS            a primary's membership names it as voter
+ * BACKUP,     follow the primary  to CANDIDATE                  the primary is not heard, or hands over
+ * WITNESS
+ * CANDIDATE   holds an election   to PRIMARY                    its membership is in effect
+ *                                 to BACKUP, WITNESS            another one has a higher epoch, a step timed out
+ * PRIMARY     accepts changes     to CANDIDATE                  its membership has to change
+ *                                 to BACKUP, WITNESS            another one has a higher epoch, no quorum, a slow disk
+ * </pre>
  *
- * <p>All times are milliseconds of a steady clock.
+ * <p>An {@link Epoch} forms one {@link Membership} at most: a primary, the backups that hold data, and the voters. A change is
+ * acknowledged when the disks of the primary and of all backups have it. There is no log that a majority replicates: voters
+ * without data keep promises and memberships only.
+ *
+ * <p>Not thread-safe: all calls come from one event loop. All times are milliseconds of a steady clock.
  */
 public final class Replica {
-    /** Where decisions go; called only from within an event. */
-    public interface Out {
+    /** The decisions of a replica; called only from within an event. */
+    public interface Output {
+        /** Sends a message, which may be lost. */
         void send(String to, ReplicaMessage message);
 
-        /** Makes a record durable, in the order of the calls; {@link Replica#onPersisted} tells. */
+        /** Makes a record durable, in the order of the calls; {@link Replica#onPersisted} reports each. */
         void persist(long number, byte[] record);
 
-        /** The answer to {@link Replica#change} or {@link Replica#confirm}; the refusal is null if granted. */
-        void done(long requestId, FleetException refusal, ControlState state);
+        /** The answer to {@link Replica#submit} or {@link Replica#read}; the refusal is null if it is granted. */
+        void completed(long requestId, FleetException refusal, ControlState state);
 
         /**
-         * The state that is in force from now on; only a primary says so. Committed indexes only rise, and each identifies
-         * one state: they form one line over all views.
+         * A state is committed; only a primary says so. Committed indexes only rise, and each identifies one state: they form
+         * one line over all memberships.
          */
         void committed(long index, ControlState state, ChangeHistory history);
     }
 
     private final ReplicaContext context;
-    private final Out out;
+    private final Output output;
     private final DiskQueue disk;
     private final VoterState voter;
     private final ReplicaLog log;
     private final PeerLiveness peers;
     private final Set<String> seeds;
+    private final FollowerState follower;
+    private final RecoveryResponder recoveryResponder;
     private DiskLossRecovery recovery;
-    private PrimaryState leadership;
-    /** When the primary, or a candidate in its stead, was last heard. */
-    private long primaryHeardAtMs;
-    /** The epoch of the view that was last heard to be in force. */
-    private Epoch activeEpoch = Epoch.NONE;
-    /** Whether the primary can do without this replica's vote. */
-    private boolean replaceable;
-
+    private PrimaryState primary;
     private long nextElectionAtMs;
     private long nextRequestAtMs;
-    private boolean leaving;
+    private boolean handingOver;
 
     /**
      * Starts a replica.
      *
-     * @param self own name, as others send to it
+     * @param self own name, as other replicas send to it
      * @param seeds names of the replicas that found the system, the same everywhere; later only whom to ask first
-     * @param losses replicas that may be lost at once
-     * @param found whether to found the system if nothing was kept
+     * @param losses number of replicas that may be lost at once
+     * @param found whether to found the system if the disk is empty
      * @param kept the records found on disk, oldest first; empty for none
+     * @param seed seed of the replica's random numbers
+     * @param now the present time
      */
     public Replica(
             String self,
@@ -73,22 +80,22 @@
             List<byte[]> kept,
             long seed,
             long now,
-            Out out) {
-        this.out = out;
+            Output output) {
+        this.output = output;
         this.seeds = new LinkedHashSet<>(seeds);
-        this.context = new ReplicaContext(self, losses, seed, now, out);
-        this.disk = new DiskQueue(out);
+        this.context = new ReplicaContext(self, losses, seed, now, output);
+        this.disk = new DiskQueue(output);
         this.voter = new VoterState(disk);
         this.log = new ReplicaLog(disk);
         this.peers = new PeerLiveness(self, now);
+        ReplyFactory replies = new ReplyFactory(voter, log);
+        this.follower = new FollowerState(context, voter, log, peers, replies, new FollowerTransitions());
+        this.recoveryResponder = new RecoveryResponder(context, voter, peers, replies);
         boolean damaged = !restore(kept);
         if (damaged || voter.membership().epoch().equals(Epoch.NONE)) {
             begin(found && !damaged);
         }
-        // A primary that lives is heard within a heartbeat or two; after a loss of power of all nobody has to be waited
-        // for.
-        primaryHeardAtMs = now - Timing.ELECTION_TIMEOUT_MS + 2 * Timing.HEARTBEAT_MS;
-        follow();
+        becomeFollower();
     }
 
     /** Whether all records could be read; damage is as good as an empty disk, for the others know what was promised. */
@@ -103,18 +110,18 @@
             }
             return true;
         } catch (RuntimeException unreadable) {
+            // Whatever a parser throws at damaged bytes: the records are worth nothing then.
             voter.clear();
             log.clear();
             return false;
         }
     }
 
-    /** Founding is a function of the settings alone: whoever does it, and however often, founds the same. */
+    /** The founding membership is a function of the settings alone: whoever founds, and however often, founds the same. */
     private void begin(boolean found) {
         List<String> founders = seeds.stream().distinct().sorted().toList();
         if (!found || !founders.contains(context.self())) {
-            voter.setRecovering(true);
-            recovery = new DiskLossRecovery(context.self(), voter, context.randomLong());
+            beginRecovery();
             return;
         }
         List<String> dataReplicas = founders.subList(0, Math.min(context.losses() + 1, founders.size()));
@@ -126,12 +133,18 @@
         voter.persist(context.now(), durable -> {});
     }
 
-    // ---- what is asked of outside --------------------------------------------------------------------
+    private void beginRecovery() {
+        voter.setRecovering(true);
+        recovery = new DiskLossRecovery(context.self(), voter, context.randomLong());
+    }
+
+    // ---- state ---------------------------------------------------------------------------------------
 
     public boolean isPrimary() {
-        return leadership != null;
+        return primary != null;
     }
 
+    /** The newest membership known here. */
     public Membership membership() {
         return voter.membership();
     }
@@ -140,41 +153,49 @@
         return voter.promisedEpoch();
     }
 
-    /** Whether the disk was lost, and what it promised has not been learnt again. */
+    /** Whether the disk was lost, and what it had promised has not been learnt again. */
     public boolean isRecovering() {
         return voter.isRecovering();
     }
 
-    /** What this replica does at present, in a word. */
-    public String role() {
+    public ReplicaRole role() {
         if (voter.isRecovering()) {
-            return "BLANK";
+            return ReplicaRole.RECOVERING;
         }
-        if (!membership().voters().contains(context.self())) {
-            return "STANDBY";
+        if (!isVoter()) {
+            return ReplicaRole.STANDBY;
         }
-        if (leadership != null) {
-            return "PRIMARY";
+        if (primary != null) {
+            return ReplicaRole.PRIMARY;
         }
-        if (context.candidacy() != null) {
-            return "CANDIDATE";
+        if (context.candidate() != null) {
+            return ReplicaRole.CANDIDATE;
         }
-        return membership().dataReplicas().contains(context.self()) ? "BACKUP" : "WITNESS";
+        return holdsData() ? ReplicaRole.BACKUP : ReplicaRole.WITNESS;
+    }
+
+    private boolean isVoter() {
+        return membership().voters().contains(context.self());
     }
 
-    /** Who is primary, as far as heard of late; null if unknown. */
+    private boolean holdsData() {
+        return membership().dataReplicas().contains(context.self());
+    }
+
+    /** The primary, as far as heard of late; null if unknown. */
     public String knownPrimary(long now) {
         if (isPrimary()) {
             return context.self();
         }
+        context.advance(now);
         String named = membership().primary();
-        boolean heard = now - primaryHeardAtMs < Timing.QUORUM_TIMEOUT_MS;
+        boolean heard = follower.isPrimaryHeardWithin(Timing.QUORUM_TIMEOUT_MS);
         return heard && !named.isEmpty() && !named.equals(context.self()) ? named : null;
     }
 
     /** The latest time at which this primary's state was surely the newest; far in the past if it is not primary. */
-    public long confirmedAt() {
-        return isPrimary() ? leadership.confirmedAt() : Long.MIN_VALUE / 2;
+    public long confirmedAtMs() {
+        return isPrimary() ? primary.confirmedAtMs() : Long.MIN_VALUE / 2;
     }
 
     public Epoch logEpoch() {
@@ -185,59 +206,61 @@
         return log.index();
     }
 
-    /** The state in force at a primary; elsewhere the copy held here, which may be behind or ahead of it. */
+    /** The committed state at a primary; elsewhere the end of the log, which may be behind or ahead of it. */
     public ControlState state() {
-        return isPrimary() ? leadership.committedState() : log.state();
+        return isPrimary() ? primary.committedState() : log.state();
     }
 
-    /** Asks for a change of the control state. */
+    // ---- requests ------------------------------------------------------------------------------------
+
+    /** Asks for a change of the control state; {@link Output#completed} answers. */
     public void submit(long now, long requestId, Change change) {
         context.advance(now);
         if (isPrimary()) {
-            leadership.change(requestId, change);
+            primary.submit(requestId, change);
         } else {
-            out.done(requestId, notPrimary(), null);
+            output.completed(requestId, notPrimary(), null);
         }
     }
 
-    /** Asks whether the state here is the newest; the answer comes once a quorum has confirmed it. */
+    /** Asks for the newest state; {@link Output#completed} answers once a quorum has confirmed that it is the newest. */
     public void read(long now, long requestId) {
         context.advance(now);
         if (isPrimary()) {
-            leadership.read(requestId);
+            primary.read(requestId);
         } else {
-            out.done(requestId, notPrimary(), null);
+            output.completed(requestId, notPrimary(), null);
         }
     }
 
     private static FleetException notPrimary() {
         return new FleetException(
                 FleetException.Code.NOT_PRIMARY,
-                "this machine doesn't decide at present",
-                "ask another machine of the core, or again in a moment");
+                "this machine is not the primary",
+                "ask another machine of the core, or retry in a moment");
     }
 
-    /** Begins to hand over what others need of this replica: the lead, its copy, and its vote where a standby can take it. */
+    /** Begins to hand over what others need of this replica: the lead, its data, and its vote where a standby can take it. */
     public void beginHandover(long now) {
         context.advance(now);
-        leaving = true;
+        handingOver = true;
         nextRequestAtMs = now;
         onTick(now);
     }
 
-    /** Whether nothing is lost when a replica that leaves ends now. */
+    /** Whether nothing is lost when a replica that hands over ends now. */
     public boolean isHandoverComplete(long now) {
+        context.advance(now);
         if (voter.isRecovering()) {
             // It vouches for nothing, so nobody counts on it.
-            return leaving;
+            return handingOver;
         }
-        boolean inForce = activeEpoch.equals(membership().epoch());
-        if (!leaving || isPrimary() || !inForce) {
+        if (!handingOver || isPrimary() || !follower.isMembershipActive()) {
             return false;
         }
-        boolean heard = now - primaryHeardAtMs < Timing.QUORUM_TIMEOUT_MS;
-        boolean needed = membership().dataReplicas().contains(context.self()) || replaceable;
-        return !membership().voters().contains(context.self()) || heard && !needed;
+        boolean heard = follower.isPrimaryHeardWithin(Timing.QUORUM_TIMEOUT_MS);
+        boolean needed = holdsData() || follower.isReplaceable();
+        return !isVoter() || heard && !needed;
     }
 
     // ---- time ----------------------------------------------------------------------------------------
@@ -247,39 +270,39 @@
         context.advance(now);
         if (now >= nextRequestAtMs) {
             nextRequestAtMs = now + Timing.RETRY_MS;
-            requestMembership();
+            requestMembershipChange();
         }
         if (voter.isRecovering()) {
             return;
         }
-        if (disk.waitingFor(now) > Timing.DISK_TIMEOUT_MS && (context.candidacy() != null)) {
+        if (disk.waitingFor(now) > Timing.DISK_TIMEOUT_MS && context.candidate() != null) {
             pauseElections();
         }
-        if (leadership != null) {
-            leadership.onTick();
-        } else if (context.candidacy() != null) {
-            context.candidacy().onTick();
+        if (primary != null) {
+            primary.onTick();
+        } else if (context.candidate() != null) {
+            context.candidate().onTick();
         } else if (mayStartElection(now)) {
-            startElection(Plan.TAKE_OVER).startWithPreVote();
+            startElection(ElectionPlan.TAKE_OVER).startWithPreVote();
         }
     }
 
     private boolean mayStartElection(long now) {
-        return !leaving
+        return !handingOver
                 && now >= nextElectionAtMs
-                && now - primaryHeardAtMs >= Timing.ELECTION_TIMEOUT_MS
-                && membership().voters().contains(context.self())
+                && !follower.isPrimaryHeardWithin(Timing.ELECTION_TIMEOUT_MS)
+                && isVoter()
                 && disk.isIdle();
     }
 
-    /** One that is blank or has no vote asks to be taken in; one that leaves asks to be let go. */
-    private void requestMembership() {
+    /** A replica that recovers or has no vote asks to be taken in; one that hands over asks to be released. */
+    private void requestMembershipChange() {
         if (voter.isRecovering()) {
             others().forEach(name -> context.send(name, recovery.request()));
-        } else if (leaving) {
-            requestHandover();
-        } else if (!membership().voters().contains(context.self())) {
-            // Also one of the previous voters of a joint view: it is not told when that view is settled.
+        } else if (handingOver) {
+            requestRelease();
+        } else if (!isVoter()) {
+            // Also one of the previous voters of a joint membership: nobody notifies it when that is committed.
             ReplicaMessage request = ReplicaMessage.of(Kind.RECOVERY, Epoch.NONE)
                     .withNonce(voter.incarnationNonce())
                     .withGeneration(voter.generation());
@@ -287,16 +310,15 @@
         }
     }
 
-    private void requestHandover() {
-        if (leadership == null) {
-            others().forEach(name -> context.send(
-                    name, ReplicaMessage.of(Kind.LEAVING, membership().epoch())));
+    private void requestRelease() {
+        Epoch epoch = membership().epoch();
+        if (primary == null) {
+            others().forEach(name -> context.send(name, ReplicaMessage.of(Kind.LEAVING, epoch)));
             return;
         }
-        String successor = leadership.successor();
+        String successor = primary.successor();
         if (successor != null) {
-            context.send(
-                    successor, ReplicaMessage.of(Kind.HANDOVER, membership().epoch()));
+            context.send(successor, ReplicaMessage.of(Kind.HANDOVER, epoch));
         }
     }
 
@@ -309,52 +331,70 @@
         return all;
     }
 
-    // ---- roles ---------------------------------------------------------------------------------------
+    // ---- transitions ---------------------------------------------------------------------------------
 
-    /** Neither leads nor stands any more. */
-    private void follow() {
-        long spread =
-                Timing.ELECTION_TIMEOUT_JITTER_MS / (membership().dataReplicas().contains(context.self()) ? 2 : 1);
-        nextElectionAtMs = context.now() + context.randomBelow(spread);
-        context.setCandidacy(null);
-        endLeadership();
+    /** Stops being primary or candidate. */
+    private void becomeFollower() {
+        long jitterMs = Timing.ELECTION_TIMEOUT_JITTER_MS / (holdsData() ? 2 : 1);
+        nextElectionAtMs = context.now() + context.randomBelow(jitterMs);
+        context.setCandidate(null);
+        endPrimary();
     }
 
-    private void endLeadership() {
-        PrimaryState ended = leadership;
-        leadership = null;
+    private void endPrimary() {
+        PrimaryState ended = primary;
+        primary = null;
         if (ended != null) {
             ended.end(notPrimary());
         }
     }
 
-    /** The disk does not keep up or refuses: somebody else had better lead. */
+    /** The disk does not keep up, or refuses: another replica had better be primary. */
     private void pauseElections() {
-        follow();
+        becomeFollower();
         nextElectionAtMs = context.now() + Timing.ELECTION_PAUSE_MS;
     }
 
-    private CandidateState startElection(Plan plan) {
-        endLeadership();
-        Set<String> avoided = new LinkedHashSet<>(plan.avoided());
-        avoided.addAll(peers.leaving(context.now()));
-        CandidateState candidacy = new CandidateState(
-                context, voter, log, new Plan(plan.voters(), avoided, plan.handedOver()), new CandidacyOutcome());
-        context.setCandidacy(candidacy);
-        return candidacy;
+    private CandidateState startElection(ElectionPlan plan) {
+        endPrimary();
+        ElectionPlan avoidingLeaving = plan.avoiding(peers.leaving(context.now()));
+        CandidateState candidate = new CandidateState(context, voter, log, avoidingLeaving, new ElectionOutcome());
+        context.setCandidate(candidate);
+        return candidate;
+    }
+
+    private void becomePrimary(Membership membership) {
+        context.setCandidate(null);
+        primary = new PrimaryState(context, voter, log, peers, membership, new PrimaryDecisions());
+        primary.begin();
     }
 
-    private final class CandidacyOutcome implements CandidateState.Listener {
+    private final class FollowerTransitions implements FollowerState.Transitions {
+        @Override
+        public void becomeFollower() {
+            Replica.this.becomeFollower();
+        }
+
+        @Override
+        public boolean isPrimaryOrCandidate() {
+            return primary != null || context.candidate() != null;
+        }
+
+        @Override
+        public boolean isConfirmedPrimary() {
+            return primary != null && context.now() - primary.unconfirmedSinceMs() < Timing.VOTE_STICKINESS_MS;
+        }
+    }
+
+    private final class ElectionOutcome implements CandidateState.Listener {
         @Override
         public void elected(Membership membership) {
-            context.setCandidacy(null);
-            leadership = new PrimaryState(context, voter, log, peers, membership, new LeadershipOutcome());
-            leadership.begin();
+            becomePrimary(membership);
         }
 
         @Override
         public void abandoned() {
-            follow();
+            becomeFollower();
         }
 
         @Override
@@ -363,15 +403,15 @@
         }
     }
 
-    private final class LeadershipOutcome implements PrimaryState.Listener {
+    private final class PrimaryDecisions implements PrimaryState.Listener {
         @Override
-        public void reform(Plan plan) {
+        public void changeMembership(ElectionPlan plan) {
             startElection(plan).startWithVote();
         }
 
         @Override
         public void stepDown() {
-            follow();
+            becomeFollower();
         }
 
         @Override
@@ -381,277 +421,58 @@
 
         @Override
         public void committed(long index, ControlState state) {
-            out.committed(index, state, log.history());
+            output.committed(index, state, log.history());
         }
 
         @Override
-        public void answered(long requestId, FleetException refusal, ControlState state) {
-            out.done(requestId, refusal, state);
+        public void completed(long requestId, FleetException refusal, ControlState state) {
+            output.completed(requestId, refusal, state);
         }
     }
 
     // ---- messages ------------------------------------------------------------------------------------
 
-    /** Something came from another replica. */
+    /** A message came from another replica. */
     public void onMessage(long now, String from, ReplicaMessage message) {
         context.advance(now);
         peers.onMessageFrom(now, from);
         switch (message.kind()) {
-            case HEARTBEAT -> onHeartbeat(from, message);
+            case HEARTBEAT -> follower.onHeartbeat(from, message);
+            case PRE_VOTE -> follower.onPreVote(from, message);
+            case VOTE -> follower.onVote(from, message);
+            case FETCH -> follower.onFetch(from, message);
+            case REPLICATE -> follower.onReplicate(from, message);
+            case ACCEPT -> follower.onAccept(from, message);
             case HEARTBEAT_REPLY -> {
-                if (leadership != null) {
-                    leadership.onHeartbeatReply(from, message);
+                if (primary != null) {
+                    primary.onHeartbeatReply(from, message);
                 }
             }
-            case PRE_VOTE -> onPreVote(from, message);
-            case VOTE -> onVote(from, message);
-            case FETCH -> onFetch(from, message);
-            case REPLICATE -> onReplicate(from, message);
-            case ACCEPT -> onAccept(from, message);
             case REPLICATE_REPLY -> {
-                if (leadership != null) {
-                    leadership.onReplicateReply(from, message);
+                if (primary != null) {
+                    primary.onReplicateReply(from, message);
                 } else {
-                    toCandidacy(from, message);
+                    toCandidate(from, message);
                 }
             }
-            case PRE_VOTE_REPLY, VOTE_REPLY, FETCH_REPLY, ACCEPT_REPLY -> toCandidacy(from, message);
-            case RECOVERY -> onRecovery(from, message);
+            case PRE_VOTE_REPLY, VOTE_REPLY, FETCH_REPLY, ACCEPT_REPLY -> toCandidate(from, message);
+            case RECOVERY -> recoveryResponder.onRequest(from, message);
             case RECOVERY_REPLY -> onRecoveryReply(from, message);
             case LEAVING -> peers.onLeaving(now, from);
             case HANDOVER -> onHandover(from, message);
-            default -> throw new IllegalStateException("no message " + message.kind());
-        }
-    }
-
-    private void toCandidacy(String from, ReplicaMessage message) {
-        if (context.candidacy() != null) {
-            context.candidacy().onReply(from, message);
-        }
-    }
-
-    /** An answer, with what this replica has promised durably and holds. */
-    private ReplicaMessage reply(Kind kind, Epoch epoch, boolean ok) {
-        return ReplicaMessage.of(kind, epoch)
-                .withGranted(ok)
-                .withPromisedEpoch(voter.durablePromisedEpoch(), voter.isRecovering())
-                .withLogPosition(log.epoch(), log.index())
-                .withGeneration(voter.generation())
-                .withGenerations(voter.generations());
-    }
-
-    /** A refusal, with the promise that stands against it. */
-    private ReplicaMessage refusal(Kind kind, Epoch epoch) {
-        return reply(kind, epoch, false).withPromisedEpoch(voter.promisedEpoch(), voter.isRecovering());
-    }
-
-    private boolean primaryHeardRecently() {
-        return context.now() - primaryHeardAtMs < Timing.VOTE_STICKINESS_MS;
-    }
-
-    /** Whether a candidacy may be granted: not while somebody else leads well, unless that one has asked for it. */
-    private boolean mayGrant(ReplicaMessage request) {
-        boolean handedOver = request.granted() && !membership().supersedes(request.membership());
-        boolean confirmedRecently =
-                leadership != null && context.now() - leadership.unconfirmedSince() < Timing.VOTE_STICKINESS_MS;
-        return handedOver || !confirmedRecently && !primaryHeardRecently();
-    }
-
-    private void onPreVote(String from, ReplicaMessage request) {
-        boolean ok = !voter.isRecovering() && request.epoch().isAbove(voter.promisedEpoch()) && mayGrant(request);
-        context.send(
-                from,
-                refusal(Kind.PRE_VOTE_REPLY, request.epoch())
-                        .withGranted(ok)
-                        .withMembership(voter.durableMembership()));
-    }
-
-    private void onVote(String from, ReplicaMessage request) {
-        Epoch epoch = request.epoch();
-        boolean granted = epoch.equals(voter.promisedEpoch());
-        if (voter.isRecovering() || epoch.isBelow(voter.promisedEpoch()) || !granted && !mayGrant(request)) {
-            context.send(from, refusal(Kind.VOTE_REPLY, epoch));
-            return;
-        }
-        deferElection();
-        if (!granted) {
-            follow();
-            voter.promise(epoch);
-        }
-        if (epoch.equals(voter.durablePromisedEpoch())) {
-            context.send(from, grant(epoch));
-            return;
-        }
-        voter.persist(context.now(), durable -> {
-            boolean holds = durable && epoch.equals(voter.promisedEpoch());
-            context.send(from, holds ? grant(epoch) : refusal(Kind.VOTE_REPLY, epoch));
-        });
-    }
-
-    private ReplicaMessage grant(Epoch epoch) {
-        return reply(Kind.VOTE_REPLY, epoch, true).withMembership(voter.durableMembership());
-    }
-
-    /** A candidate has time for its steps before anybody else stands. */
-    private void deferElection() {
-        primaryHeardAtMs = Math.max(primaryHeardAtMs, context.now() - Timing.ELECTION_DEFERRAL_AGE_MS);
-    }
-
-    private void onFetch(String from, ReplicaMessage request) {
-        if (voter.isRecovering() || !request.epoch().equals(voter.durablePromisedEpoch()) || log.index() < 0) {
-            return;
-        }
-        StateUpdate update = log.updateFrom(request.logEpoch(), request.logIndex());
-        context.send(from, reply(Kind.FETCH_REPLY, request.epoch(), true).withBody(update.bytes()));
-    }
-
-    private void onHeartbeat(String from, ReplicaMessage heartbeat) {
-        Epoch epoch = heartbeat.epoch();
-        if (epoch.isBelow(voter.promisedEpoch()) && !voter.isRecovering()) {
-            context.send(from, refusal(Kind.HEARTBEAT_REPLY, epoch).withNonce(heartbeat.nonce()));
-            return;
-        }
-        if (!heartbeat.membership().epoch().equals(epoch)
-                || !heartbeat.membership().primary().equals(from)) {
-            return;
-        }
-        primaryHeardAtMs = context.now();
-        activeEpoch = epoch;
-        replaceable = heartbeat.granted();
-        peers.learnSinceHeard(context.now(), heartbeat.sinceHeardMs());
-        if (voter.isRecovering()) {
-            // Tells whom to ask; to answer would be to vouch for an epoch.
-            voter.learn(heartbeat.membership());
-            return;
-        }
-        if (context.candidacy() != null || leadership != null) {
-            follow();
-        }
-        boolean newer =
-                epoch.isAbove(voter.promisedEpoch()) || heartbeat.membership().supersedes(membership());
-        if (!newer) {
-            acknowledge(from, heartbeat);
-            return;
-        }
-        voter.promise(epoch);
-        voter.learn(heartbeat.membership());
-        voter.persist(context.now(), durable -> {
-            if (durable) {
-                acknowledge(from, heartbeat);
-            }
-        });
-    }
-
-    private void acknowledge(String from, ReplicaMessage heartbeat) {
-        boolean holds = !voter.promisedEpoch().isAbove(heartbeat.epoch());
-        ReplicaMessage answer = holds
-                ? reply(Kind.HEARTBEAT_REPLY, heartbeat.epoch(), true)
-                : refusal(Kind.HEARTBEAT_REPLY, heartbeat.epoch());
-        context.send(from, answer.withNonce(heartbeat.nonce()));
-    }
-
-    static ReplicaMessage replicateMessage(StateUpdate update, long generation) {
-        return ReplicaMessage.of(Kind.REPLICATE, update.epoch())
-                .withLogPosition(update.epoch(), update.index())
-                .withGeneration(generation)
-                .withBody(update.bytes());
-    }
-
-    /** Whether two answers tell of the same copy on the same disk. */
-    static boolean sameLogPosition(ReplicaMessage one, ReplicaMessage other) {
-        return one.logEpoch().equals(other.logEpoch())
-                && one.logIndex() == other.logIndex()
-                && one.generation() == other.generation();
-    }
-
-    private void onReplicate(String from, ReplicaMessage message) {
-        Epoch epoch = message.epoch();
-        if (voter.isRecovering()) {
-            return;
-        }
-        if (epoch.isBelow(voter.promisedEpoch()) || message.generation() != voter.generation()) {
-            context.send(from, refusal(Kind.REPLICATE_REPLY, epoch));
-            return;
-        }
-        if (epoch.equals(log.epoch()) && message.logIndex() <= log.index()) {
-            context.send(from, replicated(message));
-            return;
-        }
-        if (context.candidacy() != null || leadership != null) {
-            follow();
-        }
-        deferElection();
-        if (log.isAppending()) {
-            return;
-        }
-        StateUpdate update = StateUpdate.parse(message.body());
-        if (!log.isApplicable(update)) {
-            context.send(from, refusal(Kind.REPLICATE_REPLY, epoch));
-            return;
-        }
-        if (epoch.isAbove(voter.promisedEpoch())) {
-            voter.promise(epoch);
-            voter.persist(context.now(), durable -> {});
+            default -> throw new IllegalStateException("unknown message " + message.kind());
         }
-        log.append(context.now(), update, log.stateAfter(update), durable -> {
-            if (durable) {
-                context.send(from, replicated(message));
-            }
-        });
-    }
-
-    private ReplicaMessage replicated(ReplicaMessage message) {
-        ReplicaMessage answer = reply(Kind.REPLICATE_REPLY, message.epoch(), true);
-        return answer.withLogPosition(message.epoch(), message.logIndex());
     }
 
-    private void onAccept(String from, ReplicaMessage message) {
-        Epoch epoch = message.epoch();
-        if (voter.isRecovering() || !message.membership().epoch().equals(epoch)) {
-            return;
-        }
-        if (epoch.isBelow(voter.promisedEpoch())) {
-            context.send(from, refusal(Kind.ACCEPT_REPLY, epoch));
-            return;
-        }
-        if (context.candidacy() != null || leadership != null) {
-            follow();
+    private void toCandidate(String from, ReplicaMessage message) {
+        if (context.candidate() != null) {
+            context.candidate().onReply(from, message);
         }
-        primaryHeardAtMs = context.now();
-        voter.promise(epoch);
-        voter.learn(message.membership());
-        voter.persist(context.now(), durable -> {
-            if (durable) {
-                context.send(from, reply(Kind.ACCEPT_REPLY, epoch, true));
-            }
-        });
-    }
-
-    private void onRecovery(String from, ReplicaMessage request) {
-        if (voter.isRecovering()) {
-            return;
-        }
-        if (!request.recovering()) {
-            peers.onStandby(context.now(), from);
-            context.send(from, reply(Kind.RECOVERY_REPLY, Epoch.NONE, true).withMembership(voter.durableMembership()));
-            return;
-        }
-        DiskIncarnation claimed = new DiskIncarnation(request.generation(), request.nonce());
-        boolean noted = voter.recordIncarnation(from, claimed);
-        voter.persist(context.now(), durable -> {
-            if (durable) {
-                context.send(
-                        from,
-                        reply(Kind.RECOVERY_REPLY, Epoch.NONE, noted)
-                                .withNonce(request.nonce())
-                                .withMembership(voter.durableMembership()));
-            }
-        });
     }
 
     private void onRecoveryReply(String from, ReplicaMessage reply) {
         if (!voter.isRecovering()) {
-            if (!membership().voters().contains(context.self())) {
+            if (!isVoter()) {
                 voter.learn(reply.membership());
             }
             return;
@@ -661,36 +482,28 @@
         }
         recovery = null;
         voter.setRecovering(false);
-        primaryHeardAtMs = context.now();
+        follower.restartElectionTimeout();
         voter.persist(context.now(), durable -> {
             if (!durable) {
-                recoverAgain();
+                becomeFollower();
+                beginRecovery();
             }
         });
     }
 
-    private void recoverAgain() {
-        follow();
-        voter.setRecovering(true);
-        recovery = new DiskLossRecovery(context.self(), voter, context.randomLong());
-    }
-
     private void onHandover(String from, ReplicaMessage message) {
         peers.onLeaving(context.now(), from);
         boolean current = message.epoch().equals(membership().epoch())
                 && membership().primary().equals(from);
-        boolean able = !voter.isRecovering()
-                && !leaving
-                && disk.isIdle()
-                && membership().dataReplicas().contains(context.self());
-        if (current && able && context.candidacy() == null && leadership == null) {
-            startElection(new Plan(null, Set.of(), true)).startWithVote();
+        boolean able = !voter.isRecovering() && !handingOver && disk.isIdle() && holdsData();
+        if (current && able && context.candidate() == null && primary == null) {
+            startElection(ElectionPlan.HANDOVER).startWithVote();
         }
     }
 
     // ---- the disk ------------------------------------------------------------------------------------
 
-    /** A record is durable, or was refused. Records are told of in their order. */
+    /** A record is durable, or was refused. Records are reported in their order. */
     public void onPersisted(long now, long number, boolean durable) {
         context.advance(now);
         disk.onPersisted(now, number, durable);
--- a/src/main/java/quartzspan/replication/ReplicaContext.java
+++ b/src/main/java/quartzspan/replication/ReplicaContext.java
@@ -2,21 +2,21 @@
 
 import java.util.SplittableRandom;
 
-/** What the parts of a replica share: its name, the time of the event at hand, chance, and where messages go. */
+/** What the role objects of a replica share: its name, the time of the current event, random numbers, and the output. */
 final class ReplicaContext {
     private final String self;
     private final int losses;
     private final SplittableRandom random;
-    private final Replica.Out out;
+    private final Replica.Output output;
     private long now;
-    private CandidateState candidacy;
+    private CandidateState candidate;
 
-    ReplicaContext(String self, int losses, long seed, long now, Replica.Out out) {
+    ReplicaContext(String self, int losses, long seed, long now, Replica.Output output) {
         this.self = self;
         this.losses = losses;
         this.random = new SplittableRandom(seed);
         this.now = now;
-        this.out = out;
+        this.output = output;
     }
 
     String self() {
@@ -45,20 +45,20 @@
     }
 
     void send(String to, ReplicaMessage message) {
-        out.send(to, message);
+        output.send(to, message);
     }
 
-    /** The candidacy under way; null if there is none. */
-    CandidateState candidacy() {
-        return candidacy;
+    /** The election in progress; null if there is none. */
+    CandidateState candidate() {
+        return candidate;
     }
 
-    void setCandidacy(CandidateState current) {
-        candidacy = current;
+    void setCandidate(CandidateState current) {
+        candidate = current;
     }
 
-    /** Whether a candidacy is still the one under way, for what completes later. */
-    boolean isCurrent(CandidateState asked) {
-        return candidacy == asked;
+    /** Whether an election is still the one in progress, for completions that come later. */
+    boolean isCurrent(CandidateState election) {
+        return candidate == election;
     }
 }
--- a/src/main/java/quartzspan/replication/ReplicaLog.java
+++ b/src/main/java/quartzspan/replication/ReplicaLog.java
@@ -5,15 +5,15 @@
 import quartzspan.replication.ChangeHistory.Entry;
 
 /**
- * The copy of the control state on this replica's disk. It is written as a snapshot and the steps since; a new snapshot is
- * written once the steps outgrow the last one, so that the log stays bounded and a start reads little.
+ * The control state on this replica's disk: a snapshot and the entries since. A new snapshot is written once the entries outgrow
+ * the last one, so that the log stays bounded and a start reads little.
  */
 final class ReplicaLog {
     /** The tags of the records on disk. */
     static final byte SNAPSHOT_RECORD = 'C';
 
     static final byte ENTRIES_RECORD = 'D';
-    /** Steps are kept up to this many bytes, or the size of the last snapshot if that is more. */
+    /** Entries are kept up to this many bytes, or the size of the last snapshot if that is more. */
     private static final long MIN_ENTRIES_BYTES = 64 * 1024;
 
     private static final int MAX_ENTRIES = 256;
@@ -48,7 +48,7 @@
         return history;
     }
 
-    /** Whether an update is on its way to the disk: no other may begin before it is there. */
+    /** Whether an update is on its way to the disk: no other may be appended before it is durable. */
     boolean isAppending() {
         return appending;
     }
@@ -57,7 +57,7 @@
         return index == otherIndex && epoch.equals(otherEpoch);
     }
 
-    /** What brings a holder of another state up to this one: the steps if they are known, else a snapshot. */
+    /** What leads from another state to the end of this log: the entries if they are known, else a snapshot. */
     StateUpdate updateFrom(Epoch otherEpoch, long otherIndex) {
         List<Entry> since = history.since(otherIndex, otherEpoch);
         if (since == null || since.isEmpty()) {
@@ -66,17 +66,17 @@
         return StateUpdate.ofEntries(otherEpoch, otherIndex, since);
     }
 
-    /** The update by one step from the copy as it is. */
+    /** The update by one entry from the end of the log. */
     StateUpdate nextEntry(Epoch under, Change change) {
         return StateUpdate.ofEntries(epoch, index, List.of(new Entry(index + 1, under, change)));
     }
 
-    /** Whether an update can be applied to the copy as it is. */
+    /** Whether an update can be applied at the end of the log. */
     boolean isApplicable(StateUpdate update) {
         return update.isSnapshot() || isAt(update.baseEpoch(), update.baseIndex());
     }
 
-    /** The state that an update makes of the copy as it is; the copy stays as it is. */
+    /** The state that an update leads to from the end of the log; the log stays as it is. */
     ControlState stateAfter(StateUpdate update) {
         if (update.isSnapshot()) {
             return ControlState.parse(update.snapshot());
@@ -88,7 +88,7 @@
         return next;
     }
 
-    /** Makes an update durable; the copy changes when it is. */
+    /** Makes an update durable; the log changes when it is. */
     void append(long now, StateUpdate update, ControlState result, DiskQueue.Completion completion) {
         if (appending || !isApplicable(update)) {
             throw new IllegalStateException("an update that does not follow " + epoch.text() + " at " + index);
@@ -160,7 +160,7 @@
         history.reset(index, epoch);
     }
 
-    /** Reads a record of {@link #write} at a start. */
+    /** Reads a record of {@link #append} at a start. */
     void restore(byte[] record) {
         byte[] body = new byte[record.length - 1];
         System.arraycopy(record, 1, body, 0, body.length);
--- a/src/main/java/quartzspan/replication/ReplicaMessage.java
+++ b/src/main/java/quartzspan/replication/ReplicaMessage.java
@@ -4,19 +4,21 @@
 import java.util.TreeMap;
 
 /**
- * One step of the protocol between replicas; see {@link Replica}. A field that a kind does not use has its initial value.
+ * A message of the protocol between replicas; see {@link Replica}. A field that a kind does not use has its initial value.
  *
- * @param epoch the candidacy or the view that the message belongs to
- * @param nonce which heartbeat is answered; of a recovery request: which life of the disk asks
+ * @param epoch the election or the membership that the message belongs to
+ * @param nonce identifies the heartbeat that a reply answers; in a recovery request the incarnation of the sender's disk
  * @param promisedEpoch the highest epoch that the sender has promised, durably
- * @param logEpoch with {@code logIndex}: the state that the sender holds a copy of
- * @param granted whether what was asked is granted; of a heartbeat: whether a voter can be done without; of a vote request: whether the
- *     primary has handed over
- * @param recovering whether the sender has lost what it once promised
- * @param generation how often the sender's disk was lost; of a copy: the generation of the disk that it is meant for
- * @param generations how often the disks of others were lost, as far as the sender knows, by name
- * @param sinceHeardMs how long the sender has not heard of others, milliseconds by name
- * @param body the bytes of a {@link StateUpdate}, or nothing
+ * @param logEpoch with {@code logIndex}: the state at the end of the sender's log
+ * @param granted whether the request is granted; in a heartbeat whether the membership can do without a voter; in a vote request
+ *     whether the primary has handed over
+ * @param recovering whether the sender has lost its disk, and with it what it had promised
+ * @param generation how often the sender's disk was lost; in a {@link Kind#REPLICATE} message the generation of the disk that
+ *     it is meant for
+ * @param generations how often the disks of other replicas were lost, as far as the sender knows, by name
+ * @param sinceHeardMs time since the sender last heard from other replicas, milliseconds by name
+ * @param membership a membership to learn, or to accept
+ * @param body the bytes of a {@link StateUpdate}; empty for none
  */
 public record ReplicaMessage(
         Kind kind,
@@ -33,36 +35,36 @@
         Membership membership,
         byte[] body) {
 
-    /** The kinds, in pairs of request and answer. */
+    /** The kinds, in pairs of request and reply. Their order is that of their numbers on the wire. */
     public enum Kind {
-        /** The primary lives; asks whether its epoch still holds. */
+        /** The primary is alive, and asks whether its epoch still holds. */
         HEARTBEAT,
         HEARTBEAT_REPLY,
-        /** Whether a candidacy would be granted; promises nothing. */
+        /** Asks whether a vote would be granted; promises nothing. */
         PRE_VOTE,
         PRE_VOTE_REPLY,
-        /** A candidate asks for a promise to take no lower epoch. */
+        /** A candidate asks for the promise to take nothing below its epoch. */
         VOTE,
         VOTE_REPLY,
-        /** The control state is asked for. */
+        /** Asks for the control state. */
         FETCH,
         FETCH_REPLY,
         /** A control state to be synced. */
         REPLICATE,
         REPLICATE_REPLY,
-        /** A view is to take effect. */
+        /** A membership to be synced, so that it takes effect. */
         ACCEPT,
         ACCEPT_REPLY,
-        /** Asks what was promised and which views are known; from a replica that lost its disk, or is new. */
+        /** Asks for promises and the latest membership; from a replica that lost its disk, or is new. */
         RECOVERY,
         RECOVERY_REPLY,
-        /** The sender is about to end, and wants to hold no copy and, if somebody can take it, no vote. */
+        /** The sender is about to end, and wants to hold no data and, if a standby can take it, no vote. */
         LEAVING,
-        /** The primary is about to end: the receiver is to stand for its place at once. */
+        /** The primary is about to end: the receiver is to start an election at once. */
         HANDOVER
     }
 
-    private static final byte[] NOTHING = {};
+    private static final byte[] NO_BODY = {};
 
     static ReplicaMessage of(Kind kind, Epoch epoch) {
         return new ReplicaMessage(
@@ -78,159 +80,125 @@
                 Map.of(),
                 Map.of(),
                 Membership.NONE,
-                NOTHING);
+                NO_BODY);
+    }
+
+    /** An update to be synced, for a disk of the given generation. */
+    static ReplicaMessage replicate(StateUpdate update, long generation) {
+        return of(Kind.REPLICATE, update.epoch())
+                .withLogPosition(update.epoch(), update.index())
+                .withGeneration(generation)
+                .withBody(update.bytes());
+    }
+
+    /** Whether both senders report the same end of the log on the same disk. */
+    boolean hasSameLogPosition(ReplicaMessage other) {
+        return logEpoch.equals(other.logEpoch) && logIndex == other.logIndex && generation == other.generation;
     }
 
     ReplicaMessage withNonce(long value) {
-        return new ReplicaMessage(
-                kind,
-                epoch,
-                value,
-                promisedEpoch,
-                logEpoch,
-                logIndex,
-                granted,
-                recovering,
-                generation,
-                generations,
-                sinceHeardMs,
-                membership,
-                body);
+        Builder copy = new Builder(this);
+        copy.nonce = value;
+        return copy.build();
     }
 
     ReplicaMessage withMembership(Membership value) {
-        return new ReplicaMessage(
-                kind,
-                epoch,
-                nonce,
-                promisedEpoch,
-                logEpoch,
-                logIndex,
-                granted,
-                recovering,
-                generation,
-                generations,
-                sinceHeardMs,
-                value,
-                body);
+        Builder copy = new Builder(this);
+        copy.membership = value;
+        return copy.build();
     }
 
     ReplicaMessage withLogPosition(Epoch atEpoch, long atIndex) {
-        return new ReplicaMessage(
-                kind,
-                epoch,
-                nonce,
-                promisedEpoch,
-                atEpoch,
-                atIndex,
-                granted,
-                recovering,
-                generation,
-                generations,
-                sinceHeardMs,
-                membership,
-                body);
+        Builder copy = new Builder(this);
+        copy.logEpoch = atEpoch;
+        copy.logIndex = atIndex;
+        return copy.build();
     }
 
     ReplicaMessage withBody(byte[] value) {
-        return new ReplicaMessage(
-                kind,
-                epoch,
-                nonce,
-                promisedEpoch,
-                logEpoch,
-                logIndex,
-                granted,
-                recovering,
-                generation,
-                generations,
-                sinceHeardMs,
-                membership,
-                value);
+        Builder copy = new Builder(this);
+        copy.body = value;
+        return copy.build();
     }
 
     ReplicaMessage withGranted(boolean value) {
-        return new ReplicaMessage(
-                kind,
-                epoch,
-                nonce,
-                promisedEpoch,
-                logEpoch,
-                logIndex,
-                value,
-                recovering,
-                generation,
-                generations,
-                sinceHeardMs,
-                membership,
-                body);
+        Builder copy = new Builder(this);
+        copy.granted = value;
+        return copy.build();
     }
 
     ReplicaMessage withPromisedEpoch(Epoch value, boolean isRecovering) {
-        return new ReplicaMessage(
-                kind,
-                epoch,
-                nonce,
-                value,
-                logEpoch,
-                logIndex,
-                granted,
-                isRecovering,
-                generation,
-                generations,
-                sinceHeardMs,
-                membership,
-                body);
+        Builder copy = new Builder(this);
+        copy.promisedEpoch = value;
+        copy.recovering = isRecovering;
+        return copy.build();
     }
 
     ReplicaMessage withGeneration(long value) {
-        return new ReplicaMessage(
-                kind,
-                epoch,
-                nonce,
-                promisedEpoch,
-                logEpoch,
-                logIndex,
-                granted,
-                recovering,
-                value,
-                generations,
-                sinceHeardMs,
-                membership,
-                body);
+        Builder copy = new Builder(this);
+        copy.generation = value;
+        return copy.build();
     }
 
     ReplicaMessage withGenerations(Map<String, Long> value) {
-        return new ReplicaMessage(
-                kind,
-                epoch,
-                nonce,
-                promisedEpoch,
-                logEpoch,
-                logIndex,
-                granted,
-                recovering,
-                generation,
-                new TreeMap<>(value),
-                sinceHeardMs,
-                membership,
-                body);
+        Builder copy = new Builder(this);
+        copy.generations = new TreeMap<>(value);
+        return copy.build();
     }
 
     ReplicaMessage withSinceHeardMs(Map<String, Long> value) {
-        return new ReplicaMessage(
-                kind,
-                epoch,
-                nonce,
-                promisedEpoch,
-                logEpoch,
-                logIndex,
-                granted,
-                recovering,
-                generation,
-                generations,
-                new TreeMap<>(value),
-                membership,
-                body);
+        Builder copy = new Builder(this);
+        copy.sinceHeardMs = new TreeMap<>(value);
+        return copy.build();
+    }
+
+    /** A copy of a message, of which single fields are changed before it is built. */
+    private static final class Builder {
+        private final Kind kind;
+        private final Epoch epoch;
+        private long nonce;
+        private Epoch promisedEpoch;
+        private Epoch logEpoch;
+        private long logIndex;
+        private boolean granted;
+        private boolean recovering;
+        private long generation;
+        private Map<String, Long> generations;
+        private Map<String, Long> sinceHeardMs;
+        private Membership membership;
+        private byte[] body;
+
+        Builder(ReplicaMessage from) {
+            kind = from.kind;
+            epoch = from.epoch;
+            nonce = from.nonce;
+            promisedEpoch = from.promisedEpoch;
+            logEpoch = from.logEpoch;
+            logIndex = from.logIndex;
+            granted = from.granted;
+            recovering = from.recovering;
+            generation = from.generation;
+            generations = from.generations;
+            sinceHeardMs = from.sinceHeardMs;
+            membership = from.membership;
+            body = from.body;
+        }
+
+        ReplicaMessage build() {
+            return new ReplicaMessage(
+                    kind,
+                    epoch,
+                    nonce,
+                    promisedEpoch,
+                    logEpoch,
+                    logIndex,
+                    granted,
+                    recovering,
+                    generation,
+                    generations,
+                    sinceHeardMs,
+                    membership,
+                    body);
+        }
     }
 }
--- a/src/main/java/quartzspan/replication/ReplicaStore.java
+++ b/src/main/java/quartzspan/replication/ReplicaStore.java
@@ -7,11 +7,11 @@
 import quartzspan.store.SlotStore;
 
 /**
- * Keeps a replica's records in a {@link SlotStore}: the latest vote, the latest snapshot of the control state and the steps
- * since. Blocks.
+ * Keeps a replica's records in a {@link SlotStore}: the latest voter record, the latest snapshot of the control state and the
+ * entries since. Blocks.
  */
 public final class ReplicaStore {
-    /** The log is short: a start reads it whole. */
+    /** The log is short: a start reads all of it. */
     private static final long MAX_LOG_BYTES = 1024 * 1024;
     /** A record larger than this goes into a slot at once. */
     private static final int MAX_APPENDED_BYTES = 256 * 1024;
--- a/src/main/java/quartzspan/replication/StateUpdate.java
+++ b/src/main/java/quartzspan/replication/StateUpdate.java
@@ -9,13 +9,13 @@
 import quartzspan.replication.ChangeHistory.Entry;
 
 /**
- * A control state to be kept, either whole or as the steps from another one. It is the record of a copy on disk and the body
- * of the messages that bring copies up to date.
+ * An update of a replica's log: a snapshot of the control state, or the entries that lead to it from another state. It is the
+ * record on disk and the body of messages between replicas.
  *
  * @param epoch with {@code index}: identifies the state that results
- * @param snapshot the whole state; null where there are steps
- * @param baseIndex with {@code baseEpoch}: identifies the state that the steps begin from
- * @param entries the steps, in order, up to {@code index}; empty where there is a snapshot
+ * @param snapshot the complete state; null where there are entries
+ * @param baseIndex with {@code baseEpoch}: identifies the state that the entries begin from
+ * @param entries the entries, in order, up to {@code index}; empty where there is a snapshot
  */
 public record StateUpdate(
         Epoch epoch, long index, byte[] snapshot, Epoch baseEpoch, long baseIndex, List<Entry> entries) {
@@ -25,12 +25,12 @@
     private static final byte CHANGE = 1;
     private static final int MIN_ENTRY_BYTES = 8 + 2 + 1;
 
-    /** A whole state. */
+    /** A complete state. */
     static StateUpdate ofSnapshot(Epoch epoch, long index, ControlState state) {
         return new StateUpdate(epoch, index, state.bytes(), Epoch.NONE, -1, List.of());
     }
 
-    /** The steps from another state; there is one at least. */
+    /** The entries after another state; there is one at least. */
     static StateUpdate ofEntries(Epoch baseEpoch, long baseIndex, List<Entry> entries) {
         Entry last = entries.get(entries.size() - 1);
         return new StateUpdate(last.epoch(), last.index(), null, baseEpoch, baseIndex, List.copyOf(entries));
--- a/src/main/java/quartzspan/replication/VoterState.java
+++ b/src/main/java/quartzspan/replication/VoterState.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 
 /**
- * What a replica has promised and which view it knows, in memory and on its disk.
+ * What a replica has promised and which membership it knows, in memory and on its disk.
  *
  * <p>A replica whose disk is lost begins a new <em>generation</em>. The others note it durably before they help it to recover,
  * and name the generations that they know in each vote and acceptance. A vote that was given before the loss is thereby known
@@ -19,7 +19,7 @@
     private static final int FIELDS = 5;
 
     /**
-     * One life of a disk.
+     * One incarnation of a disk.
      *
      * @param generation how often the disk was lost before
      * @param nonce drawn at random at the first start with an empty disk
@@ -55,17 +55,17 @@
         return promisedEpoch;
     }
 
-    /** The newest view known here. */
+    /** The newest membership known here. */
     Membership membership() {
         return membership;
     }
 
-    /** The highest promise that is on the disk: others are told of no other. */
+    /** The highest promise that is on the disk: other replicas learn of no other. */
     Epoch durablePromisedEpoch() {
         return durablePromisedEpoch;
     }
 
-    /** The newest view that is on the disk: others are told of no other. */
+    /** The newest membership that is on the disk: other replicas learn of no other. */
     Membership durableMembership() {
         return durableMembership;
     }
@@ -78,7 +78,7 @@
         return diskIncarnation.nonce();
     }
 
-    /** Whether the disk was lost, and with it what was promised. */
+    /** Whether the disk was lost, and what was promised has not been learnt again. */
     boolean isRecovering() {
         return recovering;
     }
@@ -96,7 +96,7 @@
         promisedEpoch = Epoch.max(promisedEpoch, epoch);
     }
 
-    /** Takes note of a view if it is newer than the one known. */
+    /** Learns a membership if it is newer than the one known. */
     void learn(Membership newer) {
         if (newer.supersedes(membership)) {
             membership = newer;
@@ -111,9 +111,9 @@
     }
 
     /**
-     * Notes that another replica's disk was lost; to be persisted before that replica is told anything.
+     * Notes that another replica's disk was lost; to be persisted before that replica is answered.
      *
-     * @return whether this life is the newest known of that disk
+     * @return whether this incarnation is the newest known of that disk
      */
     boolean recordIncarnation(String name, DiskIncarnation claimed) {
         DiskIncarnation known = peerIncarnations.get(name);
