--- a/src/test/java/quartzspan/replication/ReplicaGuardsTest.java
+++ b/src/test/java/quartzspan/replication/ReplicaGuardsTest.java
@@ -28,7 +28,7 @@
     private long now = 100_000;
 
     private Replica start(String self, boolean found) {
-        replica = new Replica(self, ALL, 1, found, List.copyOf(disk), 5, now, new Replica.Out() {
+        replica = new Replica(self, ALL, 1, found, List.copyOf(disk), 5, now, new Replica.Output() {
             @Override
             public void send(String to, ReplicaMessage message) {
                 sent.add(new Sent(to, message));
@@ -41,7 +41,7 @@
             }
 
             @Override
-            public void done(long requestId, FleetException why, ControlState state) {
+            public void completed(long requestId, FleetException why, ControlState state) {
                 answers.add(requestId + (why == null ? " yes" : " " + why.code()));
             }
 
@@ -82,7 +82,7 @@
     }
 
     private static ReplicaMessage snapshot(Epoch epoch, long index) {
-        return Replica.replicateMessage(StateUpdate.ofSnapshot(epoch, index, ControlState.EMPTY), 0);
+        return ReplicaMessage.replicate(StateUpdate.ofSnapshot(epoch, index, ControlState.EMPTY), 0);
     }
 
     private static ReplicaMessage recoveryReply(long promised, Membership view) {
@@ -241,7 +241,7 @@
         start(B, true);
         now += 5_000;
         ReplicaMessage forAnother =
-                Replica.replicateMessage(StateUpdate.ofSnapshot(epoch(3, A), 9, ControlState.EMPTY), 1);
+                ReplicaMessage.replicate(StateUpdate.ofSnapshot(epoch(3, A), 9, ControlState.EMPTY), 1);
         replica.onMessage(now, A, forAnother);
         sync();
         assertFalse(last(Kind.REPLICATE_REPLY).granted());
@@ -254,11 +254,11 @@
         now += 5_000;
         Epoch epoch = epoch(3, A);
         ChangeHistory.Entry step = new ChangeHistory.Entry(8, epoch, null);
-        replica.onMessage(now, A, Replica.replicateMessage(StateUpdate.ofEntries(epoch, 7, List.of(step)), 0));
+        replica.onMessage(now, A, ReplicaMessage.replicate(StateUpdate.ofEntries(epoch, 7, List.of(step)), 0));
         sync();
         assertFalse(last(Kind.REPLICATE_REPLY).granted());
         ChangeHistory.Entry next = new ChangeHistory.Entry(1, epoch, null);
-        replica.onMessage(now, A, Replica.replicateMessage(StateUpdate.ofEntries(Epoch.FOUNDING, 0, List.of(next)), 0));
+        replica.onMessage(now, A, ReplicaMessage.replicate(StateUpdate.ofEntries(Epoch.FOUNDING, 0, List.of(next)), 0));
         sync();
         assertTrue(last(Kind.REPLICATE_REPLY).granted());
         assertEquals(1, replica.logIndex());
@@ -296,7 +296,7 @@
         assertEquals(null, last(Kind.REPLICATE), "its own copy is from before that view");
         replica.onMessage(now, B, vote(epoch, view(newer, B, A), newer, 4));
         sync();
-        assertEquals("CANDIDATE", replica.role());
+        assertEquals(ReplicaRole.CANDIDATE, replica.role());
         assertTrue(sent.stream().anyMatch(s -> s.message().kind() == Kind.FETCH && s.to().equals(B)));
     }
 
@@ -401,7 +401,7 @@
                         .withMembership(without));
         sync();
         assertEquals(null, last(Kind.VOTE));
-        assertEquals("STANDBY", replica.role());
+        assertEquals(ReplicaRole.STANDBY, replica.role());
     }
 
     /** A vote that was given before its disk was lost does not count beside one that knows of the loss. */
@@ -448,10 +448,10 @@
         Epoch epoch = last(Kind.VOTE).epoch();
         replica.onMessage(now, B, vote(epoch, replica.membership(), Epoch.FOUNDING, 0));
         sync();
-        assertEquals("CANDIDATE", replica.role());
+        assertEquals(ReplicaRole.CANDIDATE, replica.role());
         Epoch between = new Epoch(epoch.number(), "10.0.0.0:7", 1);
         replica.onMessage(now, C, vote(epoch, view(between, C, B), between, 5));
-        assertEquals("WITNESS", replica.role());
+        assertEquals(ReplicaRole.WITNESS, replica.role());
     }
 
     /** Every step of a candidacy waits for whom it must. */
@@ -515,7 +515,7 @@
     /** Found by the local run: with one voter its own word is a majority, and it deposed itself for want of others. */
     @Test
     void whereThereIsOneVoterItLeadsForGood() {
-        replica = new Replica(A, List.of(A), 0, true, List.of(), 5, now, new Replica.Out() {
+        replica = new Replica(A, List.of(A), 0, true, List.of(), 5, now, new Replica.Output() {
             @Override
             public void send(String to, ReplicaMessage message) {
                 throw new AssertionError("to nobody");
@@ -527,7 +527,7 @@
             }
 
             @Override
-            public void done(long requestId, FleetException why, ControlState state) {}
+            public void completed(long requestId, FleetException why, ControlState state) {}
 
             @Override
             public void committed(long index, ControlState state, ChangeHistory history) {}
--- a/src/test/java/quartzspan/replication/SimulatedCluster.java
+++ b/src/test/java/quartzspan/replication/SimulatedCluster.java
@@ -19,7 +19,7 @@
     private record Event(long at, long order, Runnable run) {}
 
     /** One machine; the disk outlives the replica, unless it is lost. */
-    final class Machine implements Replica.Out {
+    final class Machine implements Replica.Output {
         final String name;
         List<byte[]> disk = new ArrayList<>();
         Replica replica;
@@ -103,7 +103,7 @@
         }
 
         @Override
-        public void done(long requestId, FleetException why, ControlState state) {
+        public void completed(long requestId, FleetException why, ControlState state) {
             Asked a = asked.remove(requestId);
             if (a != null && why == null) {
                 a.granted(state);
--- a/src/test/java/quartzspan/replication/StoredStateCompatibilityTest.java
+++ b/src/test/java/quartzspan/replication/StoredStateCompatibilityTest.java
@@ -131,7 +131,7 @@
         }
     }
 
-    private static final class IgnoredOutput implements Replica.Out {
+    private static final class IgnoredOutput implements Replica.Output {
         @Override
         public void send(String to, ReplicaMessage message) {}
 
@@ -139,7 +139,7 @@
         public void persist(long number, byte[] record) {}
 
         @Override
-        public void done(long requestId, FleetException refusal, ControlState state) {}
+        public void completed(long requestId, FleetException refusal, ControlState state) {}
 
         @Override
         public void committed(long index, ControlState state, ChangeHistory history) {}
--- a/src/test/java/quartzspan/replication/simulation/ReplicaAdapter.java
+++ b/src/test/java/quartzspan/replication/simulation/ReplicaAdapter.java
@@ -51,7 +51,7 @@
             Host host) {
         store = new ReplicaStore(new SlotStore(disk));
         List<byte[]> kept = store.open();
-        replica = new Replica(self, seeds, losses, found, kept, seed, now, new Replica.Out() {
+        replica = new Replica(self, seeds, losses, found, kept, seed, now, new Replica.Output() {
             @Override
             public void send(String to, ReplicaMessage message) {
                 host.send(to, message);
@@ -63,7 +63,7 @@
             }
 
             @Override
-            public void done(long requestId, FleetException why, ControlState state) {
+            public void completed(long requestId, FleetException why, ControlState state) {
                 host.answered(requestId, why, state);
             }
 
@@ -127,7 +127,7 @@
     }
 
     String role() {
-        return replica.role();
+        return replica.role().statusName();
     }
 
     boolean isRecovering() {
@@ -157,7 +157,7 @@
 
     /** Whether a change of voters is under way. */
     boolean changingVoters() {
-        return replica.membership().joint();
+        return replica.membership().isJoint();
     }
 
     List<String> dataReplicas() {
