--- a/src/main/java/quartzspan/cli/Main.java
+++ b/src/main/java/quartzspan/cli/Main.java
@@ -18,6 +18,7 @@
 import org.apache.commons.cli.ParseException;
 import quartzspan.common.FleetException;
 import quartzspan.configuration.Configuration;
+import quartzspan.configuration.JsonFields;
 
 /** The operators' command line: {@code quartzspanctl VERB [FILE] --core IP:PORT}. */
 public final class Main {
@@ -124,7 +125,7 @@
         if (line.hasOption("json") || answer.statusCode() != 200) {
             return said(answer);
         }
-        JsonObject o = Configuration.json(answer.body());
+        JsonObject o = JsonFields.parse(answer.body());
         for (String name : o.keySet()) {
             if (o.get(name) instanceof jakarta.json.JsonArray list) {
                 out.println(name + ":");
--- /dev/null
+++ b/src/main/java/quartzspan/configuration/ConfigurationReader.java
@@ -0,0 +1,127 @@
+package quartzspan.configuration;
+
+import jakarta.json.JsonObject;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Locale;
+import quartzspan.configuration.Configuration.Limits;
+import quartzspan.configuration.Configuration.Route;
+import quartzspan.configuration.Configuration.RouteType;
+import quartzspan.configuration.Configuration.Service;
+import quartzspan.configuration.Configuration.Share;
+import quartzspan.configuration.Configuration.Tenant;
+
+/** Reads and checks the single items of a configuration document. */
+final class ConfigurationReader {
+    private static final int DEFAULT_MAX_HEADER_BYTES = 16_384;
+    private static final int DEFAULT_MAX_BODY_BYTES = 4_194_304;
+    private static final int DEFAULT_HEADER_TIMEOUT_MS = 3_000;
+    private static final int DEFAULT_IDLE_TIMEOUT_MS = 15_000;
+    private static final int DEFAULT_MAX_CONNECTIONS = 64;
+    private static final int DEFAULT_CAPACITY = 8;
+    private static final int DEFAULT_EVENT_CALLS = 4;
+    private static final String DEFAULT_HEALTH_PATH = "/health";
+
+    private ConfigurationReader() {}
+
+    static Limits limits(JsonObject document) {
+        JsonObject in = JsonFields.objectOrEmpty(document, "limits");
+        return new Limits(
+                JsonFields.positive(in, "max_header_bytes", DEFAULT_MAX_HEADER_BYTES),
+                JsonFields.positive(in, "max_body_bytes", DEFAULT_MAX_BODY_BYTES),
+                JsonFields.positive(in, "header_timeout_ms", DEFAULT_HEADER_TIMEOUT_MS),
+                JsonFields.positive(in, "idle_timeout_ms", DEFAULT_IDLE_TIMEOUT_MS));
+    }
+
+    static Route route(JsonObject in) {
+        String name = JsonFields.name(in, "routes");
+        String context = "route " + name + ": ";
+        List<Share> shares = shares(in, context);
+        String prefix = JsonFields.text(in, "path_prefix", context);
+        if (!prefix.startsWith("/") || !prefix.endsWith("/")) {
+            throw JsonFields.invalid(context + "path_prefix must begin and end with a slash", "correct the prefix");
+        }
+        long timeoutMs = JsonFields.wholeNumber(in, "timeout_ms", 0);
+        if (timeoutMs <= 0) {
+            throw JsonFields.invalid(context + "timeout_ms must be above 0", "give the timeout in milliseconds");
+        }
+        RouteType type = routeType(in, context);
+        return new Route(
+                name,
+                JsonFields.text(in, "hostname", context).toLowerCase(Locale.ROOT),
+                prefix,
+                type,
+                timeoutMs,
+                Math.max(1, JsonFields.wholeNumber(in, "target_latency_ms", timeoutMs)),
+                (int) JsonFields.wholeNumber(in, "priority", 0),
+                List.copyOf(shares),
+                (int) Math.max(1, JsonFields.wholeNumber(in, "max_attempts", 1)),
+                JsonFields.flag(in, "public"),
+                JsonFields.flag(in, "session_affinity"),
+                JsonFields.flag(in, "resumable"),
+                JsonFields.wholeNumber(in, "gap_aim_ms", 0));
+    }
+
+    private static List<Share> shares(JsonObject route, String context) {
+        List<Share> shares = new ArrayList<>();
+        if (route.containsKey("traffic_split")) {
+            for (JsonObject share : JsonFields.objects(route, "traffic_split")) {
+                shares.add(share(share, context));
+            }
+        } else {
+            shares.add(new Share(JsonFields.text(route, "service", context), 1));
+        }
+        if (shares.stream().mapToLong(Share::weight).sum() <= 0) {
+            throw JsonFields.invalid(context + "its weights add up to 0", "give one of them a weight above 0");
+        }
+        return shares;
+    }
+
+    private static Share share(JsonObject in, String context) {
+        long weight = JsonFields.wholeNumber(in, "weight", -1);
+        if (weight < 0) {
+            throw JsonFields.invalid(context + "a weight is missing or negative", "give whole weights from 0 up");
+        }
+        return new Share(JsonFields.text(in, "service", context), weight);
+    }
+
+    private static RouteType routeType(JsonObject route, String context) {
+        String name = JsonFields.text(route, "route_type", context).toUpperCase(Locale.ROOT);
+        try {
+            return RouteType.valueOf(name);
+        } catch (IllegalArgumentException e) {
+            throw JsonFields.invalid(context + "there is no such route_type", "use read_only, mutating or streaming");
+        }
+    }
+
+    static Service service(JsonObject in) {
+        String name = JsonFields.name(in, "services");
+        JsonObject engine = JsonFields.objectOrEmpty(in, "engine");
+        List<String> models = new ArrayList<>();
+        JsonFields.objects(engine, "models").forEach(model -> models.add(JsonFields.name(model, "models")));
+        boolean isCacheStore = in.containsKey("cache_store_address");
+        JsonObject cache = isCacheStore ? in : engine;
+        return new Service(
+                name,
+                in.getString("health_path", DEFAULT_HEALTH_PATH),
+                JsonFields.positive(in, "max_connections", DEFAULT_MAX_CONNECTIONS),
+                JsonFields.positive(engine, "capacity", DEFAULT_CAPACITY),
+                List.copyOf(models),
+                JsonFields.positive(cache, "max_concurrent", DEFAULT_EVENT_CALLS),
+                JsonFields.wholeNumber(cache, "cache_tokens", 0),
+                JsonFields.wholeNumber(engine, "cache_bytes", 0),
+                JsonFields.number(cache, "bandwidth_mbps"),
+                in.getString("cache_store_address", null),
+                in.getString("zone", null));
+    }
+
+    static Tenant tenant(JsonObject in) {
+        String name = JsonFields.name(in, "tenants");
+        List<String> keys = JsonFields.strings(in, "api_keys", "tenant " + name + ": ");
+        return new Tenant(
+                name,
+                List.copyOf(keys),
+                (int) JsonFields.wholeNumber(in, "priority", 0),
+                JsonFields.flag(in, "isolated"));
+    }
+}
--- /dev/null
+++ b/src/main/java/quartzspan/configuration/JsonFields.java
@@ -0,0 +1,153 @@
+package quartzspan.configuration;
+
+import jakarta.json.JsonArray;
+import jakarta.json.JsonException;
+import jakarta.json.JsonNumber;
+import jakarta.json.JsonObject;
+import jakarta.json.JsonReader;
+import jakarta.json.JsonReaderFactory;
+import jakarta.json.JsonString;
+import jakarta.json.JsonValue;
+import jakarta.json.spi.JsonProvider;
+import java.io.ByteArrayInputStream;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import quartzspan.common.FleetException;
+
+/**
+ * Reads fields of JSON objects by their type. A field of another type is refused with {@link FleetException.Code#CONFIG_INVALID}
+ * by its name.
+ */
+public final class JsonFields {
+    /** Depth and size are bounded by the reader and by the size of a request. */
+    static final JsonProvider JSON = JsonProvider.provider();
+
+    private static final JsonReaderFactory READERS = JSON.createReaderFactory(Map.of());
+    /** Whole numbers up to this are exact as floating-point numbers. */
+    private static final double MAX_WHOLE_NUMBER = 1e15;
+
+    private JsonFields() {}
+
+    /**
+     * Parses a JSON object.
+     *
+     * @throws FleetException with {@code CONFIG_UNREADABLE} if the bytes are not exactly one object
+     */
+    public static JsonObject parse(byte[] bytes) {
+        try (JsonReader in = READERS.createReader(new ByteArrayInputStream(bytes), StandardCharsets.UTF_8)) {
+            return in.readObject();
+        } catch (JsonException | IllegalStateException | ClassCastException e) {
+            throw new FleetException(
+                    FleetException.Code.CONFIG_UNREADABLE,
+                    "can't be read as a JSON object: " + e.getMessage(),
+                    "send the complete document again");
+        }
+    }
+
+    /** A JSON value as UTF-8 text. */
+    public static byte[] toBytes(JsonValue value) {
+        return value.toString().getBytes(StandardCharsets.UTF_8);
+    }
+
+    /** A whole number, or the default if the field is missing. */
+    public static long wholeNumber(JsonObject in, String field, long defaultValue) {
+        JsonValue value = in.get(field);
+        if (value == null) {
+            return defaultValue;
+        }
+        if (value instanceof JsonNumber number
+                && number.doubleValue() == Math.rint(number.doubleValue())
+                && Math.abs(number.doubleValue()) < MAX_WHOLE_NUMBER) {
+            return number.longValue();
+        }
+        throw invalid(field + " must be a whole number", "correct it");
+    }
+
+    /** A whole number above 0, or the default if the field is missing. */
+    static int positive(JsonObject in, String field, int defaultValue) {
+        long number = wholeNumber(in, field, defaultValue);
+        if (number < 1 || number > Integer.MAX_VALUE) {
+            throw invalid(field + " must be above 0", "correct it");
+        }
+        return (int) number;
+    }
+
+    /** Any number; 0 if the field is missing or of another type. */
+    static double number(JsonObject in, String field) {
+        return in.get(field) instanceof JsonNumber number ? number.doubleValue() : 0;
+    }
+
+    /** The objects of a list; none if the field is missing. */
+    static List<JsonObject> objects(JsonObject in, String field) {
+        List<JsonObject> all = new ArrayList<>();
+        array(in, field).forEach(value -> all.add(object(value, field)));
+        return all;
+    }
+
+    /** The strings of a list; none if the field is missing. */
+    static List<String> strings(JsonObject in, String field, String context) {
+        List<String> all = new ArrayList<>();
+        for (JsonValue value : array(in, field)) {
+            if (!(value instanceof JsonString string)) {
+                throw invalid(context + field + " must hold strings", "send strings there");
+            }
+            all.add(string.getString());
+        }
+        return all;
+    }
+
+    static JsonArray array(JsonObject in, String field) {
+        JsonValue value = in.get(field);
+        if (value == null) {
+            return JsonValue.EMPTY_JSON_ARRAY;
+        }
+        if (value instanceof JsonArray array) {
+            return array;
+        }
+        throw invalid(field + " must be a list", "send a list there");
+    }
+
+    /** An object; an empty one if the field is missing. */
+    static JsonObject objectOrEmpty(JsonObject in, String field) {
+        return in.containsKey(field) ? object(in.get(field), field) : JsonValue.EMPTY_JSON_OBJECT;
+    }
+
+    private static JsonObject object(JsonValue value, String field) {
+        if (value instanceof JsonObject object) {
+            return object;
+        }
+        throw invalid(field + " must hold objects", "send objects there");
+    }
+
+    /** The name of an item of a list. */
+    static String name(JsonObject item, String list) {
+        return text(item, "name", list + ": ");
+    }
+
+    /**
+     * A string that is not empty.
+     *
+     * @param context where the field stands, as the beginning of the refusal's reason
+     */
+    static String text(JsonObject in, String field, String context) {
+        if (in.get(field) instanceof JsonString string && !string.getString().isEmpty()) {
+            return string.getString();
+        }
+        throw invalid(context + field + " is missing", "give it as a string");
+    }
+
+    /** True or false; false if the field is missing. */
+    static boolean flag(JsonObject in, String field) {
+        JsonValue value = in.getOrDefault(field, JsonValue.FALSE);
+        if (value != JsonValue.TRUE && value != JsonValue.FALSE) {
+            throw invalid(field + " must be true or false", "correct it");
+        }
+        return value == JsonValue.TRUE;
+    }
+
+    static FleetException invalid(String reason, String remedy) {
+        return new FleetException(FleetException.Code.CONFIG_INVALID, reason, remedy);
+    }
+}
--- a/src/main/java/quartzspan/controlplane/HeartbeatHandler.java
+++ b/src/main/java/quartzspan/controlplane/HeartbeatHandler.java
@@ -3,7 +3,7 @@
 import jakarta.json.JsonArray;
 import jakarta.json.JsonObject;
 import quartzspan.common.FleetException;
-import quartzspan.configuration.Configuration;
+import quartzspan.configuration.JsonFields;
 import quartzspan.registry.Gossip;
 import quartzspan.registry.HeartbeatTracker;
 import quartzspan.registry.Registry;
@@ -36,12 +36,12 @@
      * @throws FleetException if the server has to call another machine
      */
     RegistryEntry heartbeat(long now, String id, byte[] body) {
-        JsonObject json = Configuration.json(body);
+        JsonObject json = JsonFields.parse(body);
         boolean draining = json.getString("state", "ready").equals("draining");
         RegistryEntry update = heartbeats.onServerHeartbeat(
                 now,
                 id,
-                Configuration.whole(json, "call_count", 0),
+                JsonFields.wholeNumber(json, "call_count", 0),
                 draining ? RegistryEntry.State.DRAINING : RegistryEntry.State.READY,
                 server(id, json));
         if (draining) {
@@ -71,7 +71,7 @@
         long weights = 0;
         if (json.get("models") instanceof JsonArray models && !models.isEmpty()) {
             model = models.getJsonObject(0).getString("name", "");
-            weights = Configuration.whole(models.getJsonObject(0), "version", 0);
+            weights = JsonFields.wholeNumber(models.getJsonObject(0), "version", 0);
         }
         String text = Server.text(
                 json.getString("service", ""),
--- a/src/main/java/quartzspan/controlplane/PrefixCacheIndexer.java
+++ b/src/main/java/quartzspan/controlplane/PrefixCacheIndexer.java
@@ -12,6 +12,7 @@
 import java.util.function.LongSupplier;
 import quartzspan.common.FleetException;
 import quartzspan.configuration.Configuration;
+import quartzspan.configuration.JsonFields;
 import quartzspan.prefixcache.KvEventReader;
 import quartzspan.prefixcache.PrefixCacheIndex;
 import quartzspan.prefixcache.PrefixCacheUpdate;
@@ -131,8 +132,8 @@
                     Map.of("Wait-Ms", WAIT_MS),
                     answer -> follower.events(
                             clockMs.getAsLong(),
-                            Configuration.whole(answer, "epoch", 0),
-                            Configuration.whole(answer, "next_token", 0),
+                            JsonFields.wholeNumber(answer, "epoch", 0),
+                            JsonFields.wholeNumber(answer, "next_token", 0),
                             answer.getBoolean("lost", false),
                             blocks(answer.getJsonArray("events"), 2)));
             case LIST -> call(
@@ -142,8 +143,8 @@
                     Map.of(),
                     answer -> List.of(follower.list(
                             clockMs.getAsLong(),
-                            Configuration.whole(answer, "epoch", 0),
-                            Configuration.whole(answer, "next_token", 0),
+                            JsonFields.wholeNumber(answer, "epoch", 0),
+                            JsonFields.wholeNumber(answer, "next_token", 0),
                             blocks(answer.getJsonArray("held"), 0))));
             default -> {}
         }
@@ -160,7 +161,7 @@
             return follower.failed(clockMs.getAsLong());
         }
         try {
-            return parser.read(Configuration.json(body));
+            return parser.read(JsonFields.parse(body));
         } catch (FleetException | ClassCastException | NullPointerException | IndexOutOfBoundsException unreadable) {
             return follower.failed(clockMs.getAsLong());
         }
@@ -202,10 +203,7 @@
             return;
         }
         if (prefixCacheIndex.take(clockMs.getAsLong(), update)) {
-            transport.send(
-                    from,
-                    new PrefixCacheUpdate(
-                            PrefixCacheUpdate.Kind.SNAPSHOT_REQUEST, update.server(), 0, 0, new long[0], new int[0]));
+            transport.send(from, PrefixCacheUpdate.snapshotRequest(update.server()));
         } else if (fromCore) {
             List<String> cores = gossip.cores();
             gossip.subscribers().stream().filter(a -> !cores.contains(a)).forEach(to -> send(to, update));
--- a/src/main/java/quartzspan/controlplane/RolloutActions.java
+++ b/src/main/java/quartzspan/controlplane/RolloutActions.java
@@ -9,7 +9,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import quartzspan.common.Settings;
-import quartzspan.configuration.Configuration;
+import quartzspan.configuration.JsonFields;
 import quartzspan.registry.Gossip;
 import quartzspan.registry.HeartbeatTracker;
 import quartzspan.registry.Registry;
@@ -114,7 +114,7 @@
     public void report(Server server) {
         servers.get(server, "/quartzspan/report", Map.of(), (status, body) -> {
             if (status == OK) {
-                onReport(server, Configuration.json(body));
+                onReport(server, JsonFields.parse(body));
             }
         });
     }
@@ -122,7 +122,7 @@
     private void onReport(Server server, JsonObject report) {
         boolean busy = report.getBoolean("busy", false);
         if (!busy && report.get("models") instanceof JsonArray models && !models.isEmpty()) {
-            long version = Configuration.whole(models.getJsonObject(0), "version", 0);
+            long version = JsonFields.wholeNumber(models.getJsonObject(0), "version", 0);
             broadcast(heartbeats.onWeightsReported(clockMs.getAsLong(), server.id(), version));
         }
     }
--- /dev/null
+++ b/src/main/java/quartzspan/frontend/EndpointDirectory.java
@@ -0,0 +1,167 @@
+package quartzspan.frontend;
+
+import java.net.InetSocketAddress;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.LongSupplier;
+import quartzspan.configuration.Configuration;
+import quartzspan.configuration.Configuration.Service;
+import quartzspan.http.ConnectionPool;
+import quartzspan.http.HttpFraming;
+import quartzspan.loadbalancing.PrefixAwarePlacement;
+import quartzspan.prefixcache.PrefixCacheIndex;
+import quartzspan.registry.Registry;
+import quartzspan.registry.RegistryEntry;
+import quartzspan.registry.Server;
+
+/**
+ * The model servers as this proxy reaches them: pooled connections, addresses and weights, kept up to date with the registry.
+ * Owned by the event loop.
+ */
+final class EndpointDirectory implements PrefixAwarePlacement.Connections {
+    private static final int DEFAULT_MAX_CONNECTIONS = 64;
+    private static final int MIN_CONNECTIONS = 2;
+
+    private final Registry registry;
+    private final ConnectionPool connectionPool;
+    private final PrefixCacheIndex prefixCacheIndex;
+    private final PrefixAwarePlacement placement;
+    private final LongSupplier clockUs;
+    private final Map<String, ConnectionPool.Endpoint> endpoints = new HashMap<>();
+    private final Map<String, String> addresses = new HashMap<>();
+    /** Version of the weights of each server, as last reported or seen. */
+    private final Map<String, Long> weights = new HashMap<>();
+    /** The services that the bounds of connections were last taken from. */
+    private Map<String, Service> services = Map.of();
+
+    EndpointDirectory(
+            Registry registry, ConnectionPool connectionPool, PrefixCacheIndex prefixCacheIndex, LongSupplier clockUs) {
+        this.registry = registry;
+        this.connectionPool = connectionPool;
+        this.prefixCacheIndex = prefixCacheIndex;
+        this.clockUs = clockUs;
+        this.placement = new PrefixAwarePlacement(System.nanoTime(), this);
+    }
+
+    PrefixAwarePlacement placement() {
+        return placement;
+    }
+
+    /** The pooled endpoint of a server; null if it is gone. */
+    ConnectionPool.Endpoint endpoint(String server) {
+        return endpoints.get(server);
+    }
+
+    /** The address of a server as text; null if it is gone. */
+    String address(String server) {
+        return addresses.get(server);
+    }
+
+    /** Version of a server's weights; 0 if unknown. */
+    long weights(String server) {
+        return weights.getOrDefault(server, 0L);
+    }
+
+    /** A server rejected a request for its version: it has other weights by now, most likely those that were named last. */
+    void onVersionMismatch(String server, String model) {
+        long named = registry.state().weights().getOrDefault(model, 0L);
+        weights.put(server, weights(server) == 0 ? 0L : Math.max(weights(server), named));
+    }
+
+    /** The addresses of the stores for cached prompts that answer. */
+    List<String> cacheStores() {
+        return configuration().services().values().stream()
+                .map(Service::store)
+                .filter(store -> store != null && prefixCacheIndex.knows(PrefixCacheIndex.store(store)))
+                .toList();
+    }
+
+    /** Number of proxies that share the servers, this one included. */
+    int proxies() {
+        return Math.max(1, registry.ready(RegistryEntry.Subject.PROXY).size());
+    }
+
+    private Configuration configuration() {
+        return registry.state().configuration();
+    }
+
+    // ---- updates -------------------------------------------------------------------------------------
+
+    /** The registry was updated. */
+    void onUpdate(Registry.Update update) {
+        update.entries().forEach(this::onEntry);
+        if (update.state() && !configuration().services().equals(services)) {
+            // The bounds of connections come from the configuration.
+            services = configuration().services();
+            registry.servers().forEach(this::onServer);
+        }
+    }
+
+    private void onEntry(RegistryEntry entry) {
+        Server server = Server.of(entry);
+        if (server != null) {
+            onServer(server);
+        }
+    }
+
+    private void onServer(Server server) {
+        if (server.state() == RegistryEntry.State.GONE || server.state() == RegistryEntry.State.LOST) {
+            remove(server.id());
+        } else {
+            update(server);
+        }
+    }
+
+    private void remove(String id) {
+        ConnectionPool.Endpoint endpoint = endpoints.get(id);
+        if (endpoint == null) {
+            return;
+        }
+        placement.gone(id);
+        endpoint.listed(null, false, 0);
+        connectionPool.closeIdle(endpoint);
+        endpoints.remove(id);
+        addresses.remove(id);
+        weights.remove(id);
+        prefixCacheIndex.forget(id);
+    }
+
+    private void update(Server server) {
+        boolean ready = server.state() == RegistryEntry.State.READY;
+        ConnectionPool.Endpoint endpoint = endpoints.computeIfAbsent(server.id(), ConnectionPool.Endpoint::new);
+        boolean moved = !server.address().equals(addresses.put(server.id(), server.address()));
+        if (moved || !ready) {
+            connectionPool.closeIdle(endpoint);
+        }
+        endpoint.listed(socketAddress(server.address()), ready, maxConnections(server));
+        placement.listed(clockUs.getAsLong(), server.id(), server.service(), ready, server.loading() > 0);
+        weights.put(server.id(), server.weights());
+    }
+
+    private static InetSocketAddress socketAddress(String address) {
+        int colon = address.lastIndexOf(':');
+        int port = (int) HttpFraming.number(address.substring(colon + 1));
+        return new InetSocketAddress(address.substring(0, colon), port);
+    }
+
+    /** All proxies together keep within the bound that the service states for a server. */
+    private int maxConnections(Server server) {
+        Service service = configuration().services().get(server.service());
+        return service == null
+                ? DEFAULT_MAX_CONNECTIONS
+                : Math.max(MIN_CONNECTIONS, service.maxConnections() / proxies());
+    }
+
+    // ---- connections ---------------------------------------------------------------------------------
+
+    @Override
+    public boolean connected(String server) {
+        return endpoints.get(server).connected();
+    }
+
+    @Override
+    public boolean reachable(String server) {
+        return endpoints.get(server).reachable();
+    }
+}
--- a/src/main/java/quartzspan/frontend/FrontendProxy.java
+++ b/src/main/java/quartzspan/frontend/FrontendProxy.java
@@ -5,17 +5,11 @@
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.net.InetSocketAddress;
-import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Locale;
-import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.concurrent.CountDownLatch;
@@ -26,22 +20,15 @@
 import quartzspan.common.Settings;
 import quartzspan.configuration.Configuration;
 import quartzspan.configuration.Configuration.Route;
-import quartzspan.configuration.Configuration.Service;
-import quartzspan.configuration.Configuration.Share;
 import quartzspan.configuration.Configuration.Tenant;
 import quartzspan.http.Clock;
 import quartzspan.http.ConnectionPool;
-import quartzspan.http.HttpFraming;
 import quartzspan.http.HttpServer;
-import quartzspan.http.OutgoingRequest;
-import quartzspan.loadbalancing.PrefixAwarePlacement;
 import quartzspan.prefixcache.PrefixCacheIndex;
 import quartzspan.prefixcache.PrefixCacheUpdate;
 import quartzspan.registry.Gossip;
 import quartzspan.registry.GossipMessage;
 import quartzspan.registry.Registry;
-import quartzspan.registry.RegistryEntry;
-import quartzspan.registry.Server;
 import quartzspan.transport.MessageCodec.Hello;
 import quartzspan.transport.TcpTransport;
 
@@ -52,17 +39,30 @@
 public final class FrontendProxy implements HttpServer.RequestHandler {
     private static final Logger LOG = LoggerFactory.getLogger(FrontendProxy.class);
     private static final int TICK_MS = 100;
-    private static final int OWN_DESCRIPTORS = 300;
-    private static final int DIAL_US = 400_000;
-    /** Idle connections to servers are closed before the servers do so. */
-    private static final long IDLE_US = 8_000_000;
-    /** Clients are told to come back after this part of the objective. */
-    private static final double COME_BACK = 0.3;
-    /** A key's removal must be known this long before it counts: between our look and the server's start lies some time. */
-    private static final long FRESH_MARGIN_MS = 700;
-    /** Headers that only the system sets. */
-    private static final List<String> OURS = List.of(
-            "X-Expected-Instance", "X-Tenant", "Cache-Salt", "Kv-Fetch", "Kv-Save", "Expect-Version", "Priority");
+    /** Descriptors that are kept for files and for connections of the system's own processes. */
+    private static final int RESERVED_DESCRIPTORS = 300;
+
+    private static final int MIN_CONNECTIONS = 64;
+    private static final int CONNECT_TIMEOUT_US = 400_000;
+    /** Idle connections to servers are closed before the servers close them. */
+    private static final long IDLE_TIMEOUT_US = 8_000_000;
+
+    private static final int IDLE_PEER_CONNECTION_MS = 10_000;
+    private static final long SHUTDOWN_TIMEOUT_MS = 200;
+    /** Clients are advised to retry after this fraction of the latency target, and a random part of it. */
+    private static final double RETRY_AFTER_FRACTION = 0.3;
+
+    private static final double RETRY_AFTER_MIN_JITTER = 0.8;
+    private static final double RETRY_AFTER_JITTER_RANGE = 0.4;
+    /** The advice while no current configuration is known. */
+    private static final long NOT_READY_RETRY_AFTER_US = 300_000;
+    /** The removal of a key has to be known this long before it counts: between the check and the server's start lies some time. */
+    private static final long FRESHNESS_MARGIN_MS = 700;
+    /** What a head may be longer, and a connection be idle longer, than clients are promised. */
+    private static final int HEADER_MARGIN_BYTES = 1024;
+
+    private static final long IDLE_MARGIN_MS = 5_000;
+    private static final int MIN_REQUEST_TIMEOUT_MS = 10_000;
 
     private final Settings settings;
     private final Clock clock = new Clock();
@@ -71,21 +71,14 @@
     private final Registry registry = new Registry();
     private final Gossip gossip;
     private final TcpTransport transport;
-    private final HttpServer frontend;
-    private final HttpServer readiness;
-    private final ConnectionPool upstream;
-    private final PrefixAwarePlacement placement;
-    private final SplittableRandom random = new SplittableRandom(System.nanoTime());
-    private final Map<String, ConnectionPool.Endpoint> hosts = new HashMap<>();
-    private final Map<String, String> addresses = new HashMap<>();
-    /** Version of the weights of each server, as last heard or seen. */
-    private final Map<String, Long> weights = new HashMap<>();
-
+    private final HttpServer httpServer;
+    private final HttpServer readinessServer;
+    private final ConnectionPool connectionPool;
     private final PrefixCacheIndex prefixCacheIndex = new PrefixCacheIndex();
-    private final Set<ProxiedRequest> open = new HashSet<>();
-    /** The services by which servers' connections are bounded at present. */
-    private Map<String, Service> services = Map.of();
-
+    private final EndpointDirectory endpoints;
+    private final SplittableRandom random = new SplittableRandom(System.nanoTime());
+    private final RequestClassifier classifier = new RequestClassifier(random);
+    private final Set<ProxiedRequest> inFlight = new HashSet<>();
     private final CountDownLatch ended = new CountDownLatch(1);
     private final ShutdownSchedule shutdown;
     private boolean ready;
@@ -94,46 +87,16 @@
         this.settings = settings;
         this.group = group;
         this.loop = loop;
-        this.shutdown = new ShutdownSchedule(gracePeriodMs(settings), ms());
+        this.shutdown = new ShutdownSchedule(gracePeriodMs(settings), nowMs());
         String self = text(settings.internal());
-        this.upstream = new ConnectionPool(
-                loop, DIAL_US, IDLE_US, Math.max(64, (settings.descriptors() - OWN_DESCRIPTORS) / 3));
+        int maxServerConnections = Math.max(MIN_CONNECTIONS, (settings.descriptors() - RESERVED_DESCRIPTORS) / 3);
+        this.connectionPool = new ConnectionPool(loop, CONNECT_TIMEOUT_US, IDLE_TIMEOUT_US, maxServerConnections);
+        this.endpoints = new EndpointDirectory(registry, connectionPool, prefixCacheIndex, clock::now);
         this.transport = new TcpTransport(loop, new Hello(false, self, "", settings.zone()), this::received);
         this.gossip = new Gossip(self, false, seeds, registry, transport::send, Gossip.firstNonce(System.nanoTime()));
         gossip.preferZone(settings.zone());
-        this.frontend = new HttpServer(this, loop);
-        this.placement = new PrefixAwarePlacement(System.nanoTime(), new PrefixAwarePlacement.Connections() {
-            @Override
-            public boolean connected(String server) {
-                return hosts.get(server).connected();
-            }
-
-            @Override
-            public boolean reachable(String server) {
-                return hosts.get(server).reachable();
-            }
-        });
-        this.readiness = new HttpServer(
-                new HttpServer.RequestHandler() {
-                    @Override
-                    public long now() {
-                        return clock.now();
-                    }
-
-                    @Override
-                    public void take(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
-                        client.answer(
-                                !in.uri().split("\\?", 2)[0].equals("/quartzspan/readiness")
-                                        ? HttpResponseStatus.NOT_FOUND
-                                        : ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE);
-                    }
-
-                    @Override
-                    public HttpServer.ConnectionLimits limits() {
-                        return new HttpServer.ConnectionLimits(64, 8 * 1024, 8 * 1024, 30_000, 5_000);
-                    }
-                },
-                loop);
+        this.httpServer = new HttpServer(this, loop);
+        this.readinessServer = new HttpServer(new ReadinessHandler(clock, this::isReady), loop);
     }
 
     /** Internal addresses of the core machines to begin with: on all machines the ports are alike. */
@@ -164,19 +127,19 @@
                 .get();
         for (ChannelFuture f : List.of(
                 c.transport.listen(settings.internal()),
-                loop.submit(() -> c.readiness.listen(settings.listens("readiness")))
+                loop.submit(() -> c.readinessServer.listen(settings.listens("readiness")))
                         .get(),
-                loop.submit(() -> c.frontend.listen(settings.listens("frontend")))
+                loop.submit(() -> c.httpServer.listen(settings.listens("frontend")))
                         .get())) {
             if (!f.await().isSuccess()) {
                 throw new FleetException(
                         FleetException.Code.ADDRESS_TAKEN,
                         "can't listen: " + f.cause().getMessage(),
-                        "end what holds the address");
+                        "end the process that uses the address");
             }
         }
         loop.submit(() -> {
-                    c.upstream.begin();
+                    c.connectionPool.begin();
                     loop.scheduleWithFixedDelay(c::tick, 1, TICK_MS, TimeUnit.MILLISECONDS);
                 })
                 .get();
@@ -192,10 +155,10 @@
     /** Serves to the end what came and still comes, without losing any of it; returns when the process may end. */
     void leave() {
         loop.execute(() -> {
-            LOG.info("told to end; {} requests are open", open.size());
-            shutdown.begin(ms());
+            LOG.info("shutdown requested, {} requests in flight", inFlight.size());
+            shutdown.begin(nowMs());
             ready = false;
-            frontend.leave();
+            httpServer.leave();
             loop.scheduleWithFixedDelay(this::continueShutdown, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
         });
         try {
@@ -206,13 +169,13 @@
     }
 
     private void continueShutdown() {
-        long now = ms();
+        long now = nowMs();
         if (shutdown.closesIdleConnections(now)) {
-            frontend.closeIdle();
+            httpServer.closeIdle();
         }
-        if (shutdown.isOver(now, open.isEmpty() && frontend.idle())) {
+        if (shutdown.isOver(now, inFlight.isEmpty() && httpServer.idle())) {
             // From here to the process's end nothing more may be read: it would not be answered.
-            frontend.close();
+            httpServer.close();
             ended.countDown();
         }
     }
@@ -223,282 +186,156 @@
 
     /** Ends at once. */
     public void stop() {
-        group.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS).awaitUninterruptibly();
+        group.shutdownGracefully(0, SHUTDOWN_TIMEOUT_MS, TimeUnit.MILLISECONDS).awaitUninterruptibly();
     }
 
-    // ---- what others need ----------------------------------------------------------------------------
+    // ---- what requests in flight use -----------------------------------------------------------------
 
     @Override
     public long now() {
         return clock.now();
     }
 
-    private long ms() {
+    private long nowMs() {
         return clock.now() / 1000;
     }
 
-    PrefixAwarePlacement placement() {
-        return placement;
-    }
-
-    ConnectionPool upstream() {
-        return upstream;
-    }
-
-    ConnectionPool.Endpoint host(String server) {
-        return hosts.get(server);
-    }
-
-    /** Version of a server's weights; 0 if unknown. */
-    long weights(String server) {
-        return weights.getOrDefault(server, 0L);
+    ConnectionPool connectionPool() {
+        return connectionPool;
     }
 
-    /** A server turned a request away for its weights: it has others by now, most likely those that were named last. */
-    void reweighed(String server, String model) {
-        weights.put(
-                server,
-                weights(server) == 0
-                        ? 0L
-                        : Math.max(weights(server), registry.state().weights().getOrDefault(model, 0L)));
+    EndpointDirectory endpoints() {
+        return endpoints;
     }
 
     PrefixCacheIndex prefixCacheIndex() {
         return prefixCacheIndex;
     }
 
-    /** The stores of prompts that answer. */
-    List<String> stores() {
-        return configuration().services().values().stream()
-                .map(Service::store)
-                .filter(s -> s != null && prefixCacheIndex.knows(PrefixCacheIndex.store(s)))
-                .toList();
+    /** A request has its final answer, or its client has disconnected. */
+    void onEnded(ProxiedRequest request) {
+        inFlight.remove(request);
     }
 
-    /** Where a server is reached, as a text; null if it is gone. */
-    String address(String server) {
-        return addresses.get(server);
+    /** When a client whose request was rejected had better retry, in microseconds from now. */
+    long retryAfterUs(Route route) {
+        double jitter = RETRY_AFTER_MIN_JITTER + RETRY_AFTER_JITTER_RANGE * random.nextDouble();
+        return (long) (route.targetMs() * 1000 * RETRY_AFTER_FRACTION * jitter);
     }
 
-    void done(ProxiedRequest request) {
-        open.remove(request);
-    }
-
-    long comeBackUs(Route route) {
-        return (long) (route.targetMs() * 1000 * COME_BACK * (0.8 + 0.4 * random.nextDouble()));
-    }
+    // ---- state ---------------------------------------------------------------------------------------
 
     @Override
     public HttpServer.ConnectionLimits limits() {
-        Configuration.Limits l = configuration().limits();
+        Configuration.Limits limits = configuration().limits();
         return new HttpServer.ConnectionLimits(
-                Math.max(64, (settings.descriptors() - OWN_DESCRIPTORS) / 2),
-                l.headerBytes() + 1024,
-                l.bodyBytes(),
-                l.idleTimeoutMs() + 5_000L,
-                Math.max(10_000, l.headerTimeoutMs()));
+                Math.max(MIN_CONNECTIONS, (settings.descriptors() - RESERVED_DESCRIPTORS) / 2),
+                limits.headerBytes() + HEADER_MARGIN_BYTES,
+                limits.bodyBytes(),
+                limits.idleTimeoutMs() + IDLE_MARGIN_MS,
+                Math.max(MIN_REQUEST_TIMEOUT_MS, limits.headerTimeoutMs()));
     }
 
     private Configuration configuration() {
         return registry.state().configuration();
     }
 
-    /** Whether what is known here is new enough to let anybody in by it. */
-    private boolean fresh() {
-        long age = ms() - registry.freshAt();
-        return configuration().version() > 0
-                && (!settings.bounds().strictRevocation()
-                        ? registry.freshAt() > 0
-                        : age < settings.bounds().revocationMs() - FRESH_MARGIN_MS);
+    /** Whether the configuration known here is recent enough to authorise requests by it. */
+    private boolean isFresh() {
+        if (configuration().version() == 0) {
+            return false;
+        }
+        if (!settings.bounds().strictRevocation()) {
+            return registry.freshAt() > 0;
+        }
+        long ageMs = nowMs() - registry.freshAt();
+        return ageMs < settings.bounds().revocationMs() - FRESHNESS_MARGIN_MS;
     }
 
-    private boolean ready() {
-        return ready && fresh() && !shutdown.begun();
+    private boolean isReady() {
+        return ready && isFresh() && !shutdown.begun();
     }
 
-    // ---- the fleet -----------------------------------------------------------------------------------
+    private void becomeReady() {
+        if (!ready && isFresh()) {
+            ready = true;
+            LOG.info("ready, configuration version {}", configuration().version());
+        }
+    }
+
+    // ---- the event loop ------------------------------------------------------------------------------
 
     private void tick() {
         try {
-            long now = ms();
+            long now = nowMs();
             shutdown.onTick(now);
             gossip.onTick(now, null);
             registry.expire(now);
-            transport.closeIdle(10_000);
+            transport.closeIdle(IDLE_PEER_CONNECTION_MS);
             becomeReady();
         } catch (RuntimeException e) {
-            LOG.error("a turn failed", e);
+            // The next tick may succeed: one bad input must not end the proxy.
+            LOG.error("tick failed", e);
         }
     }
 
     private void received(Hello from, Object message) {
-        if (message instanceof PrefixCacheUpdate c
-                && c.kind() != PrefixCacheUpdate.Kind.SNAPSHOT_REQUEST
-                && prefixCacheIndex.take(ms(), c)) {
-            transport.send(
-                    from.address(),
-                    new PrefixCacheUpdate(
-                            PrefixCacheUpdate.Kind.SNAPSHOT_REQUEST, c.server(), 0, 0, new long[0], new int[0]));
-        }
-        if (!(message instanceof GossipMessage update)) {
-            return;
-        }
-        Registry.Update news = gossip.onGossip(ms(), from.address(), update);
-        news.entries().forEach(this::learn);
-        if (news.state() && !configuration().services().equals(services)) {
-            // Bounds of connections are the configuration's.
-            services = configuration().services();
-            registry.servers().forEach(this::learn);
-        }
-        becomeReady();
-    }
-
-    private void becomeReady() {
-        if (!ready && fresh()) {
-            ready = true;
-            LOG.info("ready with version {}", configuration().version());
-        }
-    }
-
-    private void learn(RegistryEntry entry) {
-        Server server = Server.of(entry);
-        if (server != null) {
-            learn(server);
+        if (message instanceof PrefixCacheUpdate update) {
+            receivedPrefixCacheUpdate(from, update);
+        } else if (message instanceof GossipMessage gossipMessage) {
+            endpoints.onUpdate(gossip.onGossip(nowMs(), from.address(), gossipMessage));
+            becomeReady();
         }
     }
 
-    private void learn(Server s) {
-        if (s.state() == RegistryEntry.State.GONE || s.state() == RegistryEntry.State.LOST) {
-            ConnectionPool.Endpoint host = hosts.get(s.id());
-            if (host != null) {
-                placement.gone(s.id());
-                host.listed(null, false, 0);
-                upstream.closeIdle(host);
-                hosts.remove(s.id());
-                addresses.remove(s.id());
-                weights.remove(s.id());
-                prefixCacheIndex.forget(s.id());
-            }
-            return;
+    private void receivedPrefixCacheUpdate(Hello from, PrefixCacheUpdate update) {
+        boolean incomplete =
+                update.kind() != PrefixCacheUpdate.Kind.SNAPSHOT_REQUEST && prefixCacheIndex.take(nowMs(), update);
+        if (incomplete) {
+            transport.send(from.address(), PrefixCacheUpdate.snapshotRequest(update.server()));
         }
-        int colon = s.address().lastIndexOf(':');
-        boolean ready = s.state() == RegistryEntry.State.READY;
-        Service service = configuration().services().get(s.service());
-        int most = service == null ? 64 : Math.max(2, service.maxConnections() / Math.max(1, proxies()));
-        ConnectionPool.Endpoint host = hosts.computeIfAbsent(s.id(), ConnectionPool.Endpoint::new);
-        if (!s.address().equals(addresses.put(s.id(), s.address())) || !ready) {
-            upstream.closeIdle(host);
-        }
-        host.listed(
-                new InetSocketAddress(s.address().substring(0, colon), (int)
-                        HttpFraming.number(s.address().substring(colon + 1))),
-                ready,
-                most);
-        placement.listed(now(), s.id(), s.service(), ready, s.loading() > 0);
-        weights.put(s.id(), s.weights());
-    }
-
-    private int proxies() {
-        return Math.max(1, registry.ready(RegistryEntry.Subject.PROXY).size());
     }
 
-    // ---- clients -------------------------------------------------------------------------------------
+    // ---- requests of clients -------------------------------------------------------------------------
 
     @Override
-    public void take(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
-        HttpHeaders h = in.headers();
-        if (!fresh()) {
-            client.answer(
-                    HttpResponseStatus.SERVICE_UNAVAILABLE,
-                    new ConnectionPool.Response(new byte[0], null, null),
-                    300_000);
+    public void take(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long receivedAtUs) {
+        if (!isFresh()) {
+            reject(client, NOT_READY_RETRY_AFTER_US);
             return;
         }
         Configuration configuration = configuration();
-        String host = h.get(HttpHeaderNames.HOST, "").toLowerCase(Locale.ROOT).split(":", 2)[0];
-        Route route = configuration.route(host, in.uri().split("\\?", 2)[0]);
+        Route route = RequestClassifier.route(configuration, in);
         if (route == null) {
             client.answer(HttpResponseStatus.NOT_FOUND);
             return;
         }
-        Tenant tenant = null;
-        if (configuration.hasTenants()) {
-            String key = h.get(HttpHeaderNames.AUTHORIZATION, "");
-            tenant = key.startsWith("Token ")
-                    ? configuration.tenant(key.substring(6).trim())
-                    : null;
-            if (tenant == null && !route.open()) {
-                client.answer(HttpResponseStatus.UNAUTHORIZED);
-                return;
-            }
-        }
-        OutgoingRequest call = OutgoingRequest.of(in, body);
-        OURS.forEach(call.headers()::remove);
-        if (configuration.hasTenants()) {
-            call.headers().remove(HttpHeaderNames.AUTHORIZATION);
-        }
-        if (tenant != null) {
-            call.headers().set("X-Tenant", tenant.name());
-        }
-        boolean walled = tenant != null && tenant.isolated();
-        if (route.affine()) {
-            call.headers()
-                    .set(
-                            "Priority",
-                            Math.min(
-                                    9,
-                                    3 * Math.max(0, tenant == null ? 0 : tenant.priority())
-                                            + Math.max(0, route.priority())));
+        Tenant tenant = RequestClassifier.tenant(configuration, in);
+        if (configuration.hasTenants() && tenant == null && !route.open()) {
+            client.answer(HttpResponseStatus.UNAUTHORIZED);
+            return;
         }
-        long deadlineMs = HttpFraming.number(h.get("X-Deadline-Ms"));
-        long endAt = at + 1000 * Math.min(deadlineMs < 1 ? route.timeoutMs() : deadlineMs, route.timeoutMs());
-        if (!shutdown.mayForward(ms(), endAt / 1000)) {
-            client.answer(
-                    HttpResponseStatus.SERVICE_UNAVAILABLE,
-                    new ConnectionPool.Response(new byte[0], null, null),
-                    comeBackUs(route));
+        long deadlineUs = RequestClassifier.deadlineUs(route, in, receivedAtUs);
+        if (!shutdown.mayForward(nowMs(), deadlineUs / 1000)) {
+            reject(client, retryAfterUs(route));
             return;
         }
-        placement.came(settings.bounds().retryBudgetRatio(), settings.bounds().retryAllowance(), proxies());
+        endpoints
+                .placement()
+                .came(settings.bounds().retryBudgetRatio(), settings.bounds().retryAllowance(), endpoints.proxies());
         ProxiedRequest request = new ProxiedRequest(
                 this,
                 client,
                 route,
-                job(route, h, walled ? tenant.name() : ""),
-                call,
-                endAt,
-                new Prompt(h.get("X-Prompt-Prefix"), h.get("X-Model", ""), walled ? "w" + tenant.name() : ""));
-        open.add(request);
+                classifier.job(route, in, tenant),
+                RequestClassifier.outgoing(configuration, in, body, route, tenant),
+                deadlineUs,
+                RequestClassifier.prompt(in, tenant));
+        inFlight.add(request);
         request.start();
     }
 
-    /** What the decision module is told of a request: its key is the model, the wall and the parts that others share. */
-    private PrefixAwarePlacement.Job job(Route route, HttpHeaders h, String isolationKey) {
-        String[] tokens = h.get("X-Token-Count", "0,0").split(",", 2);
-        String prefix = h.get("X-Prompt-Prefix");
-        String key = null;
-        if (route.affine() && prefix != null) {
-            int last = prefix.lastIndexOf(',');
-            key = h.get("X-Model", "") + '|' + isolationKey + '|' + (last < 0 ? prefix : prefix.substring(0, last));
-        }
-        return new PrefixAwarePlacement.Job(
-                service(route),
-                key,
-                Math.max(0, HttpFraming.number(tokens[0].trim())),
-                tokens.length < 2 ? 0 : Math.max(0, HttpFraming.number(tokens[1].trim())));
-    }
-
-    private String service(Route route) {
-        List<Share> able = new ArrayList<>(route.shares());
-        able.removeIf(s -> s.weight() == 0);
-        long sum = able.stream().mapToLong(Share::weight).sum();
-        long at = random.nextLong(sum);
-        for (Share s : able) {
-            at -= s.weight();
-            if (at < 0) {
-                return s.service();
-            }
-        }
-        return able.get(0).service();
+    private static void reject(HttpServer.ClientConnection client, long retryAfterUs) {
+        client.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, ConnectionPool.Response.EMPTY, retryAfterUs);
     }
 }
--- a/src/main/java/quartzspan/frontend/ProxiedRequest.java
+++ b/src/main/java/quartzspan/frontend/ProxiedRequest.java
@@ -96,7 +96,7 @@
     private void next() {
         long left = endAt - proxy.now();
         String to = left <= 0 ? null : target();
-        ConnectionPool.Endpoint host = to == null ? null : proxy.host(to);
+        ConnectionPool.Endpoint host = to == null ? null : proxy.endpoints().endpoint(to);
         if (host == null) {
             refuse();
             return;
@@ -105,8 +105,8 @@
         head = null;
         HttpHeaders headers = new DefaultHttpHeaders().set(call.headers()).set("X-Expected-Instance", to);
         kept(headers, to);
-        proxy.placement().sent(to, job);
-        attempt = proxy.upstream()
+        proxy.endpoints().placement().sent(to, job);
+        attempt = proxy.connectionPool()
                 .attempt(
                         host,
                         new OutgoingRequest(call.method(), call.uri(), headers, call.body()),
@@ -121,10 +121,12 @@
     private String target() {
         String again = sameServer;
         sameServer = null;
-        if (again != null && proxy.host(again) != null) {
+        if (again != null && proxy.endpoints().endpoint(again) != null) {
             return again;
         }
-        return reached.size() < route.maxAttempts() ? proxy.placement().pick(proxy.now(), job, tried) : null;
+        return reached.size() < route.maxAttempts()
+                ? proxy.endpoints().placement().pick(proxy.now(), job, tried)
+                : null;
     }
 
     /** Two sends of one request bear one id, so that only their connections tell their answers apart. */
@@ -139,7 +141,7 @@
      * wall, and a server of another version by now turns the request away: so nothing is ever used under other weights.
      */
     private void kept(HttpHeaders headers, String to) {
-        long weights = proxy.weights(to);
+        long weights = proxy.endpoints().weights(to);
         if (weights == 0) {
             if (!prompt.isolationKey().isEmpty()) {
                 headers.set("Cache-Salt", prompt.isolationKey());
@@ -150,18 +152,21 @@
         headers.set("Cache-Salt", salt).set("Expect-Version", weights);
         long[] names = prompt.blocks(salt);
         blocks = names;
-        String source = proxy.placement()
+        String source = proxy.endpoints()
+                .placement()
                 .source(
                         proxy.now(),
                         job,
                         to,
-                        server -> proxy.weights(server) != weights
+                        server -> proxy.endpoints().weights(server) != weights
                                 ? 0
                                 : proxy.prefixCacheIndex().cachedTokens(server, names, prompt.tokens()));
-        String address = source == null || proxy.weights(source) != weights ? null : proxy.address(source);
+        String address = source == null || proxy.endpoints().weights(source) != weights
+                ? null
+                : proxy.endpoints().address(source);
         long here = proxy.prefixCacheIndex().cachedTokens(to, names, prompt.tokens());
         long there = address == null ? here : proxy.prefixCacheIndex().cachedTokens(source, names, prompt.tokens());
-        for (String store : proxy.stores()) {
+        for (String store : proxy.endpoints().cacheStores()) {
             long stored = proxy.prefixCacheIndex().cachedTokens(PrefixCacheIndex.store(store), names, prompt.tokens());
             if (stored > Math.max(here, there) + WORTH_MOVING) {
                 address = store;
@@ -183,7 +188,7 @@
             if (attempt != null) {
                 attempt.cancel();
             }
-            proxy.done(this);
+            proxy.onEnded(this);
         }
     }
 
@@ -225,7 +230,7 @@
             return false;
         }
         begun = true;
-        proxy.placement().answering(server);
+        proxy.endpoints().placement().answering(server);
         for (int i = 0; i < blocks.length; i++) {
             proxy.prefixCacheIndex().onPrefill(server, blocks[i], (int) prompt.tokens()[i]);
         }
@@ -262,7 +267,7 @@
     private void ended(Outcome outcome, Response answer) {
         boolean stale = attempt.stale();
         // That a server forgets idle connections does not make it a failing one.
-        proxy.placement().ended(proxy.now(), server, job, stale ? Outcome.IGNORED : outcome);
+        proxy.endpoints().placement().ended(proxy.now(), server, job, stale ? Outcome.IGNORED : outcome);
         attempt = null;
         if (over) {
             return;
@@ -274,7 +279,7 @@
             } else {
                 client.cut();
             }
-            proxy.done(this);
+            proxy.onEnded(this);
             return;
         }
         tried.add(server);
@@ -291,15 +296,15 @@
             if (server.equals(head.headers().get("X-Instance-Id"))) {
                 // The same server again is no further server: it has only changed its weights.
                 sameServer = sends < MOST_SENDS ? server : null;
-                proxy.reweighed(server, call.headers().get("X-Model"));
+                proxy.endpoints().onVersionMismatch(server, call.headers().get("X-Model"));
             } else {
-                proxy.placement().moved(proxy.now(), server);
+                proxy.endpoints().placement().moved(proxy.now(), server);
             }
         }
         boolean again = (!mayHaveRun || route.repeatable())
                 && (sameServer != null || reached.size() < route.maxAttempts())
                 && tried.size() < MOST_TRIED
-                && (!arrived || proxy.placement().mayRepeat());
+                && (!arrived || proxy.endpoints().placement().mayRepeat());
         if (outcome == Outcome.FAILED && answer != null && (route.repeatable() || !promisesNotRun(head.status()))) {
             // The server's own word: it ran, and this is what came of it.
             conclude(head.status(), new Response(answer.body(), null, own(passedOn(answer.headers()))), 0);
@@ -327,7 +332,7 @@
     /** The final answer where none was served: when to come back if it has not run, and no promise if it may have. */
     private void refuse() {
         if (!mayHaveRun) {
-            conclude(HttpResponseStatus.SERVICE_UNAVAILABLE, NOTHING, proxy.comeBackUs(route));
+            conclude(HttpResponseStatus.SERVICE_UNAVAILABLE, NOTHING, proxy.retryAfterUs(route));
         } else {
             conclude(
                     proxy.now() >= endAt ? HttpResponseStatus.GATEWAY_TIMEOUT : HttpResponseStatus.BAD_GATEWAY,
@@ -339,6 +344,6 @@
     private void conclude(HttpResponseStatus status, Response answer, long retryAfterUs) {
         over = true;
         client.answer(status, answer, retryAfterUs);
-        proxy.done(this);
+        proxy.onEnded(this);
     }
 }
--- /dev/null
+++ b/src/main/java/quartzspan/frontend/ReadinessHandler.java
@@ -0,0 +1,42 @@
+package quartzspan.frontend;
+
+import io.netty.handler.codec.http.HttpRequest;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import java.util.function.BooleanSupplier;
+import quartzspan.http.Clock;
+import quartzspan.http.HttpServer;
+
+/** Answers the platform's readiness checks. */
+final class ReadinessHandler implements HttpServer.RequestHandler {
+    private static final String PATH = "/quartzspan/readiness";
+    private static final HttpServer.ConnectionLimits LIMITS =
+            new HttpServer.ConnectionLimits(64, 8 * 1024, 8 * 1024, 30_000, 5_000);
+
+    private final Clock clock;
+    private final BooleanSupplier ready;
+
+    ReadinessHandler(Clock clock, BooleanSupplier ready) {
+        this.clock = clock;
+        this.ready = ready;
+    }
+
+    @Override
+    public long now() {
+        return clock.now();
+    }
+
+    @Override
+    public void take(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
+        boolean known = in.uri().split("\\?", 2)[0].equals(PATH);
+        if (!known) {
+            client.answer(HttpResponseStatus.NOT_FOUND);
+        } else {
+            client.answer(ready.getAsBoolean() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE);
+        }
+    }
+
+    @Override
+    public HttpServer.ConnectionLimits limits() {
+        return LIMITS;
+    }
+}
--- /dev/null
+++ b/src/main/java/quartzspan/frontend/RequestClassifier.java
@@ -0,0 +1,127 @@
+package quartzspan.frontend;
+
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpHeaders;
+import io.netty.handler.codec.http.HttpRequest;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Locale;
+import java.util.SplittableRandom;
+import quartzspan.configuration.Configuration;
+import quartzspan.configuration.Configuration.Route;
+import quartzspan.configuration.Configuration.Share;
+import quartzspan.configuration.Configuration.Tenant;
+import quartzspan.http.HttpFraming;
+import quartzspan.http.OutgoingRequest;
+import quartzspan.loadbalancing.PrefixAwarePlacement.Job;
+
+/** Works out what a client's request is by the configuration: its route, tenant, headers, deadline and placement key. */
+final class RequestClassifier {
+    private static final String API_KEY_SCHEME = "Token ";
+    private static final String MODEL = "X-Model";
+    private static final String PROMPT_PREFIX = "X-Prompt-Prefix";
+    private static final String TOKEN_COUNT = "X-Token-Count";
+    private static final String DEADLINE_MS = "X-Deadline-Ms";
+    private static final String PRIORITY = "Priority";
+    private static final int LOWEST_PRIORITY = 9;
+    /** A tenant's priority weighs more than its route's. */
+    private static final int TENANT_PRIORITY_STEP = 3;
+    /** Headers that only the system sets. */
+    private static final List<String> SYSTEM_HEADERS =
+            List.of("X-Expected-Instance", "X-Tenant", "Cache-Salt", "Kv-Fetch", "Kv-Save", "Expect-Version", PRIORITY);
+
+    private final SplittableRandom random;
+
+    RequestClassifier(SplittableRandom random) {
+        this.random = random;
+    }
+
+    /** The route of a request; null if there is none. */
+    static Route route(Configuration configuration, HttpRequest in) {
+        String host = in.headers()
+                .get(HttpHeaderNames.HOST, "")
+                .toLowerCase(Locale.ROOT)
+                .split(":", 2)[0];
+        return configuration.route(host, in.uri().split("\\?", 2)[0]);
+    }
+
+    /** The tenant whose key a request has; null if there is none, or the configuration names no tenants. */
+    static Tenant tenant(Configuration configuration, HttpRequest in) {
+        String authorization = in.headers().get(HttpHeaderNames.AUTHORIZATION, "");
+        return configuration.hasTenants() && authorization.startsWith(API_KEY_SCHEME)
+                ? configuration.tenant(
+                        authorization.substring(API_KEY_SCHEME.length()).trim())
+                : null;
+    }
+
+    /** The request as it is forwarded, but for the headers that depend on the server. */
+    static OutgoingRequest outgoing(
+            Configuration configuration, HttpRequest in, byte[] body, Route route, Tenant tenant) {
+        OutgoingRequest request = OutgoingRequest.of(in, body);
+        HttpHeaders headers = request.headers();
+        SYSTEM_HEADERS.forEach(headers::remove);
+        if (configuration.hasTenants()) {
+            headers.remove(HttpHeaderNames.AUTHORIZATION);
+        }
+        if (tenant != null) {
+            headers.set("X-Tenant", tenant.name());
+        }
+        if (route.affine()) {
+            int tenantPriority = tenant == null ? 0 : Math.max(0, tenant.priority());
+            int priority = TENANT_PRIORITY_STEP * tenantPriority + Math.max(0, route.priority());
+            headers.set(PRIORITY, Math.min(LOWEST_PRIORITY, priority));
+        }
+        return request;
+    }
+
+    /** The time, in microseconds, until which the client waits for an answer. */
+    static long deadlineUs(Route route, HttpRequest in, long receivedAtUs) {
+        long clientMs = HttpFraming.number(in.headers().get(DEADLINE_MS));
+        long timeoutMs = Math.min(clientMs < 1 ? route.timeoutMs() : clientMs, route.timeoutMs());
+        return receivedAtUs + 1000 * timeoutMs;
+    }
+
+    /** The prompt of a request. */
+    static Prompt prompt(HttpRequest in, Tenant tenant) {
+        HttpHeaders headers = in.headers();
+        String isolationKey = isIsolated(tenant) ? "w" + tenant.name() : "";
+        return new Prompt(headers.get(PROMPT_PREFIX), headers.get(MODEL, ""), isolationKey);
+    }
+
+    private static boolean isIsolated(Tenant tenant) {
+        return tenant != null && tenant.isolated();
+    }
+
+    /** What the placement needs: the key is the model, the isolation and the prompt blocks that other requests share. */
+    Job job(Route route, HttpRequest in, Tenant tenant) {
+        HttpHeaders headers = in.headers();
+        String[] tokens = headers.get(TOKEN_COUNT, "0,0").split(",", 2);
+        String prefix = headers.get(PROMPT_PREFIX);
+        String key = null;
+        if (route.affine() && prefix != null) {
+            int last = prefix.lastIndexOf(',');
+            String shared = last < 0 ? prefix : prefix.substring(0, last);
+            key = headers.get(MODEL, "") + '|' + (isIsolated(tenant) ? tenant.name() : "") + '|' + shared;
+        }
+        return new Job(
+                chooseService(route),
+                key,
+                Math.max(0, HttpFraming.number(tokens[0].trim())),
+                tokens.length < 2 ? 0 : Math.max(0, HttpFraming.number(tokens[1].trim())));
+    }
+
+    /** One of the route's services, at random by their weights. */
+    private String chooseService(Route route) {
+        List<Share> shares = new ArrayList<>(route.shares());
+        shares.removeIf(share -> share.weight() == 0);
+        long sum = shares.stream().mapToLong(Share::weight).sum();
+        long left = random.nextLong(sum);
+        for (Share share : shares) {
+            left -= share.weight();
+            if (left < 0) {
+                return share.service();
+            }
+        }
+        return shares.get(0).service();
+    }
+}
--- a/src/main/java/quartzspan/prefixcache/PrefixCacheUpdate.java
+++ b/src/main/java/quartzspan/prefixcache/PrefixCacheUpdate.java
@@ -17,4 +17,9 @@
 
     /** No message holds more parts. */
     public static final int MAX_BLOCKS = 60_000;
+
+    /** Asks for all blocks of a server. */
+    public static PrefixCacheUpdate snapshotRequest(String server) {
+        return new PrefixCacheUpdate(Kind.SNAPSHOT_REQUEST, server, 0, 0, new long[0], new int[0]);
+    }
 }
--- a/src/main/java/quartzspan/registry/PublishedState.java
+++ b/src/main/java/quartzspan/registry/PublishedState.java
@@ -11,6 +11,7 @@
 import java.util.TreeMap;
 import quartzspan.common.FleetException;
 import quartzspan.configuration.Configuration;
+import quartzspan.configuration.JsonFields;
 import quartzspan.replication.ControlState;
 
 /**
@@ -37,7 +38,7 @@
         Map<String, Long> named = new TreeMap<>(later.weights);
         named.entrySet().removeIf(weight -> weight.getValue().equals(weights.get(weight.getKey())));
         boolean sameConfiguration = later.configuration.version() == configuration.version();
-        return encode(sameConfiguration ? NOTHING : Configuration.text(patch), named, later.rolloutHolder);
+        return encode(sameConfiguration ? NOTHING : JsonFields.toBytes(patch), named, later.rolloutHolder);
     }
 
     /**
@@ -51,7 +52,7 @@
             Map<String, Long> next = new TreeMap<>(weights);
             readWeights(in, next);
             return new PublishedState(
-                    patch.length == 0 ? configuration : configuration.updated(Configuration.json(patch)),
+                    patch.length == 0 ? configuration : configuration.updated(JsonFields.parse(patch)),
                     Map.copyOf(next),
                     in.readUTF());
         } catch (IOException e) {
--- a/src/main/java/quartzspan/replication/ControlState.java
+++ b/src/main/java/quartzspan/replication/ControlState.java
@@ -13,6 +13,7 @@
 import java.util.TreeMap;
 import quartzspan.common.FleetException;
 import quartzspan.configuration.Configuration;
+import quartzspan.configuration.JsonFields;
 
 /**
  * The control state, as an immutable value: the configuration in effect, the digest of the change accepted under each version,
@@ -80,11 +81,11 @@
             return new ControlState(
                     configuration, acceptedDigests, highestDroppedVersion, weights, name, fencingToken + 1);
         }
-        JsonObject body = Configuration.json(change.body());
+        JsonObject body = JsonFields.parse(change.body());
         if (change.kind() == Change.Kind.WEIGHTS) {
             return withNamedWeights(body);
         }
-        long version = Configuration.whole(body, "version", -1);
+        long version = JsonFields.wholeNumber(body, "version", -1);
         long digest = Hashing.xxh3_64()
                 .hashStream()
                 .putLong(change.kind().ordinal())
@@ -126,7 +127,7 @@
 
     private ControlState withNamedWeights(JsonObject body) {
         String model = body.getString("model", "");
-        long version = Configuration.whole(body, "version", 0);
+        long version = JsonFields.wholeNumber(body, "version", 0);
         if (model.isEmpty() || version < 1) {
             throw new FleetException(
                     FleetException.Code.CONFIG_INVALID,
--- a/src/main/java/quartzspan/replication/Replica.java
+++ b/src/main/java/quartzspan/replication/Replica.java
@@ -1,10 +1,7 @@
 package quartzspan.replication;
 
-import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Set;
 import quartzspan.common.FleetException;
-import quartzspan.replication.ReplicaMessage.Kind;
 
 /**
  * The replica of the control state on one core machine, without clock, thread or I/O. It owns the role objects and is the only
@@ -52,9 +49,10 @@
     private final VoterState voter;
     private final ReplicaLog log;
     private final PeerLiveness peers;
-    private final Set<String> seeds;
+    private final List<String> seeds;
     private final FollowerState follower;
     private final RecoveryResponder recoveryResponder;
+    private final MembershipRequests requests;
     private DiskLossRecovery recovery;
     private PrimaryState primary;
     private long nextElectionAtMs;
@@ -82,7 +80,7 @@
             long now,
             Output output) {
         this.output = output;
-        this.seeds = new LinkedHashSet<>(seeds);
+        this.seeds = seeds.stream().distinct().toList();
         this.context = new ReplicaContext(self, losses, seed, now, output);
         this.disk = new DiskQueue(output);
         this.voter = new VoterState(disk);
@@ -91,6 +89,7 @@
         ReplyFactory replies = new ReplyFactory(voter, log);
         this.follower = new FollowerState(context, voter, log, peers, replies, new FollowerTransitions());
         this.recoveryResponder = new RecoveryResponder(context, voter, peers, replies);
+        this.requests = new MembershipRequests(context, voter, this.seeds);
         boolean damaged = !restore(kept);
         if (damaged || voter.membership().epoch().equals(Epoch.NONE)) {
             begin(found && !damaged);
@@ -119,7 +118,7 @@
 
     /** The founding membership is a function of the settings alone: whoever founds, and however often, founds the same. */
     private void begin(boolean found) {
-        List<String> founders = seeds.stream().distinct().sorted().toList();
+        List<String> founders = seeds.stream().sorted().toList();
         if (!found || !founders.contains(context.self())) {
             beginRecovery();
             return;
@@ -298,39 +297,20 @@
     /** A replica that recovers or has no vote asks to be taken in; one that hands over asks to be released. */
     private void requestMembershipChange() {
         if (voter.isRecovering()) {
-            others().forEach(name -> context.send(name, recovery.request()));
+            requests.requestRecovery(recovery);
+        } else if (handingOver && primary == null) {
+            requests.requestRelease();
         } else if (handingOver) {
-            requestRelease();
+            String successor = primary.successor();
+            if (successor != null) {
+                requests.requestElection(successor);
+            }
         } else if (!isVoter()) {
             // Also one of the previous voters of a joint membership: nobody notifies it when that is committed.
-            ReplicaMessage request = ReplicaMessage.of(Kind.RECOVERY, Epoch.NONE)
-                    .withNonce(voter.incarnationNonce())
-                    .withGeneration(voter.generation());
-            others().forEach(name -> context.send(name, request));
-        }
-    }
-
-    private void requestRelease() {
-        Epoch epoch = membership().epoch();
-        if (primary == null) {
-            others().forEach(name -> context.send(name, ReplicaMessage.of(Kind.LEAVING, epoch)));
-            return;
-        }
-        String successor = primary.successor();
-        if (successor != null) {
-            context.send(successor, ReplicaMessage.of(Kind.HANDOVER, epoch));
+            requests.requestVote();
         }
     }
 
-    private Set<String> others() {
-        Set<String> all = new LinkedHashSet<>(membership().electorate());
-        all.add(membership().primary());
-        all.addAll(seeds);
-        all.remove(context.self());
-        all.remove("");
-        return all;
-    }
-
     // ---- transitions ---------------------------------------------------------------------------------
 
     /** Stops being primary or candidate. */
--- a/src/test/java/quartzspan/configuration/ConfigurationTest.java
+++ b/src/test/java/quartzspan/configuration/ConfigurationTest.java
@@ -75,7 +75,7 @@
     @Test
     void namedItemsAreAddedReplacedAndRemoved() {
         Configuration m = Configuration.read(json(GOOD))
-                .updated(Configuration.json(json("{'version':9,'upsert':{'routes':[{'name':'a',"
+                .updated(JsonFields.parse(json("{'version':9,'upsert':{'routes':[{'name':'a',"
                         + "'hostname':'h.example','path_prefix':'/n/','route_type':'read_only','timeout_ms':5,'service':'s'}]},"
                         + "'remove':{'routes':['b','never'],'tenants':['t']}}")));
         assertEquals(9, m.version());
@@ -84,7 +84,7 @@
         assertNull(m.tenant("k1"));
         assertThrows(
                 FleetException.class,
-                () -> m.updated(Configuration.json(json("{'version':10,'remove':{'services':['s']}}"))));
+                () -> m.updated(JsonFields.parse(json("{'version':10,'remove':{'services':['s']}}"))));
     }
 
     /** A patch leads from one configuration exactly to another, or there is none. */
@@ -107,8 +107,8 @@
                 continue;
             }
             assertEquals(
-                    Configuration.json(next.bytes()),
-                    Configuration.json(old.updated(patch).bytes()));
+                    JsonFields.parse(next.bytes()),
+                    JsonFields.parse(old.updated(patch).bytes()));
         }
         assertNull(Configuration.read(json(GOOD.replace(",'note':{'kept':1.50}", "")))
                 .patchFrom(old));
@@ -122,12 +122,12 @@
         Configuration old = Configuration.read(json(GOOD));
         assertThrows(
                 FleetException.class,
-                () -> old.updated(Configuration.json(json("{'version':8,'upsert':{'routes':[{'name':'n',"
+                () -> old.updated(JsonFields.parse(json("{'version':8,'upsert':{'routes':[{'name':'n',"
                         + "'hostname':'h.example','path_prefix':'/x/','route_type':'read_only','timeout_ms':5,"
                         + "'service':'s'}]}}"))));
         assertThrows(
                 FleetException.class,
-                () -> old.updated(Configuration.json(
-                        json("{'version':8,'upsert':{'tenants':[{'name':'u','api_keys':['k2']}]}}"))));
+                () -> old.updated(
+                        JsonFields.parse(json("{'version':8,'upsert':{'tenants':[{'name':'u','api_keys':['k2']}]}}"))));
     }
 }
--- a/src/test/java/quartzspan/registry/StateGossipTest.java
+++ b/src/test/java/quartzspan/registry/StateGossipTest.java
@@ -15,7 +15,7 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import quartzspan.configuration.Configuration;
+import quartzspan.configuration.JsonFields;
 import quartzspan.replication.Change;
 import quartzspan.replication.ControlState;
 import quartzspan.transport.MessageCodec;
@@ -71,7 +71,7 @@
     }
 
     private static JsonObject document(PublishedState state) {
-        return Configuration.json(state.configuration().bytes());
+        return JsonFields.parse(state.configuration().bytes());
     }
 
     /** Processes on links that lose, delay and reorder messages. */
