--- a/src/main/java/quartzspan/controlplane/ControlPlane.java
+++ b/src/main/java/quartzspan/controlplane/ControlPlane.java
@@ -16,6 +16,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import quartzspan.common.FleetException;
+import quartzspan.common.PeriodicTask;
 import quartzspan.common.Settings;
 import quartzspan.http.Clock;
 import quartzspan.http.ConnectionPool;
@@ -171,7 +172,8 @@
         connectionPool.begin();
         String control = text(settings.listens("control_plane"));
         registry.merge(nowMs(), new CoreMachine(self, control, settings.zone()).entry());
-        loop.scheduleWithFixedDelay(this::tick, 1, TICK_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(
+                new PeriodicTask("control plane tick", this::tick), 1, TICK_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Hands over, answering or redirecting requests meanwhile, and ends: what was acknowledged is on disk. */
@@ -214,27 +216,22 @@
     // ---- the event loop ------------------------------------------------------------------------------
 
     private void tick() {
-        try {
-            long now = nowMs();
-            replicaHost.onTick(now);
-            if (replica.isPrimary()) {
-                registry.confirmFresh(replica.confirmedAtMs());
-            }
-            gossip.onTick(now, replica.isPrimary() ? null : replica.knownPrimary(now));
-            reportHeartbeats(now);
-            expireSilent(now);
-            registry.expire(now);
-            transport.closeIdle(IDLE_CONNECTION_MS);
-            servers.forget(this::isDeregistered);
-            drainAcknowledger.onTick(now);
-            rollout.onTick(now, registry);
-            prefixCacheIndexer.onTick(now, liveCores(now));
-            if (shutdown.isOver(now, drainAcknowledger.isIdle() && replicaHost.isIdle())) {
-                ended.countDown();
-            }
-        } catch (RuntimeException e) {
-            // The next tick may succeed: one bad input must not end the machine.
-            LOG.error("tick failed", e);
+        long now = nowMs();
+        replicaHost.onTick(now);
+        if (replica.isPrimary()) {
+            registry.confirmFresh(replica.confirmedAtMs());
+        }
+        gossip.onTick(now, replica.isPrimary() ? null : replica.knownPrimary(now));
+        reportHeartbeats(now);
+        expireSilent(now);
+        registry.expire(now);
+        transport.closeIdle(IDLE_CONNECTION_MS);
+        servers.forget(this::isDeregistered);
+        drainAcknowledger.onTick(now);
+        rollout.onTick(now, registry);
+        prefixCacheIndexer.onTick(now, liveCores(now));
+        if (shutdown.isOver(now, drainAcknowledger.isIdle() && replicaHost.isIdle())) {
+            ended.countDown();
         }
     }
 
--- a/src/main/java/quartzspan/frontend/FrontendProxy.java
+++ b/src/main/java/quartzspan/frontend/FrontendProxy.java
@@ -17,6 +17,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import quartzspan.common.FleetException;
+import quartzspan.common.PeriodicTask;
 import quartzspan.common.Settings;
 import quartzspan.configuration.Configuration;
 import quartzspan.configuration.Configuration.Route;
@@ -140,7 +141,8 @@
         }
         loop.submit(() -> {
                     c.connectionPool.begin();
-                    loop.scheduleWithFixedDelay(c::tick, 1, TICK_MS, TimeUnit.MILLISECONDS);
+                    loop.scheduleWithFixedDelay(
+                            new PeriodicTask("frontend proxy tick", c::tick), 1, TICK_MS, TimeUnit.MILLISECONDS);
                 })
                 .get();
         LOG.info("proxy {} listens at {}", settings.nodeName(), settings.listens("frontend"));
@@ -159,7 +161,8 @@
             shutdown.begin(nowMs());
             ready = false;
             httpServer.leave();
-            loop.scheduleWithFixedDelay(this::continueShutdown, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
+            loop.scheduleWithFixedDelay(
+                    new PeriodicTask("shutdown", this::continueShutdown), TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
         });
         try {
             ended.await(gracePeriodMs(settings), TimeUnit.MILLISECONDS);
@@ -266,17 +269,12 @@
     // ---- the event loop ------------------------------------------------------------------------------
 
     private void tick() {
-        try {
-            long now = nowMs();
-            shutdown.onTick(now);
-            gossip.onTick(now, null);
-            registry.expire(now);
-            transport.closeIdle(IDLE_PEER_CONNECTION_MS);
-            becomeReady();
-        } catch (RuntimeException e) {
-            // The next tick may succeed: one bad input must not end the proxy.
-            LOG.error("tick failed", e);
-        }
+        long now = nowMs();
+        shutdown.onTick(now);
+        gossip.onTick(now, null);
+        registry.expire(now);
+        transport.closeIdle(IDLE_PEER_CONNECTION_MS);
+        becomeReady();
     }
 
     private void received(Hello from, Object message) {
--- /dev/null
+++ b/src/test/java/quartzspan/common/PeriodicTaskTest.java
@@ -0,0 +1,43 @@
+package quartzspan.common;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** What becomes of a process whose periodic task fails. */
+class PeriodicTaskTest {
+    private final List<Integer> exitStatuses = new ArrayList<>();
+    private int runs;
+
+    private PeriodicTask task(Runnable failure) {
+        return new PeriodicTask(
+                "test",
+                () -> {
+                    runs++;
+                    failure.run();
+                },
+                exitStatuses::add);
+    }
+
+    @Test
+    void theProcessGoesOnAfterAnException() {
+        PeriodicTask task = task(() -> {
+            throw new IllegalStateException("bad input");
+        });
+        task.run();
+        task.run();
+        assertEquals(2, runs);
+        assertEquals(List.of(), exitStatuses);
+    }
+
+    @Test
+    void theProcessEndsWithAStatusAfterAnError() {
+        task(() -> {
+                    throw new NoClassDefFoundError("a class that can't be read");
+                })
+                .run();
+        assertEquals(List.of(PeriodicTask.EXIT_STATUS), exitStatuses);
+    }
+}
