--- a/src/main/java/quartzspan/clientproxy/ClientProxyConfig.java
+++ b/src/main/java/quartzspan/clientproxy/ClientProxyConfig.java
@@ -54,6 +54,11 @@
         return parse(Files.readAllBytes(Path.of(path)));
     }
 
+    /**
+     * Reads the JSON text of a configuration.
+     *
+     * @throws IOException or {@link IllegalArgumentException}, saying what is wrong with it
+     */
     public static ClientProxyConfig parse(byte[] json) throws IOException {
         InetSocketAddress listen = null;
         InetSocketAddress discovery = null;
--- /dev/null
+++ b/src/main/java/quartzspan/configuration/package-info.java
@@ -0,0 +1,6 @@
+/**
+ * The operators' configuration: model, reader, patches.
+ *
+ * <p>Values are immutable. May import {@code common}.
+ */
+package quartzspan.configuration;
--- a/src/main/java/quartzspan/controlplane/RolloutCoordinator.java
+++ b/src/main/java/quartzspan/controlplane/RolloutCoordinator.java
@@ -15,9 +15,9 @@
  * The duty of bringing servers to the weights that were named, which one machine has at a time: the primary.
  *
  * <p>Servers need not check fencing tokens, so the holder before must have surely stopped when the next one begins. A holder
- * sends an order only within {@link #CONFIRMED_MS} of the sending of a heartbeat that a majority acknowledged, which is
+ * sends an order only within {@link #CONFIRMATION_VALID_MS} of the sending of a heartbeat that a majority acknowledged, which is
  * asked right before the bytes go out. Whoever becomes primary was granted its epoch by a majority after that, so all
- * earlier holders are silent {@link #CONFIRMED_MS} after its term began, and it waits for the lease from there on. The
+ * earlier holders are silent {@link #CONFIRMATION_VALID_MS} after its term began, and it waits for the lease from there on. The
  * fencing token is the fence of the claim in the control state: it is this claim's alone, and higher than all before it.
  *
  * <p>No clock, no I/O; times are milliseconds of a steady clock.
@@ -38,8 +38,8 @@
      *
      * @param epoch names the term; each has one primary
      * @param confirmedAt when the last heartbeat that a majority acknowledged was sent
-     * @param holder who claimed the duty last; empty if nobody ever did
-     * @param fence fence of that claim
+     * @param holder the replica that last claimed the rollout; empty if none ever did
+     * @param fencingToken fencing token of that claim
      * @param weights versions of weights that were named, by model
      */
     record Leadership(Epoch epoch, long confirmedAt, String holder, long fencingToken, Map<String, Long> weights) {}
@@ -82,8 +82,8 @@
     private long servedToken = -1;
 
     /**
-     * @param rollout whom to order when
-     * @param terms this machine's place at the moment of asking; empty while it is not primary
+     * @param rollout plans which server is ordered when
+     * @param leaderships this machine's leadership at the moment; empty while it is not primary
      */
     RolloutCoordinator(
             String self, long leaseMs, RolloutPlanner rollout, Supplier<Optional<Leadership>> leaderships, Out out) {
--- a/src/main/java/quartzspan/frontend/EndpointDirectory.java
+++ b/src/main/java/quartzspan/frontend/EndpointDirectory.java
@@ -65,8 +65,10 @@
 
     /** A server rejected a request for its version: it has other weights by now, most likely those that were named last. */
     void onVersionMismatch(String server, String model) {
-        long named = registry.state().weights().getOrDefault(model, 0L);
-        weights.put(server, weights(server) == 0 ? 0L : Math.max(weights(server), named));
+        if (weights(server) > 0) {
+            long named = registry.state().weights().getOrDefault(model, 0L);
+            weights.put(server, Math.max(weights(server), named));
+        }
     }
 
     /** The addresses of the stores for cached prompts that answer. */
--- a/src/main/java/quartzspan/http/ConnectionPool.java
+++ b/src/main/java/quartzspan/http/ConnectionPool.java
@@ -79,6 +79,13 @@
 
     private int connections;
 
+    /**
+     * An empty pool.
+     *
+     * @param dialTimeoutUs time within which a connection must be established
+     * @param connIdleUs time after which servers close idle connections
+     * @param maxConnections connections to all servers at once
+     */
     public ConnectionPool(EventLoop loop, long dialTimeoutUs, long connIdleUs, int maxConnections) {
         this.loop = loop;
         this.maxConnections = maxConnections;
--- a/src/main/java/quartzspan/http/HttpServer.java
+++ b/src/main/java/quartzspan/http/HttpServer.java
@@ -57,11 +57,11 @@
     /**
      * What clients may do.
      *
-     * @param mostClients connections at once
-     * @param mostHead bytes of a head
-     * @param mostBody bytes of a body
-     * @param quietMs how long a connection may be without a request
-     * @param readMs how long a request may take to come in whole
+     * @param maxConnections connections at once
+     * @param maxHeaderBytes bytes of a head
+     * @param maxBodyBytes bytes of a body
+     * @param idleTimeoutMs how long a connection may be without a request
+     * @param requestTimeoutMs how long a request may take until it is received completely
      */
     public record ConnectionLimits(
             int maxConnections, int maxHeaderBytes, int maxBodyBytes, long idleTimeoutMs, long requestTimeoutMs) {}
@@ -103,7 +103,7 @@
     /** Connections without an open request, the longest quiet first. */
     private final LinkedHashSet<ClientConnection> idleConnections = new LinkedHashSet<>();
     /** Connections in the middle of a request, the longest first. */
-    private final LinkedHashSet<ClientConnection> responseHandler = new LinkedHashSet<>();
+    private final LinkedHashSet<ClientConnection> receivingConnections = new LinkedHashSet<>();
 
     private long held;
     private Channel server;
@@ -112,6 +112,7 @@
     private boolean deaf;
     private int busyConnections;
 
+    /** A server that does not listen yet; to be called on the event loop. */
     public HttpServer(RequestHandler handler, EventLoop loop) {
         this.handler = handler;
         this.loop = loop;
@@ -124,6 +125,7 @@
         return bind(address);
     }
 
+    /** Listens at an address; idle connections are not closed before {@link #listen} was called once. */
     public ChannelFuture bind(InetSocketAddress address) {
         ChannelFuture bound = new ServerBootstrap()
                 .group(loop)
@@ -173,23 +175,35 @@
 
     private void sweep() {
         long now = System.nanoTime();
-        long idleForNanos = TimeUnit.MILLISECONDS.toNanos(limits.idleTimeoutMs());
-        for (ClientConnection c;
-                !idleConnections.isEmpty()
-                        && now - (c = idleConnections.iterator().next()).idleSinceNanos > idleForNanos; ) {
-            c.tooLong();
-        }
-        long readFor = TimeUnit.MILLISECONDS.toNanos(limits.requestTimeoutMs());
-        for (ClientConnection c;
-                !responseHandler.isEmpty()
-                        && now - (c = responseHandler.iterator().next()).readAt > readFor; ) {
-            responseHandler.remove(c);
-            if (c.busy) {
-                // Its next request has time anew: what is open must not end with it.
-                c.readAt = now;
-                responseHandler.add(c);
+        closeIdleTooLong(now);
+        endReceivingTooLong(now);
+    }
+
+    private void closeIdleTooLong(long now) {
+        long timeoutNanos = TimeUnit.MILLISECONDS.toNanos(limits.idleTimeoutMs());
+        while (!idleConnections.isEmpty()) {
+            ClientConnection longestIdle = idleConnections.iterator().next();
+            if (now - longestIdle.idleSinceNanos <= timeoutNanos) {
+                return;
+            }
+            longestIdle.tooLong();
+        }
+    }
+
+    private void endReceivingTooLong(long now) {
+        long timeoutNanos = TimeUnit.MILLISECONDS.toNanos(limits.requestTimeoutMs());
+        while (!receivingConnections.isEmpty()) {
+            ClientConnection longest = receivingConnections.iterator().next();
+            if (now - longest.readAt <= timeoutNanos) {
+                return;
+            }
+            receivingConnections.remove(longest);
+            if (longest.busy) {
+                // Its next request has all its time again: the one in flight must not end with it.
+                longest.readAt = now;
+                receivingConnections.add(longest);
             } else {
-                c.tooLong();
+                longest.tooLong();
             }
         }
     }
@@ -244,7 +258,7 @@
 
     /** Requests taken and not yet answered, and those being read. */
     public boolean idle() {
-        return busyConnections == 0 && responseHandler.isEmpty();
+        return busyConnections == 0 && receivingConnections.isEmpty();
     }
 
     /** One connection of a client. */
@@ -318,7 +332,7 @@
             } else {
                 head = request;
                 readAt = System.nanoTime();
-                responseHandler.add(this);
+                receivingConnections.add(this);
                 body = ConnectionPool.BUFFERS.buffer();
                 goAhead();
             }
@@ -347,7 +361,7 @@
             body.readBytes(whole);
             HttpRequest request = head;
             head = null;
-            responseHandler.remove(this);
+            receivingConnections.remove(this);
             wait(new QueuedRequest(request, whole, handler.now(), null));
         }
 
@@ -355,7 +369,7 @@
         private void unreadable(HttpResponseStatus error) {
             lost = true;
             head = null;
-            responseHandler.remove(this);
+            receivingConnections.remove(this);
             wait(new QueuedRequest(null, new byte[0], 0, error));
         }
 
@@ -561,7 +575,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             idleConnections.remove(this);
-            responseHandler.remove(this);
+            receivingConnections.remove(this);
             ahead.clear();
             held -= queuedBytes;
             queuedBytes = 0;
--- a/src/main/java/quartzspan/http/OutgoingRequest.java
+++ b/src/main/java/quartzspan/http/OutgoingRequest.java
@@ -29,6 +29,7 @@
             HttpHeaderNames.CONTENT_LENGTH,
             DEADLINE);
 
+    /** A client's request without the headers that concern the client's own connection. */
     public static OutgoingRequest of(HttpRequest in, byte[] body) {
         HttpHeaders headers = new DefaultHttpHeaders().set(in.headers());
         in.headers().getAll(HttpHeaderNames.CONNECTION).forEach(names -> List.of(names.split(","))
--- a/src/main/java/quartzspan/loadbalancing/RingHashLoadBalancer.java
+++ b/src/main/java/quartzspan/loadbalancing/RingHashLoadBalancer.java
@@ -248,7 +248,7 @@
             Node n = nodes.computeIfAbsent(e.id(), id -> new Node(id, HASH.hashCharsToLong(id), FIRST_LIMIT));
             n.seen = walk;
             if (e.availability() != Availability.GONE) {
-                update(n, e, now);
+                update(n, e);
             } else if (n.onRing) {
                 leave(n);
             }
@@ -263,7 +263,7 @@
         arm(now);
     }
 
-    private void update(Node n, Endpoint e, long now) {
+    private void update(Node n, Endpoint e) {
         n.zone = e.zone();
         n.kind = e.kind() & KINDS - 1;
         n.cell = e.cell();
@@ -414,7 +414,7 @@
             return 1;
         }
         Contract c = settings.contract();
-        double part = c.coldUs() == 0 ? 1 : Math.max(0.0, now - n.warmFrom) / c.coldUs();
+        double part = c.coldUs() == 0 ? 1 : Math.max(0.0, (double) (now - n.warmFrom)) / c.coldUs();
         n.cold = part < 1;
         return Math.min(1, c.coldFrom() + (1 - c.coldFrom()) * part);
     }
@@ -603,7 +603,7 @@
         long hash = in.key() != null ? HASH.hashCharsToLong(in.key()) : random.nextLong();
         RequestClass type = settings.classes().get(in.classIndex());
         // An unmarked repeat shows by its budget: less than a whole try's of late, what patience is left.
-        whole[in.classIndex()] = Math.max(in.budgetUs(), whole[in.classIndex()] * WHOLE_FADE);
+        whole[in.classIndex()] = Math.max((double) in.budgetUs(), whole[in.classIndex()] * WHOLE_FADE);
         boolean repeat = in.repeat() || in.budgetUs() < WHOLE_TRY * whole[in.classIndex()];
         double worth = type.worth() * tenantWorth(in, now) * (repeat ? REPEAT_WORTH : 1);
         Req r = new Req(in, type, hash, now, worth, ++requests);
@@ -787,7 +787,7 @@
         long left = Math.max(1, r.worthUntil() - now);
         int most = r.type.effect() == Effect.FRAGILE ? 0 : settings.limits().maxAttempts();
         double least = Math.max(ATTEMPT_PART * left, SILENT_LAGS * usualLag[r.in.classIndex()]);
-        return r.attempts.size() < most ? (long) Math.min(left, least) : left;
+        return r.attempts.size() < most ? (long) Math.min((double) left, least) : left;
     }
 
     // ---- effects -------------------------------------------------------------------------------------
--- a/src/main/java/quartzspan/prefixcache/PrefixCacheUpdate.java
+++ b/src/main/java/quartzspan/prefixcache/PrefixCacheUpdate.java
@@ -1,11 +1,11 @@
 package quartzspan.prefixcache;
 
 /**
- * What one process tells another of the parts that a server keeps.
+ * An update of the prompt blocks that a server has cached.
  *
- * @param stream names one watcher's reports of one server; {@code seq} counts them
- * @param parts names of parts, see {@link PrefixCacheIndex#part}
- * @param tokens tokens kept of each now; 0 if it is kept no more
+ * @param stream identifies one reader's updates of one server; {@code seq} counts them
+ * @param blocks names of blocks, see {@link PrefixCacheIndex#block}
+ * @param tokens tokens that are cached of each now; 0 if it was evicted
  */
 public record PrefixCacheUpdate(Kind kind, String server, long stream, long seq, long[] blocks, int[] tokens) {
     /** {@code WHOLE} replaces all that was known of the server; {@code ASK} asks for it. */
--- a/src/main/java/quartzspan/registry/AcknowledgementTracker.java
+++ b/src/main/java/quartzspan/registry/AcknowledgementTracker.java
@@ -46,11 +46,11 @@
     private final Map<Long, Pending> pendingByNonce = new LinkedHashMap<>();
 
     /**
-     * Begins to wait.
+     * Begins to wait for acknowledgements.
      *
-     * @param wanted how many different machines must hold the news, at least one
-     * @param asked who is told them, and may answer
-     * @param known run once enough of them have answered
+     * @param required number of different machines that must have the entries, at least one
+     * @param recipients the machines that the entries are sent to
+     * @param onAcknowledged run once enough of them have acknowledged
      */
     void track(
             long now,
--- a/src/main/java/quartzspan/registry/Gossip.java
+++ b/src/main/java/quartzspan/registry/Gossip.java
@@ -305,7 +305,7 @@
 
     /**
      * Passes news on: a proxy to the few it knows, a core machine to who asked it of late and to the rest of the core. The
-     * first goes at once; what follows within {@link #COLLECT_MS} goes together. Of the state a core machine tells the steps;
+     * first goes at once; what follows within {@link #BATCH_WINDOW_MS} goes together. Of the state a core machine tells the steps;
      * others only say which they hold, and who still lacks it then fetches it.
      */
     public void broadcast(long now, Registry.Update update, String except) {
@@ -353,10 +353,10 @@
 
     /**
      * Tells news, and says when enough other core machines hold them: then they outlive this process and others with it.
-     * Whoever has not answered is told again until then, or until {@link #cancelReceipt}.
+     * Whoever has not answered is told again until then, or until {@link #cancelBroadcast}.
      *
      * @param wanted how many others must hold them, at least one
-     * @return what to give to {@link #cancelReceipt}
+     * @return what to give to {@link #cancelBroadcast}
      */
     public long broadcastUntilAcknowledged(long now, List<RegistryEntry> update, int wanted, Runnable onAcknowledged) {
         List<String> cores = cores();
--- a/src/main/java/quartzspan/registry/PublishedState.java
+++ b/src/main/java/quartzspan/registry/PublishedState.java
@@ -18,7 +18,7 @@
  * What all processes need of the control state. Unlike the whole of it, this lacks what only a primary judges orders by.
  *
  * @param weights versions of weights that were named, by model
- * @param holder the replica that last claimed the duty of loading weights; empty if nobody did
+ * @param rolloutHolder the replica that last claimed the rollout of weights; empty if none did
  */
 public record PublishedState(Configuration configuration, Map<String, Long> weights, String rolloutHolder) {
     /** Before the first change. */
--- a/src/main/java/quartzspan/registry/Registry.java
+++ b/src/main/java/quartzspan/registry/Registry.java
@@ -44,6 +44,9 @@
     /** The state at an index was surely the newest at a time: whoever holds it or a later one is as fresh as that. */
     private record FreshnessClaim(long index, long at) {}
 
+    /** A name with the hash that orders it. */
+    private record Ranked(String name, long hash) {}
+
     /** The entries of one subject; lists derived from them are kept until the next change. */
     private static final class SubjectEntries {
         final Map<String, RegistryEntry> entries = new HashMap<>();
@@ -64,6 +67,7 @@
         }
     }
 
+    /** An empty registry. */
     public Registry() {
         for (RegistryEntry.Subject subject : RegistryEntry.Subject.values()) {
             bySubject.put(subject, new SubjectEntries());
@@ -276,8 +280,6 @@
      */
     public static List<String> rendezvousSelect(String self, List<String> names, int count) {
         Hasher64 hasher = Hashing.xxh3_64();
-        /** A name with the hash that orders it. */
-        record Ranked(String name, long hash) {}
         List<Ranked> ranked = new ArrayList<>(names.size());
         for (String name : names) {
             if (!name.equals(self)) {
--- a/src/main/java/quartzspan/replication/ControlState.java
+++ b/src/main/java/quartzspan/replication/ControlState.java
@@ -10,6 +10,7 @@
 import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
+import java.util.NavigableMap;
 import java.util.TreeMap;
 import quartzspan.common.FleetException;
 import quartzspan.configuration.Configuration;
@@ -27,19 +28,19 @@
             new ControlState(Configuration.NONE, new TreeMap<>(), 0, new TreeMap<>(), "", 0);
 
     private final Configuration configuration;
-    private final TreeMap<Long, Long> acceptedDigests;
+    private final NavigableMap<Long, Long> acceptedDigests;
     /** The highest version whose digest was dropped. */
     private final long highestDroppedVersion;
 
-    private final TreeMap<String, Long> weights;
+    private final Map<String, Long> weights;
     private final String rolloutHolder;
     private final long fencingToken;
 
     private ControlState(
             Configuration configuration,
-            TreeMap<Long, Long> acceptedDigests,
+            NavigableMap<Long, Long> acceptedDigests,
             long highestDroppedVersion,
-            TreeMap<String, Long> weights,
+            Map<String, Long> weights,
             String rolloutHolder,
             long fencingToken) {
         this.configuration = configuration;
--- a/src/main/java/quartzspan/replication/PrimaryState.java
+++ b/src/main/java/quartzspan/replication/PrimaryState.java
@@ -225,6 +225,7 @@
     }
 
     /** One change at a time: the next is judged by the state after the one before. */
+    @SuppressWarnings("ReferenceEquality") // ControlState.with returns the same object where nothing changes.
     private void startChanges() {
         while (!ended && inFlight == null && !log.isAppending() && !pendingChanges.isEmpty()) {
             PendingChange pending = pendingChanges.poll();
@@ -243,6 +244,7 @@
         }
     }
 
+    @SuppressWarnings("ReferenceEquality") // The very change that was started, not an equal one.
     private void startChange(PendingChange pending, ControlState changed) {
         StateUpdate update = log.nextEntry(membership.epoch(), pending.change());
         InFlight started = new InFlight(pending.requestId(), update, context.now());
--- a/src/main/java/quartzspan/replication/Replica.java
+++ b/src/main/java/quartzspan/replication/Replica.java
@@ -157,6 +157,7 @@
         return voter.isRecovering();
     }
 
+    /** What this replica does at present. */
     public ReplicaRole role() {
         if (voter.isRecovering()) {
             return ReplicaRole.RECOVERING;
--- a/src/main/java/quartzspan/simulator/SettingsReader.java
+++ b/src/main/java/quartzspan/simulator/SettingsReader.java
@@ -54,8 +54,8 @@
                 yield list;
             }
             case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> in.getDoubleValue();
-            case VALUE_TRUE -> Boolean.TRUE;
-            case VALUE_FALSE -> Boolean.FALSE;
+            case VALUE_TRUE -> true;
+            case VALUE_FALSE -> false;
             case VALUE_STRING -> in.getText();
             default -> null;
         };
@@ -142,7 +142,7 @@
                 number(c, "lateWorth", 0),
                 aim,
                 number(c, "aimStretch", 0),
-                (long) number(c, "deadlineUs", aim));
+                (long) number(c, "deadlineUs", (double) aim));
     }
 
     private static double number(Map<String, Object> map, String name, double absent) {
--- a/src/main/java/quartzspan/transport/MessageCodec.java
+++ b/src/main/java/quartzspan/transport/MessageCodec.java
@@ -39,7 +39,7 @@
      * Who opened a connection.
      *
      * @param control where it answers servers and operators, empty for proxies
-     * @param life drawn at random at each start of a process, so that its successor at the same address is told from it
+     * @param incarnation drawn at random at each start of a process, so that its successor at the same address is told from it
      */
     public record Hello(boolean core, String address, String control, String zone, long incarnation) {
         private static final SplittableRandom INCARNATIONS = new SplittableRandom();
--- a/src/main/java/quartzspan/transport/TcpTransport.java
+++ b/src/main/java/quartzspan/transport/TcpTransport.java
@@ -62,6 +62,7 @@
         final ArrayDeque<byte[]> queued = new ArrayDeque<>();
     }
 
+    /** A transport that has no connections yet; to be called on the event loop. */
     public TcpTransport(EventLoop loop, Hello self, Receiver receiver) {
         this.loop = loop;
         this.self = self;
--- /dev/null
+++ b/src/main/java/quartzspan/transport/package-info.java
@@ -0,0 +1,6 @@
+/**
+ * Messages between the processes of the system, in SBE over TCP.
+ *
+ * <p>Its event loop owns the connections. May import {@code common}, {@code http}, and the packages whose messages it encodes.
+ */
+package quartzspan.transport;
--- a/src/test/java/example/EmbeddingTest.java
+++ b/src/test/java/example/EmbeddingTest.java
@@ -28,26 +28,32 @@
     void exampleOfTheReadmeWorks() {
         List<String> log = new ArrayList<>();
         Actions actions = new Actions() {
+            @Override
             public void send(String requestId, String endpointId, long timeoutUs) {
                 log.add("send " + requestId);
             }
 
+            @Override
             public void refuse(String requestId, long retryAfterUs) {
                 log.add("refuse");
             }
 
+            @Override
             public void fail(String requestId) {
                 log.add("fail");
             }
 
+            @Override
             public void cancel(String requestId, int attempt) {
                 log.add("cancel");
             }
 
+            @Override
             public void subscribe() {
                 log.add("subscribe");
             }
 
+            @Override
             public void wakeAt(long atUs) {}
         };
         // <example>
--- a/src/test/java/quartzspan/clientproxy/DiscoveryTest.java
+++ b/src/test/java/quartzspan/clientproxy/DiscoveryTest.java
@@ -245,8 +245,8 @@
                 watch.write("1\r\n \r\n");
                 try {
                     watch.ended().get(200, TimeUnit.MILLISECONDS);
-                } catch (TimeoutException goOn) {
-                    continue;
+                } catch (TimeoutException stillOpen) {
+                    // The next byte tells.
                 } catch (Exception e) {
                     throw new AssertionError(e);
                 }
--- a/src/test/java/quartzspan/controlplane/ApiCompatibilityTest.java
+++ b/src/test/java/quartzspan/controlplane/ApiCompatibilityTest.java
@@ -125,12 +125,12 @@
                 .append(' ')
                 .append(body)
                 .append('\n');
-        head.forEach(line -> answers.append(same(host, line)).append('\n'));
-        answers.append('\n').append(same(host, parts[1])).append("\n\n");
+        head.forEach(line -> answers.append(same(line)).append('\n'));
+        answers.append('\n').append(same(parts[1])).append("\n\n");
     }
 
     /** An answer without what differs from run to run (ports, hosts, ages, attempts), and without texts for people. */
-    private String same(String host, String text) {
+    private String same(String text) {
         return text.replace(":" + cluster.controlPort(), ":CONTROL")
                 .replace(":" + cluster.internalPort(), ":INTERNAL")
                 .replaceAll("\"fresh_ms\":-?[0-9]+", "\"fresh_ms\":N")
--- a/src/test/java/quartzspan/frontend/GracefulShutdownTest.java
+++ b/src/test/java/quartzspan/frontend/GracefulShutdownTest.java
@@ -7,6 +7,7 @@
 
 import java.io.IOException;
 import java.net.SocketTimeoutException;
+import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 import quartzspan.http.LoopbackPeers.Client;
@@ -57,7 +58,7 @@
                 .read();
         assertEquals("done", inTime.text(), "this one is sure to end in time");
         streamMayEnd.countDown();
-        String rest = new String(streaming.socket.getInputStream().readAllBytes());
+        String rest = new String(streaming.socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         assertTrue(rest.endsWith("3\r\n2nd\r\n0\r\n\r\n"), "the stream that was forwarded before is complete: " + rest);
         assertTrue(proxy.ends());
     }
--- a/src/test/java/quartzspan/frontend/ProxyProcess.java
+++ b/src/test/java/quartzspan/frontend/ProxyProcess.java
@@ -65,7 +65,7 @@
     }
 
     @Override
-    public void close() throws InterruptedException {
-        process.destroyForcibly().waitFor();
+    public void close() {
+        process.destroyForcibly().onExit().join();
     }
 }
--- a/src/test/java/quartzspan/http/LoopbackPeers.java
+++ b/src/test/java/quartzspan/http/LoopbackPeers.java
@@ -29,6 +29,7 @@
 
     private LoopbackPeers() {}
 
+    /** The next element of a queue; fails if none comes in time. */
     public static <T> T next(BlockingQueue<T> queue, String what) throws InterruptedException {
         T got = queue.poll(PATIENCE_S, TimeUnit.SECONDS);
         if (got == null) {
@@ -39,6 +40,7 @@
 
     /** A message as it came: its first line and headers in lower case names, and its body. */
     public record Message(String first, List<String> headers, byte[] body) {
+        /** The value of a header, by its name in lower case; null if there is none. */
         public String header(String name) {
             return headers.stream()
                     .filter(h -> h.toLowerCase(Locale.ROOT).startsWith(name + ":"))
@@ -143,6 +145,7 @@
 
     /** A message that a server got; {@code ended} is done when its connection is. */
     public record Seen(Message message, Socket socket, CompletableFuture<Void> ended) {
+        /** Writes text as it is. */
         public void write(String text) {
             try {
                 socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
@@ -163,6 +166,7 @@
             answer(503, "X-Not-Run: 1\r\n", "");
         }
 
+        /** Ends the stream of this side. */
         public void finish() {
             try {
                 socket.shutdownOutput();
@@ -171,6 +175,7 @@
             }
         }
 
+        /** Resets the connection. */
         public void reset() {
             try {
                 socket.setSoLinger(true, 0);
@@ -246,6 +251,7 @@
         private final List<Socket> fill = new ArrayList<>();
         private Socket last;
 
+        /** Listens with a full queue of connections. */
         public Deaf() throws Exception {
             for (int i = 0; i < 8; i++) {
                 Socket s = new Socket();
--- a/src/test/java/quartzspan/loadbalancing/BalancerInvariantsTest.java
+++ b/src/test/java/quartzspan/loadbalancing/BalancerInvariantsTest.java
@@ -179,7 +179,7 @@
             }
             c.now += gap;
             if (seed > 16 && random.nextInt(80) == 0) {
-                stand(c, balancer, random, 200_000 + random.nextInt(600_000));
+                stand(c, balancer, 200_000 + random.nextInt(600_000));
             }
             ended += advance(c, balancer, 0);
             for (String probed : List.copyOf(c.probes)) {
@@ -216,7 +216,7 @@
     }
 
     /** The process stands still: clients whose time is up have left when it looks again. */
-    private static void stand(Checker c, LoadBalancer balancer, Random random, long us) {
+    private static void stand(Checker c, LoadBalancer balancer, long us) {
         c.now += us;
         for (Map.Entry<String, Seen> e : new ArrayList<>(c.open.entrySet())) {
             if (!e.getValue().done && c.now > e.getValue().deadline) {
--- a/src/test/java/quartzspan/loadbalancing/ModuleIndependenceTest.java
+++ b/src/test/java/quartzspan/loadbalancing/ModuleIndependenceTest.java
@@ -6,6 +6,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.Locale;
 import org.junit.jupiter.api.Test;
 
 /** The module's size, width and ignorance of any deployment. */
@@ -25,7 +26,7 @@
     @Test
     void moduleKnowsNoDeployment() throws Exception {
         for (Path file : List.of(MODULE, Path.of("src/main/java/quartzspan/loadbalancing/LoadBalancer.java"))) {
-            String text = Files.readString(file).toLowerCase();
+            String text = Files.readString(file).toLowerCase(Locale.ROOT);
             for (String name : List.of(
                     "lisboa",
                     "factoring",
--- a/src/test/java/quartzspan/prefixcache/PrefixCacheIndexTest.java
+++ b/src/test/java/quartzspan/prefixcache/PrefixCacheIndexTest.java
@@ -54,7 +54,7 @@
     void theWholeIsAskedForOnceWhileItIsOnItsWay() {
         PrefixCacheIndex s = new PrefixCacheIndex();
         long asked = IntStream.range(0, 30)
-                .filter(n -> s.take(100 * n, news(Kind.DELTA, 5, 4 + n, 1, 10)))
+                .filter(n -> s.take(100L * n, news(Kind.DELTA, 5, 4 + n, 1, 10)))
                 .count();
         assertEquals(2, asked, "in three seconds");
         assertTrue(s.take(2_900, new PrefixCacheUpdate(Kind.DELTA, "j", 5, 4, new long[] {1}, new int[] {10})));
--- a/src/test/java/quartzspan/registry/RegistryTest.java
+++ b/src/test/java/quartzspan/registry/RegistryTest.java
@@ -21,6 +21,9 @@
 
 /** How entries win over each other, gossip, and are repaired; and who counts as lost. */
 class RegistryTest {
+    /** A message that is on its way. */
+    private record Flying(String from, String to, GossipMessage message) {}
+
     private static Server server(String id, long weights) {
         return new Server(id, "s", "10.0.0.9:80", "z", "m", weights, 0, 0, RegistryEntry.State.READY);
     }
@@ -154,8 +157,6 @@
     @Test
     void newsReachEverybodyAndGapsAreRepaired() {
         SplittableRandom random = new SplittableRandom(9);
-        /** A message that is on its way. */
-        record Flying(String from, String to, GossipMessage message) {}
         ArrayDeque<Flying> flying = new ArrayDeque<>();
         Map<String, Registry> registries = new HashMap<>();
         Map<String, Gossip> spreads = new HashMap<>();
--- a/src/test/java/quartzspan/replication/ReplicaSimulationTest.java
+++ b/src/test/java/quartzspan/replication/ReplicaSimulationTest.java
@@ -76,7 +76,7 @@
     private static void episode(SimulatedCluster w) {
         List<Machine> all = new ArrayList<>(w.machines.values());
         Machine m = w.any();
-        long down = 200 + w.random.nextInt(4_000);
+        long down = 200L + w.random.nextInt(4_000);
         switch (w.random.nextInt(14)) {
             case 0, 1 -> {
                 m.kill();
@@ -91,18 +91,7 @@
                 w.run(w.now + 300);
             }
             case 3, 4 -> {
-                boolean oneWay = w.random.nextBoolean();
-                boolean to = w.random.nextBoolean();
-                for (Machine o : all) {
-                    if (o != m) {
-                        if (!oneWay || to) {
-                            w.cuts.add(m.name + ">" + o.name);
-                        }
-                        if (!oneWay || !to) {
-                            w.cuts.add(o.name + ">" + m.name);
-                        }
-                    }
-                }
+                cutOff(w, m, all);
                 w.run(w.now + down);
                 w.cuts.clear();
             }
@@ -117,7 +106,7 @@
                 m.refuses = false;
             }
             case 7 -> {
-                m.slow = 20 + w.random.nextInt(1_200);
+                m.slow = 20L + w.random.nextInt(1_200);
                 w.run(w.now + down);
                 m.slow = 0;
                 w.run(w.now + 1_500);
@@ -139,6 +128,22 @@
         }
     }
 
+    /** One machine is cut off from all others, in one direction or both. */
+    private static void cutOff(SimulatedCluster w, Machine m, List<Machine> all) {
+        boolean oneWay = w.random.nextBoolean();
+        boolean to = w.random.nextBoolean();
+        for (Machine o : all) {
+            if (o != m) {
+                if (!oneWay || to) {
+                    w.cuts.add(m.name + ">" + o.name);
+                }
+                if (!oneWay || !to) {
+                    w.cuts.add(o.name + ">" + m.name);
+                }
+            }
+        }
+    }
+
     /** Some links fail, each in one direction or both, while everybody else hears everybody. */
     private static void links(SimulatedCluster w, List<Machine> all, long forMs) {
         for (int n = 1 + w.random.nextInt(all.size()); n > 0; n--) {
--- a/src/test/java/quartzspan/replication/simulation/ScenarioGenerator.java
+++ b/src/test/java/quartzspan/replication/simulation/ScenarioGenerator.java
@@ -199,7 +199,7 @@
                 kind,
                 trigger,
                 count,
-                random.nextInt(2) * random.nextInt(12),
+                (long) random.nextInt(2) * random.nextInt(12),
                 random.nextInt(3) > 0,
                 target,
                 duration(kind),
--- a/src/test/java/quartzspan/replication/simulation/SimulatedNetwork.java
+++ b/src/test/java/quartzspan/replication/simulation/SimulatedNetwork.java
@@ -63,7 +63,7 @@
         if (random.nextInt(1000) < scenario.lostPerMille()) {
             return;
         }
-        long delay = 1 + random.nextInt(DELAY_MS);
+        long delay = 1L + random.nextInt(DELAY_MS);
         if (random.nextInt(1000) < LATE_PER_MILLE) {
             delay += random.nextInt(LATE_MS);
         }
--- a/src/test/java/quartzspan/replication/simulation/TroubleInjector.java
+++ b/src/test/java/quartzspan/replication/simulation/TroubleInjector.java
@@ -149,7 +149,7 @@
                 lasting(machine, step, () -> machine.slowDisk(delay), () -> machine.slowDisk(-delay));
             }
             case TERMINATE -> terminate(machine, details);
-            case REPLACE_PLANNED -> replacePlanned(machine, step, details);
+            case REPLACE_PLANNED -> replacePlanned(machine, details);
             case REPLACE_UNPLANNED -> replaceUnplanned(machine, step);
             default -> throw new IllegalArgumentException(step.kind().name());
         }
@@ -281,7 +281,7 @@
     }
 
     /** The successor starts first; once it has had its time, or sooner, the old machine gets SIGTERM. */
-    private void replacePlanned(SimulatedMachine old, Step step, SplittableRandom details) {
+    private void replacePlanned(SimulatedMachine old, SplittableRandom details) {
         SimulatedMachine successor = simulation.add(simulation.machineCount());
         budget.added(successor.name, queue.now());
         successor.start(simulation.seedNodes(), false);
--- a/src/test/java/quartzspan/transport/TransportContractTest.java
+++ b/src/test/java/quartzspan/transport/TransportContractTest.java
@@ -7,11 +7,13 @@
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
+import java.io.IOException;
 import java.io.OutputStream;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -155,7 +157,7 @@
                 new byte[] {0, 0, 0, 3, 1, 2, 3},
                 new byte[] {127, 0, 0, 0, 9},
                 new byte[] {-1, -1, -1, -1, 0},
-                "GET / HTTP/1.1\r\nHost: x\r\n\r\n".getBytes("US-ASCII"),
+                "GET / HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII),
                 java.nio.ByteBuffer.allocate(helloFrame.length + 8)
                         .put(helloFrame)
                         .putInt(4)
@@ -226,7 +228,7 @@
         }
 
         @Override
-        public void close() throws Exception {
+        public void close() throws IOException {
             socket.close();
         }
     }
@@ -261,7 +263,8 @@
         Hello second = new Hello(true, at, "c", "z");
         BlockingQueue<Got> atB = new LinkedBlockingQueue<>();
         real(b, (from, m) -> atB.add(new Got(from, m)));
-        try (RawPeer frozen = new RawPeer(b, first).write(message(1, 1))) {
+        try (RawPeer frozen = new RawPeer(b, first)) {
+            frozen.write(message(1, 1));
             assertEquals(1, nonce(atB));
             try (RawPeer successor = new RawPeer(b, second).write(message(2, 1))) {
                 assertEquals(2, nonce(atB));
