--- a/src/main/java/quartzspan/cli/Main.java
+++ b/src/main/java/quartzspan/cli/Main.java
@@ -19,23 +19,25 @@
 import quartzspan.common.FleetException;
 import quartzspan.configuration.Configuration;
 import quartzspan.configuration.JsonFields;
+import quartzspan.replication.Membership;
 
 /** The operators' command line: {@code quartzspanctl VERB [FILE] --core IP:PORT}. */
 public final class Main {
     static final String USAGE = String.join(
             "\n",
             "usage: quartzspanctl VERB [FILE] [--core IP:PORT] [--base VERSION] [--json]",
-            "  status        what the core machine at --core is and knows: epoch, view, duty, servers, proxies",
-            "  get           the configuration in force, as it was sent",
-            "  check FILE    whether a configuration is valid; asks nobody (the core uses the same code)",
-            "  apply FILE    replaces the configuration; --base: the version it builds on (default: the one in force)",
+            "  status        the role and the knowledge of the core machine at --core: membership, rollout, servers, proxies",
+            "  get           the configuration in effect, as it was sent",
+            "  check FILE    whether a configuration is valid; works offline (the core uses the same code)",
+            "  apply FILE    replaces the configuration; --base: the version it builds on (default: the one in effect)",
             "examples:",
             "  quartzspanctl check new.json && quartzspanctl apply new.json --core 127.0.0.1:8169 --base 7",
             "  quartzspanctl status --core 127.0.0.1:8169 --json",
-            "exit status: 0 done, 2 the call's words, 6 invalid, 7 built on another version, 8 nobody decides or answers");
+            "exit status: 0 done, 2 wrong usage, 6 invalid, 7 built on another version, 8 no primary or no answer");
 
-    private static final int MISUSED = 2;
-    private static final int UNREACHED = 8;
+    private static final int OK = 200;
+    private static final int WRONG_USAGE = 2;
+    private static final int NO_ANSWER = 8;
 
     private final PrintStream out;
     private final HttpClient http = HttpClient.newBuilder()
@@ -51,7 +53,7 @@
         System.exit(new Main(System.out).run(args));
     }
 
-    /** Does what the words say; the exit status. */
+    /** Runs a command; returns the exit status. */
     int run(String... args) {
         Options options = new Options()
                 .addOption(Option.builder().longOpt("core").hasArg().get())
@@ -64,29 +66,29 @@
                     line.getArgList().size() < 2 ? null : line.getArgList().get(1);
             return switch (verb) {
                 case "status" -> status(line);
-                case "get" -> said(call(line, "GET", "Configuration.Describe", null, null));
+                case "get" -> print(call(line, "GET", "Configuration.Describe", null, null));
                 case "check" -> check(file);
                 case "apply" -> apply(line, file);
-                default -> misused("there is no verb " + verb);
+                default -> wrongUsage("unknown verb " + verb);
             };
         } catch (ParseException e) {
-            return misused(e.getMessage());
-        } catch (FleetException why) {
-            out.println(why);
-            return why.code().exit();
+            return wrongUsage(e.getMessage());
+        } catch (FleetException refusal) {
+            out.println(refusal);
+            return refusal.code().exit();
         } catch (IOException | IllegalArgumentException e) {
             out.println("no answer: " + e + "; name a core machine that runs with --core");
-            return UNREACHED;
+            return NO_ANSWER;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return UNREACHED;
+            return NO_ANSWER;
         }
     }
 
-    private int misused(String why) {
+    private int wrongUsage(String why) {
         out.println(why);
         out.println(USAGE);
-        return MISUSED;
+        return WRONG_USAGE;
     }
 
     private byte[] read(String file) throws IOException {
@@ -113,17 +115,18 @@
                             .body())
                     .version());
         }
-        int status = said(call(line, "POST", "Configuration.Replace", base, body));
-        if (status == 0) {
-            out.println("version " + m.version() + " is in force");
+        HttpResponse<byte[]> answer = call(line, "POST", "Configuration.Replace", base, body);
+        if (answer.statusCode() != OK) {
+            return print(answer);
         }
-        return status;
+        out.println("version " + m.version() + " is in effect");
+        return 0;
     }
 
     private int status(CommandLine line) throws IOException, InterruptedException {
         HttpResponse<byte[]> answer = call(line, "GET", "status", null, null);
-        if (line.hasOption("json") || answer.statusCode() != 200) {
-            return said(answer);
+        if (line.hasOption("json") || answer.statusCode() != OK) {
+            return print(answer);
         }
         JsonObject o = JsonFields.parse(answer.body());
         for (String name : o.keySet()) {
@@ -134,6 +137,8 @@
                     out.println("  " + f.getString("key") + "  " + f.getString("state") + "  "
                             + f.getString("text").replace('\t', ' '));
                 }
+            } else if (name.equals("view")) {
+                printMembership(o.getString(name));
             } else {
                 out.println(name + ": " + o.get(name));
             }
@@ -141,17 +146,33 @@
         return 0;
     }
 
-    private int said(HttpResponse<byte[]> answer) {
+    private void printMembership(String text) {
+        Membership membership = Membership.parse(text);
+        if (membership == null) {
+            out.println("membership: " + text);
+            return;
+        }
+        out.println("membership:");
+        out.println("  epoch: " + membership.epoch().text());
+        out.println("  primary: " + membership.primary());
+        out.println("  data replicas: " + String.join(", ", membership.dataReplicas()));
+        out.println("  voters: " + String.join(", ", membership.voters()));
+        if (membership.isJoint()) {
+            out.println("  previous voters: " + String.join(", ", membership.previousVoters()));
+        }
+    }
+
+    private int print(HttpResponse<byte[]> answer) {
         out.println(new String(answer.body(), java.nio.charset.StandardCharsets.UTF_8));
         return switch (answer.statusCode()) {
             case 200 -> 0;
             case 400 -> FleetException.Code.CONFIG_INVALID.exit();
             case 412 -> FleetException.Code.CONFIG_STALE.exit();
-            default -> UNREACHED;
+            default -> NO_ANSWER;
         };
     }
 
-    /** One call; goes where it is sent to, twice at the most. */
+    /** One request; follows two redirects at the most. */
     private HttpResponse<byte[]> call(CommandLine line, String method, String name, String base, byte[] body)
             throws IOException, InterruptedException {
         URI to = URI.create("http://" + line.getOptionValue("core", "127.0.0.1:8169") + "/quartzspan/" + name);
--- a/src/main/java/quartzspan/cli/package-info.java
+++ b/src/main/java/quartzspan/cli/package-info.java
@@ -1,6 +1,6 @@
 /**
  * The operators' command line client of the control plane's API.
  *
- * <p>Owns no state. May import {@code common} and {@code configuration}.
+ * <p>Owns no state. May import {@code common}, {@code configuration} and {@code replication}.
  */
 package quartzspan.cli;
--- a/src/main/java/quartzspan/common/FleetException.java
+++ b/src/main/java/quartzspan/common/FleetException.java
@@ -1,6 +1,6 @@
 package quartzspan.common;
 
-/** What this system won't do, as a kind that programs read, a reason, and what would mend it. */
+/** A refusal: a code for programs, a reason, and a remedy for people. */
 public final class FleetException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/quartzspan/common/Settings.java
+++ b/src/main/java/quartzspan/common/Settings.java
@@ -13,7 +13,7 @@
 import org.yaml.snakeyaml.error.YAMLException;
 
 /**
- * What a process is told by the file that {@code QUARTZSPAN_CONFIG} names. Unknown fields are ignored; a missing or absurd
+ * The settings of a process, from the file that {@code QUARTZSPAN_CONFIG} names. Unknown fields are ignored; a missing or absurd
  * one is refused by its name.
  *
  * @param nodeName name of the machine, for logs and as holder of orders
@@ -26,9 +26,9 @@
  * @param bootstrap whether this is the first start of the whole system
  * @param voter whether this machine's loss is counted
  * @param memoryMb memory above which the process is killed
- * @param descriptors descriptors that the process may hold
+ * @param descriptors descriptors that the process may use
  * @param dataDirectory where state is kept; null on machines without a disk
- * @param heartbeatMs about how often a server says that it lives
+ * @param heartbeatMs about how often a server sends a heartbeat
  * @param losses machines of the core that may be lost at once
  * @param bounds the figures of the rules
  */
@@ -183,12 +183,12 @@
         } catch (NumberFormatException e) {
             // Refused below, like a number that is no port.
         }
-        throw invalid(name, "must hold ports from 1 to 65535, but has " + value);
+        throw invalid(name, "must be ports from 1 to 65535, but has " + value);
     }
 
     private static FleetException invalid(String name, String what) {
         return new FleetException(
-                FleetException.Code.SETTINGS_INVALID, name + " " + what, "mend " + name + " in the settings file");
+                FleetException.Code.SETTINGS_INVALID, name + " " + what, "correct " + name + " in the settings file");
     }
 
     /** Fields of one mapping, refused by name where they are not what they must be. */
@@ -257,7 +257,7 @@
     /** Ends a program whose start failed, with one line and the status of the refusal behind it. */
     public static void refuse(Exception why, Consumer<String> log) {
         FleetException refusal = FleetException.in(why);
-        log.accept(refusal != null ? refusal.toString() : "the start failed: " + why);
+        log.accept(refusal != null ? refusal.toString() : "start failed: " + why);
         System.exit(refusal != null ? refusal.code().exit() : 1);
     }
 }
--- a/src/main/java/quartzspan/controlplane/PrefixCacheIndexer.java
+++ b/src/main/java/quartzspan/controlplane/PrefixCacheIndexer.java
@@ -167,7 +167,7 @@
         }
     }
 
-    /** Parts as [salt, ID, tokens, model], after {@code skip} other fields. */
+    /** Blocks as [salt, ID, tokens, model], after {@code skip} other fields. */
     private static List<KvEventReader.Event> blocks(JsonArray all, int skip) {
         List<KvEventReader.Event> blocks = new ArrayList<>();
         for (JsonArray block : all.getValuesAs(JsonArray.class)) {
--- a/src/main/java/quartzspan/controlplane/RolloutCoordinator.java
+++ b/src/main/java/quartzspan/controlplane/RolloutCoordinator.java
@@ -12,12 +12,13 @@
 import quartzspan.replication.Epoch;
 
 /**
- * The duty of bringing servers to the weights that were named, which one machine has at a time: the primary.
+ * The rollout of named weights to servers: a singleton role that one machine has at a time, the primary, under a lease with a
+ * fencing token.
  *
  * <p>Servers need not check fencing tokens, so the holder before must have surely stopped when the next one begins. A holder
  * sends an order only within {@link #CONFIRMATION_VALID_MS} of the sending of a heartbeat that a majority acknowledged, which is
  * asked right before the bytes go out. Whoever becomes primary was granted its epoch by a majority after that, so all
- * earlier holders are silent {@link #CONFIRMATION_VALID_MS} after its term began, and it waits for the lease from there on. The
+ * earlier holders are silent {@link #CONFIRMATION_VALID_MS} after its leadership began, and it waits for the lease from there on. The
  * fencing token is the fence of the claim in the control state: it is this claim's alone, and higher than all before it.
  *
  * <p>No clock, no I/O; times are milliseconds of a steady clock.
@@ -47,15 +48,16 @@
     /** An order to one server. */
     record Order(Server server, String model, long version, long fencingToken) {}
 
-    /** What the duty does. */
+    /** The actions of the rollout. */
     interface Out {
-        /** Claims the duty in the control state; {@link RolloutCoordinator#claimed} tells of it. */
+        /** Claims the rollout in the control state; {@link RolloutCoordinator#claimed} reports the outcome. */
         void claim(Epoch leadership);
 
-        /** Tells proxies that a server is about to load weights. */
+        /** Announces to proxies that a server is about to load weights. */
         void announce(Server server, long version);
 
-        /** Sends an order, if {@link RolloutCoordinator#permits} it right before the write; {@link RolloutCoordinator#answered} tells. */
+        /** Sends an order, if {@link RolloutCoordinator#mayOrder} permits it right before the write; {@link
+         * RolloutCoordinator#onResponse} reports the outcome. */
         void order(Order order);
 
         /** Asks a server which weights it has. */
--- a/src/main/java/quartzspan/controlplane/RolloutPlanner.java
+++ b/src/main/java/quartzspan/controlplane/RolloutPlanner.java
@@ -14,11 +14,11 @@
 final class RolloutPlanner {
     /** An order that was not answered or not seen to take effect is given anew after this. */
     private static final long RETRY_INTERVAL_MS = 2_500;
-    /** Part of a service's servers that load at once while the rollout is on schedule; a load is slower while many do. */
+    /** Fraction of a service's servers that load at once while the rollout is on schedule; a load is slower while many do. */
     private static final double CONCURRENT_LOADS = 0.28;
-    /** Largest part of a service's servers that load at once, however late the rollout is: the others serve. */
+    /** Largest fraction of a service's servers that load at once, however late the rollout is: the others serve. */
     private static final double MAX_CONCURRENT_LOADS = 0.6;
-    /** Part of the time allowed after which a rollout on schedule has reached all servers; the last ones need the rest. */
+    /** Fraction of the time allowed after which a rollout on schedule has reached all servers; the last ones need the rest. */
     private static final double SCHEDULED_FRACTION = 0.5;
 
     /** Whom to order what. */
@@ -110,7 +110,7 @@
                 .toList();
     }
 
-    /** The server takes no order now; it is asked again soon. */
+    /** The server refused the order; it is sent again soon. */
     void refused(long now, String id) {
         orderedAt.put(id, now - RETRY_INTERVAL_MS + 400);
     }
--- a/src/main/java/quartzspan/frontend/FrontendProxy.java
+++ b/src/main/java/quartzspan/frontend/FrontendProxy.java
@@ -77,6 +77,7 @@
     private final ConnectionPool connectionPool;
     private final PrefixCacheIndex prefixCacheIndex = new PrefixCacheIndex();
     private final EndpointDirectory endpoints;
+    private final PrefixCacheRouting prefixCacheRouting;
     private final SplittableRandom random = new SplittableRandom(System.nanoTime());
     private final RequestClassifier classifier = new RequestClassifier(random);
     private final Set<ProxiedRequest> inFlight = new HashSet<>();
@@ -93,6 +94,7 @@
         int maxServerConnections = Math.max(MIN_CONNECTIONS, (settings.descriptors() - RESERVED_DESCRIPTORS) / 3);
         this.connectionPool = new ConnectionPool(loop, CONNECT_TIMEOUT_US, IDLE_TIMEOUT_US, maxServerConnections);
         this.endpoints = new EndpointDirectory(registry, connectionPool, prefixCacheIndex, clock::now);
+        this.prefixCacheRouting = new PrefixCacheRouting(endpoints, prefixCacheIndex, clock);
         this.transport = new TcpTransport(loop, new Hello(false, self, "", settings.zone()), this::received);
         this.gossip = new Gossip(self, false, seeds, registry, transport::send, Gossip.firstNonce(System.nanoTime()));
         gossip.preferZone(settings.zone());
@@ -211,6 +213,10 @@
         return endpoints;
     }
 
+    PrefixCacheRouting prefixCacheRouting() {
+        return prefixCacheRouting;
+    }
+
     PrefixCacheIndex prefixCacheIndex() {
         return prefixCacheIndex;
     }
--- /dev/null
+++ b/src/main/java/quartzspan/frontend/PrefixCacheRouting.java
@@ -0,0 +1,91 @@
+package quartzspan.frontend;
+
+import io.netty.handler.codec.http.HttpHeaders;
+import quartzspan.http.Clock;
+import quartzspan.loadbalancing.PrefixAwarePlacement.Job;
+import quartzspan.prefixcache.PrefixCacheIndex;
+
+/**
+ * Chooses what a server may use of the prompt blocks that are cached, and from where it fetches them.
+ *
+ * <p>Blocks are cached under a salt of the weights' version and the tenant's isolation key, and a server that has another
+ * version by now rejects the request: so nothing is ever used under other weights.
+ */
+final class PrefixCacheRouting {
+    /** A transfer to or from a cache store pays from this number of tokens on. */
+    private static final long MIN_TRANSFER_TOKENS = 150;
+
+    private static final String CACHE_SALT = "Cache-Salt";
+    private static final String EXPECT_VERSION = "Expect-Version";
+    private static final String KV_FETCH = "Kv-Fetch";
+    private static final String KV_SAVE = "Kv-Save";
+    private static final String VERSION_PREFIX = "v";
+    private static final long[] NO_BLOCKS = {};
+
+    private final EndpointDirectory endpoints;
+    private final PrefixCacheIndex index;
+    private final Clock clock;
+
+    PrefixCacheRouting(EndpointDirectory endpoints, PrefixCacheIndex index, Clock clock) {
+        this.endpoints = endpoints;
+        this.index = index;
+        this.clock = clock;
+    }
+
+    /**
+     * Sets the headers of a request that goes to a server.
+     *
+     * @return the names of the prompt's blocks at that server; empty if its weights are unknown
+     */
+    long[] setHeaders(HttpHeaders headers, String server, Job job, Prompt prompt) {
+        long version = endpoints.weights(server);
+        if (version == 0) {
+            if (!prompt.isolationKey().isEmpty()) {
+                headers.set(CACHE_SALT, prompt.isolationKey());
+            }
+            return NO_BLOCKS;
+        }
+        String salt = VERSION_PREFIX + version + prompt.isolationKey();
+        headers.set(CACHE_SALT, salt).set(EXPECT_VERSION, version);
+        long[] blocks = prompt.blocks(salt);
+        setTransfers(headers, server, job, prompt, version, blocks);
+        return blocks;
+    }
+
+    private void setTransfers(HttpHeaders headers, String server, Job job, Prompt prompt, long version, long[] blocks) {
+        String source = endpoints
+                .placement()
+                .source(
+                        clock.now(),
+                        job,
+                        server,
+                        other -> endpoints.weights(other) == version ? cachedTokens(other, blocks, prompt) : 0);
+        boolean usable = source != null && endpoints.weights(source) == version;
+        String fetchFrom = usable ? endpoints.address(source) : null;
+        long cachedHere = cachedTokens(server, blocks, prompt);
+        long cachedAtSource = fetchFrom == null ? cachedHere : cachedTokens(source, blocks, prompt);
+        for (String store : endpoints.cacheStores()) {
+            long stored = cachedTokens(PrefixCacheIndex.store(store), blocks, prompt);
+            if (stored > Math.max(cachedHere, cachedAtSource) + MIN_TRANSFER_TOKENS) {
+                fetchFrom = store;
+                cachedAtSource = stored;
+            }
+            if (isWorthSaving(prompt, stored)) {
+                headers.set(KV_SAVE, store);
+            }
+        }
+        if (fetchFrom != null) {
+            headers.set(KV_FETCH, fetchFrom);
+        }
+    }
+
+    /** Blocks that other requests will need are saved; a prompt that is mostly its own would only evict those. */
+    private static boolean isWorthSaving(Prompt prompt, long stored) {
+        return stored + MIN_TRANSFER_TOKENS < prompt.sharedTokens()
+                && 2 * prompt.sharedTokens() >= prompt.totalTokens();
+    }
+
+    private long cachedTokens(String server, long[] blocks, Prompt prompt) {
+        return index.cachedTokens(server, blocks, prompt.tokens());
+    }
+}
--- a/src/main/java/quartzspan/frontend/Prompt.java
+++ b/src/main/java/quartzspan/frontend/Prompt.java
@@ -4,7 +4,7 @@
 import quartzspan.http.HttpFraming;
 import quartzspan.prefixcache.PrefixCacheIndex;
 
-/** The prompt of a request, by its parts; {@code wall} is what keeps apart what tenants may not share. */
+/** The prompt of a request, by its blocks; the isolation key separates what tenants may not share. */
 final class Prompt {
     private static final long[] NONE = {};
 
@@ -13,18 +13,18 @@
     private final String model;
     private final String isolationKey;
 
-    /** @param prefix parts as ID:TOKENS, with commas between; null if there are none */
+    /** @param prefix blocks as ID:TOKENS, with commas between; null if there are none */
     Prompt(String prefix, String model, String isolationKey) {
-        String[] parts = prefix == null || prefix.isBlank() ? new String[0] : prefix.split(",");
-        ids = new String[parts.length];
-        tokens = new long[parts.length];
-        for (int i = 0; i < parts.length; i++) {
-            int colon = parts[i].indexOf(':');
-            ids[i] = (colon < 0 ? parts[i] : parts[i].substring(0, colon)).trim();
+        String[] blocks = prefix == null || prefix.isBlank() ? new String[0] : prefix.split(",");
+        ids = new String[blocks.length];
+        tokens = new long[blocks.length];
+        for (int i = 0; i < blocks.length; i++) {
+            int colon = blocks[i].indexOf(':');
+            ids[i] = (colon < 0 ? blocks[i] : blocks[i].substring(0, colon)).trim();
             tokens[i] = colon < 0
                     ? 0
                     : Math.max(
-                            0, HttpFraming.number(parts[i].substring(colon + 1).trim()));
+                            0, HttpFraming.number(blocks[i].substring(colon + 1).trim()));
         }
         this.model = model;
         this.isolationKey = isolationKey;
@@ -34,22 +34,22 @@
         return isolationKey;
     }
 
-    /** Tokens of its parts. */
+    /** Tokens of each block. */
     long[] tokens() {
         return tokens;
     }
 
-    /** Tokens of the whole prompt. */
+    /** Tokens of the complete prompt. */
     long totalTokens() {
         return Arrays.stream(tokens).sum();
     }
 
-    /** Tokens of the parts that others share: all but the last. */
+    /** Tokens of the blocks that other requests share: all but the last. */
     long sharedTokens() {
         return totalTokens() - (tokens.length == 0 ? 0 : tokens[tokens.length - 1]);
     }
 
-    /** Names of its parts under a salt. */
+    /** Names of the blocks under a salt. */
     long[] blocks(String salt) {
         if (ids.length == 0) {
             return NONE;
--- a/src/main/java/quartzspan/frontend/ProxiedRequest.java
+++ b/src/main/java/quartzspan/frontend/ProxiedRequest.java
@@ -19,53 +19,52 @@
 import quartzspan.http.OutgoingRequest;
 import quartzspan.loadbalancing.LoadBalancer.Outcome;
 import quartzspan.loadbalancing.PrefixAwarePlacement.Job;
-import quartzspan.prefixcache.PrefixCacheIndex;
 
-/** One request on its way: from its client to a server, to another if it surely has not run, and the answer back. */
+/**
+ * One request of a client: forwards it to a server, to another one if it was surely not executed or may be repeated, and the
+ * response back.
+ */
 final class ProxiedRequest implements ConnectionPool.ResponseHandler {
     private static final String ATTEMPT_ID = "X-Attempt-Id";
-    private static final String SEAL = "X-Server-Seal";
+    private static final String SERVER_SEAL = "X-Server-Seal";
     private static final String NOT_EXECUTED = "X-Not-Executed";
-    private static final List<CharSequence> ONE_CONNECTION = List.of(
+    private static final List<CharSequence> HOP_BY_HOP_HEADERS = List.of(
             HttpHeaderNames.CONNECTION,
             "Keep-Alive",
             HttpHeaderNames.TRAILER,
             HttpHeaderNames.UPGRADE,
             "Proxy-Connection");
-    /** We are done this long before the client's time is up. */
-    private static final long MARGIN_US = 15_000;
-    /** Tokens that are worth a move to or from a store. */
-    private static final long WORTH_MOVING = 150;
-
+    /** The final answer is sent this long before the deadline. */
+    private static final long DEADLINE_MARGIN_US = 15_000;
     /** Sends of one request, also to one server. */
-    private static final int MOST_SENDS = 3;
+    private static final int MAX_SENDS = 3;
     /** Servers tried, also those that could not be reached. */
-    private static final int MOST_TRIED = 8;
+    private static final int MAX_SERVERS_TRIED = 8;
 
-    private static final Response NOTHING = new Response(new byte[0], null, null);
+    private static final Response NO_BODY = new Response(new byte[0], null, null);
 
     private final FrontendProxy proxy;
     private final HttpServer.ClientConnection client;
     private final Route route;
     private final Job job;
-    private final OutgoingRequest call;
+    private final OutgoingRequest request;
     private final String attemptId;
-    private final long endAt;
+    private final long deadlineUs;
     private final Prompt prompt;
-    /** What the prompt's parts are named at the server that runs it. */
+    /** Names of the prompt's blocks at the server that executes it. */
     private long[] blocks = {};
 
     private final Set<String> tried = new HashSet<>();
-    /** Servers that it reached. */
+    /** Servers that received it. */
     private final Set<String> reached = new HashSet<>();
 
-    /** Where it goes next whatever the placement says; null if the placement is to say. */
-    private String sameServer;
+    /** The server of the next send, whatever the placement chooses; null to let it choose. */
+    private String nextServer;
 
     private int sends;
-    private boolean mayHaveRun;
-    private boolean begun;
-    private boolean over;
+    private boolean mayHaveExecuted;
+    private boolean responseStarted;
+    private boolean ended;
     private String server;
     private ConnectionPool.Attempt attempt;
     private HttpResponse head;
@@ -75,52 +74,52 @@
             HttpServer.ClientConnection client,
             Route route,
             Job job,
-            OutgoingRequest call,
-            long endAt,
+            OutgoingRequest request,
+            long deadlineUs,
             Prompt prompt) {
         this.prompt = prompt;
         this.proxy = proxy;
         this.client = client;
         this.route = route;
         this.job = job;
-        this.call = call;
-        this.attemptId = call.headers().get(ATTEMPT_ID);
-        this.endAt = endAt - MARGIN_US;
+        this.request = request;
+        this.attemptId = request.headers().get(ATTEMPT_ID);
+        this.deadlineUs = deadlineUs - DEADLINE_MARGIN_US;
     }
 
     void start() {
-        client.opened(this::left);
+        client.opened(this::onDisconnect);
         next();
     }
 
     private void next() {
-        long left = endAt - proxy.now();
+        long left = deadlineUs - proxy.now();
         String to = left <= 0 ? null : target();
-        ConnectionPool.Endpoint host = to == null ? null : proxy.endpoints().endpoint(to);
-        if (host == null) {
-            refuse();
+        ConnectionPool.Endpoint endpoint = to == null ? null : proxy.endpoints().endpoint(to);
+        if (endpoint == null) {
+            reject();
             return;
         }
         server = to;
         head = null;
-        HttpHeaders headers = new DefaultHttpHeaders().set(call.headers()).set("X-Expected-Instance", to);
-        kept(headers, to);
+        HttpHeaders headers = new DefaultHttpHeaders().set(request.headers()).set("X-Expected-Instance", to);
+        blocks = proxy.prefixCacheRouting().setHeaders(headers, to, job, prompt);
         proxy.endpoints().placement().sent(to, job);
         attempt = proxy.connectionPool()
                 .attempt(
-                        host,
-                        new OutgoingRequest(call.method(), call.uri(), headers, call.body()),
+                        endpoint,
+                        new OutgoingRequest(request.method(), request.uri(), headers, request.body()),
                         left,
-                        () -> !over,
+                        () -> !ended,
                         this,
-                        this::ended);
+                        this::onAttemptEnded);
         attempt.start(reuse(to));
     }
 
     /** The server that is to get it: the one that it goes to again, or a further one if the route allows that. */
     private String target() {
-        String again = sameServer;
-        sameServer = null;
+        String again = nextServer;
+        nextServer = null;
         if (again != null && proxy.endpoints().endpoint(again) != null) {
             return again;
         }
@@ -129,62 +128,16 @@
                 : null;
     }
 
-    /** Two sends of one request bear one id, so that only their connections tell their answers apart. */
+    /** Two sends of one request have the same id, so that only their connections distinguish their responses. */
     private ConnectionPool.Reuse reuse(String to) {
         return reached.contains(to)
                 ? ConnectionPool.Reuse.NONE
                 : route.repeatable() ? ConnectionPool.Reuse.ANY : ConnectionPool.Reuse.RECENT;
     }
 
-    /**
-     * What a server may use of what was kept, and where from. Parts are made under a salt of the weights' version and the
-     * wall, and a server of another version by now turns the request away: so nothing is ever used under other weights.
-     */
-    private void kept(HttpHeaders headers, String to) {
-        long weights = proxy.endpoints().weights(to);
-        if (weights == 0) {
-            if (!prompt.isolationKey().isEmpty()) {
-                headers.set("Cache-Salt", prompt.isolationKey());
-            }
-            return;
-        }
-        String salt = "v" + weights + prompt.isolationKey();
-        headers.set("Cache-Salt", salt).set("Expect-Version", weights);
-        long[] names = prompt.blocks(salt);
-        blocks = names;
-        String source = proxy.endpoints()
-                .placement()
-                .source(
-                        proxy.now(),
-                        job,
-                        to,
-                        server -> proxy.endpoints().weights(server) != weights
-                                ? 0
-                                : proxy.prefixCacheIndex().cachedTokens(server, names, prompt.tokens()));
-        String address = source == null || proxy.endpoints().weights(source) != weights
-                ? null
-                : proxy.endpoints().address(source);
-        long here = proxy.prefixCacheIndex().cachedTokens(to, names, prompt.tokens());
-        long there = address == null ? here : proxy.prefixCacheIndex().cachedTokens(source, names, prompt.tokens());
-        for (String store : proxy.endpoints().cacheStores()) {
-            long stored = proxy.prefixCacheIndex().cachedTokens(PrefixCacheIndex.store(store), names, prompt.tokens());
-            if (stored > Math.max(here, there) + WORTH_MOVING) {
-                address = store;
-                there = stored;
-            }
-            // What others will ask for again is saved; a prompt that is mostly its own would only push that out.
-            if (stored + WORTH_MOVING < prompt.sharedTokens() && 2 * prompt.sharedTokens() >= prompt.totalTokens()) {
-                headers.set("Kv-Save", store);
-            }
-        }
-        if (address != null) {
-            headers.set("Kv-Fetch", address);
-        }
-    }
-
-    private void left() {
-        if (!over) {
-            over = true;
+    private void onDisconnect() {
+        if (!ended) {
+            ended = true;
             if (attempt != null) {
                 attempt.cancel();
             }
@@ -192,9 +145,9 @@
         }
     }
 
-    // ---- the server's answer -------------------------------------------------------------------------
+    // ---- the server's response -------------------------------------------------------------------------
 
-    /** Servers echo the id of the request that an answer is to, and a success bears its server's seal and plain body. */
+    /** Servers echo the id of the request that a response is to, and a success has its server's seal and an unencoded body. */
     @Override
     public ResponseMatch match(HttpResponse answer) {
         List<String> ids = answer.headers().getAll(ATTEMPT_ID);
@@ -203,11 +156,11 @@
         }
         int status = answer.status().code();
         boolean success = status >= 200 && status < 300;
-        return !success || sealed(answer.headers()) ? ResponseMatch.OURS : ResponseMatch.UNKNOWN;
+        return !success || hasServerSeal(answer.headers()) ? ResponseMatch.OURS : ResponseMatch.UNKNOWN;
     }
 
-    private static boolean sealed(HttpHeaders headers) {
-        return headers.getAll(SEAL).size() == 1 && !headers.contains(HttpHeaderNames.CONTENT_ENCODING);
+    private static boolean hasServerSeal(HttpHeaders headers) {
+        return headers.getAll(SERVER_SEAL).size() == 1 && !headers.contains(HttpHeaderNames.CONTENT_ENCODING);
     }
 
     @Override
@@ -226,34 +179,34 @@
 
     @Override
     public boolean streams(HttpResponse answer) {
-        if (over) {
+        if (ended) {
             return false;
         }
-        begun = true;
+        responseStarted = true;
         proxy.endpoints().placement().answering(server);
         for (int i = 0; i < blocks.length; i++) {
             proxy.prefixCacheIndex().onPrefill(server, blocks[i], (int) prompt.tokens()[i]);
         }
-        HttpHeaders headers = passedOn(answer.headers());
-        if (call.method().equals("HEAD")) {
-            // There are no chunks, not even a last one.
+        HttpHeaders headers = endToEndHeaders(answer.headers());
+        if (request.method().equals("HEAD")) {
+            // The response has no chunks, not even a last one.
             headers.remove(HttpHeaderNames.TRANSFER_ENCODING);
         }
         client.begin(new DefaultHttpResponse(HttpVersion.HTTP_1_1, answer.status(), headers));
         return true;
     }
 
-    private static HttpHeaders passedOn(HttpHeaders from) {
+    private static HttpHeaders endToEndHeaders(HttpHeaders from) {
         HttpHeaders headers = new DefaultHttpHeaders().set(from);
         from.getAll(HttpHeaderNames.CONNECTION)
                 .forEach(names -> List.of(names.split(",")).forEach(name -> headers.remove(name.trim())));
-        ONE_CONNECTION.forEach(headers::remove);
+        HOP_BY_HOP_HEADERS.forEach(headers::remove);
         return headers;
     }
 
     @Override
     public boolean piece(ByteBuf bytes) {
-        if (over) {
+        if (ended) {
             return true;
         }
         client.piece(bytes.retain());
@@ -264,16 +217,16 @@
         });
     }
 
-    private void ended(Outcome outcome, Response answer) {
+    private void onAttemptEnded(Outcome outcome, Response answer) {
         boolean stale = attempt.stale();
-        // That a server forgets idle connections does not make it a failing one.
+        // That a server closes idle connections does not make it a failing one.
         proxy.endpoints().placement().ended(proxy.now(), server, job, stale ? Outcome.IGNORED : outcome);
         attempt = null;
-        if (over) {
+        if (ended) {
             return;
         }
-        if (begun) {
-            over = true;
+        if (responseStarted) {
+            ended = true;
             if (outcome == Outcome.OK) {
                 client.finish();
             } else {
@@ -288,61 +241,66 @@
             reached.add(server);
             sends++;
         }
-        mayHaveRun |= !outcome.neverRan();
-        if (stale && sends < MOST_SENDS) {
-            sameServer = server;
+        mayHaveExecuted |= !outcome.neverRan();
+        if (stale && sends < MAX_SENDS) {
+            nextServer = server;
         }
         if (head != null && head.status().code() == 421) {
             if (server.equals(head.headers().get("X-Instance-Id"))) {
-                // The same server again is no further server: it has only changed its weights.
-                sameServer = sends < MOST_SENDS ? server : null;
-                proxy.endpoints().onVersionMismatch(server, call.headers().get("X-Model"));
+                // The same server has only changed its weights: it does not count as another attempt.
+                nextServer = sends < MAX_SENDS ? server : null;
+                proxy.endpoints().onVersionMismatch(server, request.headers().get("X-Model"));
             } else {
                 proxy.endpoints().placement().moved(proxy.now(), server);
             }
         }
-        boolean again = (!mayHaveRun || route.repeatable())
-                && (sameServer != null || reached.size() < route.maxAttempts())
-                && tried.size() < MOST_TRIED
+        boolean again = (!mayHaveExecuted || route.repeatable())
+                && (nextServer != null || reached.size() < route.maxAttempts())
+                && tried.size() < MAX_SERVERS_TRIED
                 && (!arrived || proxy.endpoints().placement().mayRepeat());
-        if (outcome == Outcome.FAILED && answer != null && (route.repeatable() || !promisesNotRun(head.status()))) {
-            // The server's own word: it ran, and this is what came of it.
-            conclude(head.status(), new Response(answer.body(), null, own(passedOn(answer.headers()))), 0);
+        if (outcome == Outcome.FAILED
+                && answer != null
+                && (route.repeatable() || !promisesNotExecuted(head.status()))) {
+            // The server executed it, and this is its response.
+            answer(
+                    head.status(),
+                    new Response(answer.body(), null, withoutLength(endToEndHeaders(answer.headers()))),
+                    0);
         } else if (again) {
             next();
         } else {
-            refuse();
+            reject();
         }
     }
 
-    /** Clients take these for a promise that the request has not run and never will. */
-    private static boolean promisesNotRun(HttpResponseStatus status) {
+    /** Clients take these for a promise that the request was not executed and never will be. */
+    private static boolean promisesNotExecuted(HttpResponseStatus status) {
         return switch (status.code()) {
             case 408, 421, 429, 503 -> true;
             default -> false;
         };
     }
 
-    private static HttpHeaders own(HttpHeaders headers) {
+    private static HttpHeaders withoutLength(HttpHeaders headers) {
         return headers.remove(HttpHeaderNames.CONTENT_LENGTH).remove(HttpHeaderNames.TRANSFER_ENCODING);
     }
 
-    // ---- answers of our own --------------------------------------------------------------------------
+    // ---- the proxy's own answers --------------------------------------------------------------------------
 
-    /** The final answer where none was served: when to come back if it has not run, and no promise if it may have. */
-    private void refuse() {
-        if (!mayHaveRun) {
-            conclude(HttpResponseStatus.SERVICE_UNAVAILABLE, NOTHING, proxy.retryAfterUs(route));
+    /** The final answer where no server gave one: when to retry if it was surely not executed, and no promise if it may have been. */
+    private void reject() {
+        if (!mayHaveExecuted) {
+            answer(HttpResponseStatus.SERVICE_UNAVAILABLE, NO_BODY, proxy.retryAfterUs(route));
         } else {
-            conclude(
-                    proxy.now() >= endAt ? HttpResponseStatus.GATEWAY_TIMEOUT : HttpResponseStatus.BAD_GATEWAY,
-                    NOTHING,
+            answer(
+                    proxy.now() >= deadlineUs ? HttpResponseStatus.GATEWAY_TIMEOUT : HttpResponseStatus.BAD_GATEWAY,
+                    NO_BODY,
                     0);
         }
     }
 
-    private void conclude(HttpResponseStatus status, Response answer, long retryAfterUs) {
-        over = true;
+    private void answer(HttpResponseStatus status, Response answer, long retryAfterUs) {
+        ended = true;
         client.answer(status, answer, retryAfterUs);
         proxy.onEnded(this);
     }
--- a/src/main/java/quartzspan/prefixcache/KvEventReader.java
+++ b/src/main/java/quartzspan/prefixcache/KvEventReader.java
@@ -6,7 +6,7 @@
 
 /**
  * Follows what one server keeps, by its events, and by its list where events were missed. No clock, no I/O: it says what to
- * ask, is told the answer, and says what is news. Times are milliseconds of a steady clock.
+ * call, gets the response, and returns updates of the index. Times are milliseconds of a steady clock.
  */
 public final class KvEventReader {
     /** Time between calls: each that comes back at once costs the server as much as a health check. */
@@ -15,7 +15,7 @@
     private static final long RETRY_INTERVAL_MS = 700;
     /** Failures in a row after which nothing it keeps is of use. */
     private static final int MAX_FAILURES = 2;
-    /** A list holds the server up; not more often than this. */
+    /** A list delays the server; not more often than this. */
     private static final long LIST_INTERVAL_MS = 3_000;
 
     /** What to ask the server for. */
@@ -45,7 +45,7 @@
         this.stream = stream;
     }
 
-    /** What to ask now; the answer is owed before anything else is asked. */
+    /** The call to make now; it has to end before the next one is due. */
     public NextCall due(long now) {
         if (callInFlight || now < nextCallAtMs) {
             return NextCall.NOTHING;
@@ -83,7 +83,7 @@
         nextCallAtMs = now + CALL_INTERVAL_MS;
         boolean first = !started || serverEpoch != epoch;
         if (first) {
-            // A new life keeps nothing yet, and tells its events from the first one on.
+            // A new incarnation of the server has nothing cached yet, and sends its events from the first one on.
             listRequired = started && since > 0 || lost;
             started = true;
             epoch = serverEpoch;
@@ -100,8 +100,8 @@
     }
 
     /**
-     * The last event of each part: a server's events since its start are many times what it keeps now, and whoever follows
-     * it anew would tell them all to everybody.
+     * The last event of each block: a server's events since its start are many times what it has cached now, and a new reader would
+     * broadcast all of them.
      */
     private static List<Event> outcome(List<Event> events) {
         Map<List<String>, Event> last = new LinkedHashMap<>();
--- a/src/main/java/quartzspan/prefixcache/PrefixCacheIndex.java
+++ b/src/main/java/quartzspan/prefixcache/PrefixCacheIndex.java
@@ -5,13 +5,13 @@
 import java.util.Map;
 
 /**
- * The index of kept prompts: which server keeps how much of which part. Fed by updates; what is missed shows by their
- * numbers and is asked for whole. It may always be a little wrong: what it says is where to look, never what may be used.
+ * The index of cached prompt blocks: how many tokens of which block a server has. Fed by updates; a gap in their numbers leads to
+ * the request of a snapshot. It may always be a little wrong: it says where to look, never what may be used.
  */
 public final class PrefixCacheIndex {
     /**
-     * Time for the answer to a question for the whole, before it is asked again. Every report that comes meanwhile shows the
-     * same gap; a question for each would bring the whole as often, the more of them the slower the link is.
+     * Time between requests of a snapshot. Every update that comes meanwhile shows the same gap; a request for each would bring
+     * the snapshot as often, the more of them the slower the link is.
      */
     private static final long SNAPSHOT_REQUEST_INTERVAL_MS = 1_500;
 
@@ -24,7 +24,7 @@
 
     private final Map<String, ServerBlocks> servers = new HashMap<>();
 
-    /** The name of a part: what it is kept under, its id and its model, hashed. */
+    /** The name of a block: a hash of the salt that it is cached under, its id and its model. */
     public static long block(String salt, String id, String model) {
         return Hashing.xxh3_64()
                 .hashStream()
@@ -35,7 +35,7 @@
     }
 
     /**
-     * Takes a report; whether the whole is to be asked for now, since something is missing before it.
+     * Applies an update; whether a snapshot is to be requested now, since updates before it are missing.
      *
      * @param now milliseconds of a steady clock
      */
@@ -75,7 +75,7 @@
         }
     }
 
-    /** What this process saw itself: a server has read a part. */
+    /** This process saw that a server has prefilled a block. */
     public void onPrefill(String server, long block, int tokens) {
         put(servers.computeIfAbsent(server, k -> new ServerBlocks()), block, tokens);
     }
@@ -116,7 +116,7 @@
         servers.remove(server);
     }
 
-    /** Tokens that a server keeps of a prompt: of its parts in order, as far as all before are kept whole. */
+    /** Tokens of a prompt that a server has cached: of its blocks in order, as far as all before are complete. */
     public long cachedTokens(String server, long[] blocks, long[] tokens) {
         ServerBlocks s = servers.get(server);
         long sum = 0;
@@ -124,7 +124,7 @@
             for (int i = 0; i < blocks.length; i++) {
                 int has = s.blocks.getOrDefault(blocks[i], 0);
                 sum += Math.min(has, tokens[i]);
-                // Memory goes by blocks: the last few tokens of a part are never kept.
+                // Memory is allocated in pages: the last few tokens of a block are never cached.
                 if (has + 64 < tokens[i]) {
                     break;
                 }
@@ -133,7 +133,7 @@
         return sum;
     }
 
-    /** Parts known, over all servers. */
+    /** Number of blocks, over all servers. */
     public int size() {
         return servers.values().stream().mapToInt(s -> s.blocks.size()).sum();
     }
--- a/src/main/java/quartzspan/prefixcache/PrefixCacheUpdate.java
+++ b/src/main/java/quartzspan/prefixcache/PrefixCacheUpdate.java
@@ -8,14 +8,14 @@
  * @param tokens tokens that are cached of each now; 0 if it was evicted
  */
 public record PrefixCacheUpdate(Kind kind, String server, long stream, long seq, long[] blocks, int[] tokens) {
-    /** {@code WHOLE} replaces all that was known of the server; {@code ASK} asks for it. */
+    /** {@code SNAPSHOT} replaces all that was known of the server; {@code SNAPSHOT_REQUEST} asks for one. */
     public enum Kind {
         DELTA,
         SNAPSHOT,
         SNAPSHOT_REQUEST
     }
 
-    /** No message holds more parts. */
+    /** No update has more blocks. */
     public static final int MAX_BLOCKS = 60_000;
 
     /** Asks for all blocks of a server. */
--- a/src/main/java/quartzspan/registry/AcknowledgementTracker.java
+++ b/src/main/java/quartzspan/registry/AcknowledgementTracker.java
@@ -9,16 +9,16 @@
 import java.util.Set;
 
 /**
- * Counts which core machines hold a piece of news, for news that may be acknowledged only once enough of them do. A machine
+ * Counts which core machines have acknowledged entries, for updates that are only safe once enough of them have. A machine
  * counts once, however often it answers. No clock, no I/O; times are milliseconds of a steady clock.
  */
 final class AcknowledgementTracker {
-    /** Pause before news are sent again to those who have not answered. */
+    /** Pause before entries are sent again to machines that have not acknowledged them. */
     private static final long RETRY_MS = 150;
     /** Receipts waited for at once; beyond that the oldest is given up. */
     static final int MAX_PENDING = 1_024;
 
-    /** News that are due again, and to whom. */
+    /** Entries to be sent again, and their receivers. */
     record Retry(long nonce, List<RegistryEntry> entries, List<String> to) {}
 
     private static final class Pending {
@@ -67,7 +67,7 @@
         }
     }
 
-    /** A core machine says that it holds the news. */
+    /** A core machine acknowledges the entries. */
     void onAcknowledgement(long nonce, String acknowledger) {
         Pending pending = pendingByNonce.get(nonce);
         if (pending != null
@@ -79,7 +79,7 @@
         }
     }
 
-    /** Nobody waits for this one any more. */
+    /** The acknowledgements are not needed any more. */
     void cancel(long nonce) {
         pendingByNonce.remove(nonce);
     }
--- a/src/main/java/quartzspan/registry/CoreMachine.java
+++ b/src/main/java/quartzspan/registry/CoreMachine.java
@@ -1,7 +1,7 @@
 package quartzspan.registry;
 
 /**
- * What a core machine says of itself.
+ * A core machine as it describes itself.
  *
  * @param address internal address
  * @param control where it takes servers' and operators' calls
@@ -10,7 +10,7 @@
 public record CoreMachine(String address, String control, String zone) {
     private static final String SEPARATOR = "\t";
 
-    /** The first entry of a core machine's life. */
+    /** The first entry of a core machine's incarnation. */
     public RegistryEntry entry() {
         return new RegistryEntry(
                 RegistryEntry.Subject.CORE, address, 1, RegistryEntry.State.READY, control + SEPARATOR + zone);
--- a/src/main/java/quartzspan/registry/Gossip.java
+++ b/src/main/java/quartzspan/registry/Gossip.java
@@ -11,24 +11,24 @@
 import java.util.SplittableRandom;
 
 /**
- * How what one process knows gets to the others, without clock or I/O: news go at once to a few, who pass on what was news to
- * them; questions that carry digests find what was missed; and answers say how fresh the control state is. Who "the few"
- * are, rendezvous hashing says ({@link Registry#few}).
+ * Spreads the registry and the published state between processes, without clock or I/O: an update goes at once to a few peers,
+ * which forward what was new to them; queries with digests find what was missed (anti-entropy); and replies carry the age of
+ * the control state. The peers are chosen by rendezvous hashing ({@link Registry#rendezvousSelect}).
  */
 public final class Gossip {
-    /** Time between questions to the core, and to other proxies. */
+    /** Time between queries to the core, and to other proxies. */
     private static final long CORE_QUERY_INTERVAL_MS = 250;
 
     private static final long PEER_QUERY_INTERVAL_MS = 500;
-    /** A question not answered in this time counts against whom it was put to. */
+    /** A query that is not answered in this time counts as a failure of its receiver. */
     private static final long QUERY_TIMEOUT_MS = 400;
-    /** State older than this at a core machine is not good enough where another may have it fresher. */
+    /** A core machine whose state is older than this counts as failing: another one may have it fresher. */
     private static final long MAX_STALENESS_MS = 900;
-    /** Who asked within this time is sent news at once. */
+    /** A process that sent a query within this time is sent updates at once. */
     private static final long SUBSCRIPTION_MS = 1_500;
 
     private static final int PEER_COUNT = 3;
-    /** News within this time of the last are collected and told together by the next tick. */
+    /** Updates within this time of the last broadcast are collected and sent together at the next tick. */
     private static final long BATCH_WINDOW_MS = 40;
 
     private static final long NEVER = Long.MIN_VALUE / 4;
@@ -49,18 +49,18 @@
     private final Map<Long, Query> openQueries = new LinkedHashMap<>();
     private final Map<String, Long> subscribers = new HashMap<>();
     private final AcknowledgementTracker acknowledgements = new AcknowledgementTracker();
-    /** News that wait for the next tick; the later of two about one key stands for both. */
+    /** Entries that wait for the next tick; the later of two about one key replaces the other. */
     private final Map<String, RegistryEntry> pendingEntries = new LinkedHashMap<>();
 
     private boolean statePending;
-    /** Whether the untold state was published by this process. */
+    /** Whether the pending state was published by this process. */
     private boolean publishes;
-    /** Index of the state that was last told. */
+    /** Index of the state that was last broadcast. */
     private long broadcastIndex = -1;
 
     private final StateFetch fetches;
     private long broadcastAtMs = Long.MIN_VALUE / 2;
-    /** How often in a row a core machine left a question without a good answer. */
+    /** Number of queries in a row that a core machine has not answered well. */
     private final Map<String, Integer> failureCounts = new HashMap<>();
 
     private long lastNonce;
@@ -71,14 +71,14 @@
     /** Ranked lists, kept until what they come from changes. */
     private List<String> rankedCores = List.of();
 
-    /** The zone whose core machines are asked first; null for none. */
+    /** The zone whose core machines are preferred; null for none. */
     private String zone;
 
     private long rankedCoresVersion = -1;
     private List<String> rankedPeers = List.of();
     private long rankedPeersVersion = -1;
 
-    /** As below, with questions numbered from 1 on: for a process that has no earlier life. */
+    /** As below, with queries numbered from 1 on: for a process without an earlier incarnation. */
     public Gossip(String self, boolean core, List<String> seeds, Registry registry, Out out) {
         this(self, core, seeds, registry, out, 0);
     }
@@ -87,8 +87,8 @@
      * Starts without knowledge.
      *
      * @param seeds internal addresses of core machines to begin with
-     * @param firstNonce from where on questions are numbered: an answer to a question of an earlier life of this process
-     *     must match none of this life, or old state would count as fresh
+     * @param firstNonce the number before that of the first query: a reply to a query of an earlier incarnation of this
+     *     process must match none of this one, or old state would count as fresh
      */
     public Gossip(String self, boolean core, List<String> seeds, Registry registry, Out out, long firstNonce) {
         this.self = self;
@@ -100,7 +100,7 @@
         this.lastNonce = firstNonce;
     }
 
-    /** A first nonce that no other life is likely to be near, drawn by a seed. */
+    /** A first nonce that no other incarnation is likely to be near, drawn by a seed. */
     public static long firstNonce(long seed) {
         return new SplittableRandom(seed).nextLong() >>> 2;
     }
@@ -111,7 +111,7 @@
         rankedCoresVersion = -1;
     }
 
-    /** Core machines of this zone are asked first, so that what they tell crosses between zones once, not for each proxy. */
+    /** Prefers the core machines of a zone, so that updates cross between zones once, not for each proxy. */
     public void preferZone(String preferred) {
         zone = preferred;
         rankedCoresVersion = -1;
@@ -151,7 +151,7 @@
         return List.copyOf(known);
     }
 
-    /** The few other proxies that this process knows. */
+    /** The other proxies that this process exchanges updates with. */
     public List<String> peers() {
         long changes = registry.version(RegistryEntry.Subject.PROXY);
         if (rankedPeersVersion != changes) {
@@ -161,7 +161,7 @@
         return rankedPeers;
     }
 
-    /** To be called every 50 to 100 ms; {@code leader}: on a core machine, who is primary, if known and not itself. */
+    /** To be called every 50 to 100 ms; {@code leader}: on a core machine the primary, if known and another one. */
     public void onTick(long now, String leader) {
         broadcastCollected(now);
         String unresponsive = fetches.onTick(now);
@@ -185,7 +185,7 @@
                 query(now, leader, false);
             } else if (!cores.isEmpty()) {
                 query(now, cores.get(0), false);
-                // The first choice again, now and then: it may be well again.
+                // The first choice is still queried, and another one beside it: it may have recovered.
                 if (failureCounts.getOrDefault(cores.get(0), 0) > 0 && cores.size() > 1) {
                     query(now, cores.get(1 + rotation++ % (cores.size() - 1)), false);
                 }
@@ -209,7 +209,7 @@
         out.send(to, registry.query(now, lastNonce, full));
     }
 
-    /** Something came; the news in it have been passed on already. */
+    /** A message came; what was new in it has been forwarded already. */
     public Registry.Update onGossip(long now, String from, GossipMessage in) {
         Registry.Update update =
                 switch (in.kind()) {
@@ -225,7 +225,7 @@
         return update;
     }
 
-    /** This process is about to end: it confirms no more that it holds anything. */
+    /** This process is about to end: it acknowledges no more entries. */
     public void stopAcknowledging() {
         acknowledgesNothing = true;
     }
@@ -270,7 +270,7 @@
         return update;
     }
 
-    /** Tells the steps from the asker's state to the one held, or a part of a snapshot where the steps are not known. */
+    /** Sends the deltas from the requester's state to the one here, or a chunk of a snapshot where the deltas are not known. */
     private Registry.Update onFetch(String from, GossipMessage in) {
         StateFollower states = registry.states();
         boolean anyWill = in.chunk().index() == SnapshotChunk.ANY;
@@ -285,7 +285,7 @@
         return newer ? new Registry.Update(List.of(), true) : NO_UPDATE;
     }
 
-    /** What the one who answered does not have, or has older. */
+    /** Sends the entries that the other process lacks, or has older. */
     private void sendLacking(String to, long[] buckets) {
         List<RegistryEntry> lacking = registry.differing(buckets);
         if (!lacking.isEmpty()) {
@@ -293,20 +293,20 @@
         }
     }
 
-    /** Who asked of late: on a core machine the proxies that it serves. */
+    /** The processes that have sent queries of late: on a core machine the proxies that it serves. */
     public List<String> subscribers() {
         return List.copyOf(subscribers.keySet());
     }
 
-    /** Passes one entry on, as {@link #tell(long, Registry.News, String)} does. */
+    /** Broadcasts one entry, as {@link #broadcast(long, Registry.Update, String)} does. */
     public void broadcast(long now, RegistryEntry update) {
         broadcast(now, new Registry.Update(List.of(update), false), null);
     }
 
     /**
-     * Passes news on: a proxy to the few it knows, a core machine to who asked it of late and to the rest of the core. The
-     * first goes at once; what follows within {@link #BATCH_WINDOW_MS} goes together. Of the state a core machine tells the steps;
-     * others only say which they hold, and who still lacks it then fetches it.
+     * Broadcasts an update: a proxy to its peers, a core machine to its subscribers and to the other core machines. The first one
+     * goes at once; those within {@link #BATCH_WINDOW_MS} go together. A core machine sends the deltas of the state; other
+     * processes only send its index, and a process that lacks it fetches it.
      */
     public void broadcast(long now, Registry.Update update, String except) {
         if (now - broadcastAtMs < BATCH_WINDOW_MS) {
@@ -345,18 +345,18 @@
         publishes = false;
     }
 
-    /** A new state was published by this process: the rest of the core has it from nobody else. */
+    /** This process has published a new state: it is the only one that sends it to the other core machines. */
     public void onPublished(long now) {
         publishes = true;
         broadcast(now, new Registry.Update(List.of(), true), null);
     }
 
     /**
-     * Tells news, and says when enough other core machines hold them: then they outlive this process and others with it.
-     * Whoever has not answered is told again until then, or until {@link #cancelBroadcast}.
+     * Broadcasts entries until enough other core machines have acknowledged them: then they outlive this process and others
+     * with it. They are sent again to the other ones until then, or until {@link #cancelBroadcast}.
      *
-     * @param wanted how many others must hold them, at least one
-     * @return what to give to {@link #cancelBroadcast}
+     * @param wanted number of other core machines that must have them, at least one
+     * @return the argument of {@link #cancelBroadcast}
      */
     public long broadcastUntilAcknowledged(long now, List<RegistryEntry> update, int wanted, Runnable onAcknowledged) {
         List<String> cores = cores();
@@ -373,7 +373,7 @@
         return nonce;
     }
 
-    /** Nobody waits for these news to be held by others any more. */
+    /** The acknowledgements of a broadcast are not needed any more. */
     public void cancelBroadcast(long receipt) {
         acknowledgements.cancel(receipt);
     }
--- a/src/main/java/quartzspan/registry/GossipMessage.java
+++ b/src/main/java/quartzspan/registry/GossipMessage.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * What one process tells another.
+ * A message of the gossip between processes.
  *
- * @param nonce of the question; an answer repeats it
- * @param ageMs how long ago the state of the teller was surely the newest; -1 if it never was
- * @param stateIndex the committed index of the control state that the teller has; -1 if it has none
- * @param buckets digests of the teller's entries by bucket of key, or one digest of all; empty where nothing is compared
- * @param entries news, or what the asker lacks by its digests
- * @param deltas steps of the published state
- * @param chunk a part of a snapshot, or which part is wanted
+ * @param nonce of the query; a reply repeats it
+ * @param ageMs time since the state of the sender was surely the newest; -1 if it never was
+ * @param stateIndex the committed index of the state at the sender; -1 if it has none
+ * @param buckets digests of the sender's entries by bucket of key, or one digest of all; empty where nothing is compared
+ * @param entries updated entries, or those that the receiver lacks by its digests
+ * @param deltas deltas of the published state
+ * @param chunk a chunk of a snapshot, or the request for one
  */
 public record GossipMessage(
         Kind kind,
@@ -25,14 +25,14 @@
 
     /** Kinds of messages. */
     public enum Kind {
-        /** Asks for what is lacking here, by digests. */
+        /** Asks for the entries that the sender lacks, by digests. */
         QUERY,
         REPLY,
-        /** Tells something unasked. */
+        /** Entries, and the index of the state, that were not queried. */
         UPDATE,
-        /** Between core machines: which servers beat here of late. */
+        /** Between core machines: the servers and proxies that were heard of late. */
         HEARTBEATS,
-        /** Asks for the published state: the steps to it, or a part of a snapshot. */
+        /** Asks for the published state: the deltas to it, or a chunk of a snapshot. */
         FETCH,
         /** Answers {@link #FETCH}. */
         FETCH_REPLY
@@ -40,19 +40,19 @@
 
     static final long[] UNCOMPARED = {};
 
-    /** Between core machines: who was heard. */
+    /** Between core machines: the servers and proxies that were heard. */
     public static GossipMessage heartbeats(List<RegistryEntry> entries) {
         return new GossipMessage(Kind.HEARTBEATS, 0, -1, -1, UNCOMPARED, entries, List.of(), SnapshotChunk.NONE);
     }
 
-    /** Entries told unasked; {@code receipt}: what the answer is to repeat, or 0 for none. */
+    /** Entries that were not queried; the nonce is to be acknowledged, 0 for none. */
     static GossipMessage update(
             long acknowledgementNonce, long stateIndex, List<RegistryEntry> entries, List<StateDelta> deltas) {
         return new GossipMessage(
                 Kind.UPDATE, acknowledgementNonce, -1, stateIndex, UNCOMPARED, entries, deltas, SnapshotChunk.NONE);
     }
 
-    /** Says that news came. */
+    /** Acknowledges an update. */
     static GossipMessage acknowledgement(long nonce) {
         return new GossipMessage(Kind.REPLY, nonce, -1, -1, UNCOMPARED, List.of(), List.of(), SnapshotChunk.NONE);
     }
--- a/src/main/java/quartzspan/registry/HeartbeatTracker.java
+++ b/src/main/java/quartzspan/registry/HeartbeatTracker.java
@@ -6,19 +6,19 @@
 import java.util.Map;
 
 /**
- * On a core machine: which servers and proxies live, by what they say. Only changes become entries; that somebody still lives is
- * passed between core machines alone. No clock, no I/O.
+ * On a core machine: which servers and proxies are alive, by their messages. Only changes become entries; heartbeats are passed on
+ * between core machines alone. No clock, no I/O.
  */
 public final class HeartbeatTracker {
     /** Heartbeats that may be missed before a server counts as lost. */
     private static final double MAX_MISSED_HEARTBEATS = 3.7;
-    /** Silence after which a proxy counts as lost. */
+    /** Time without a message after which a proxy counts as lost. */
     private static final long PROXY_TIMEOUT_MS = 4_000;
-    /** A proxy asks more often than this; the other core machines need not hear of each time. */
+    /** A proxy sends queries more often than this; the other core machines need not learn of each one. */
     private static final long PROXY_REPORT_INTERVAL_MS = 500;
-    /** Time between words to the other core machines of who was heard. */
+    /** Time between reports to the other core machines. */
     private static final long REPORT_INTERVAL_MS = 200;
-    /** Time between looks for who has been silent. */
+    /** Time between checks for servers and proxies that have timed out. */
     private static final long CHECK_INTERVAL_MS = 200;
 
     private record LastHeartbeat(long at, long count) {}
@@ -27,7 +27,7 @@
     private final long heartbeatMs;
     private final Map<String, LastHeartbeat> servers = new HashMap<>();
     private final Map<String, LastHeartbeat> proxies = new HashMap<>();
-    /** Heard here since the others were last told. */
+    /** Heard here since the last report to the other core machines. */
     private final Map<String, RegistryEntry> unreported = new HashMap<>();
 
     private final Map<String, Long> proxyReportedAtMs = new HashMap<>();
@@ -39,7 +39,7 @@
         this.heartbeatMs = heartbeatMs;
     }
 
-    /** A server's word; the news it makes, or null. */
+    /** A heartbeat of a server; the updated entry, or null if nothing changed. */
     public RegistryEntry onServerHeartbeat(
             long now, String id, long count, RegistryEntry.State state, Server reported) {
         LastHeartbeat last = servers.get(id);
@@ -50,13 +50,13 @@
         servers.put(id, new LastHeartbeat(now, late ? last.count() : count));
         unreported.put(id, new RegistryEntry(RegistryEntry.Subject.SERVER, id, count, state, ""));
         RegistryEntry old = registry.entry(RegistryEntry.Subject.SERVER, id);
-        // What it was ordered to load it doesn't say; that holds until it has it.
+        // The heartbeat doesn't name the weights that the server is loading: they stay until it has them.
         Server before = old == null ? null : Server.of(old);
         String text = reported.text(reported.weights(), before == null ? 0 : before.loading());
         if (old != null && old.state() == state && old.text().equals(text)) {
             return null;
         }
-        // A server that says it leaves does not come back: an old word of it must not make it ready again.
+        // A server that drains does not come back: a late heartbeat must not make it ready again.
         RegistryEntry next = new RegistryEntry(
                 RegistryEntry.Subject.SERVER,
                 id,
@@ -66,7 +66,7 @@
         return registry.merge(now, next) ? next : null;
     }
 
-    /** A server's last word; the news, or null if it was known. */
+    /** A deregistration; the updated entry, or null if it was known. */
     public RegistryEntry onDeregistered(long now, String id) {
         RegistryEntry old = registry.entry(RegistryEntry.Subject.SERVER, id);
         if (old != null && old.state() == RegistryEntry.State.GONE) {
@@ -82,12 +82,12 @@
         return registry.merge(now, next) ? next : null;
     }
 
-    /** Weights that a server was seen to have; the news, or null. What it loads stays as it is until it has it. */
+    /** Weights that a server has reported; the updated entry, or null. What it loads stays until it has it. */
     public RegistryEntry onWeightsReported(long now, String id, long weights) {
         return withWeights(now, id, weights, -1);
     }
 
-    /** Weights that a server is ordered to load; the news, or null. */
+    /** Weights that a server is ordered to load; the updated entry, or null. */
     public RegistryEntry onLoadOrdered(long now, String id, long loading) {
         return withWeights(now, id, -1, loading);
     }
@@ -106,7 +106,7 @@
         return registry.merge(now, next) ? next : null;
     }
 
-    /** A proxy's word; the news, or null. */
+    /** A message of a proxy; the updated entry, or null if nothing changed. */
     public RegistryEntry onProxyMessage(long now, String address, String zone) {
         proxies.put(address, new LastHeartbeat(now, 0));
         Long reportedAtMs = proxyReportedAtMs.get(address);
@@ -125,7 +125,7 @@
         return registry.merge(now, next) ? next : null;
     }
 
-    /** Who was heard here since the others were last told, for the other core machines; nobody before the next time is due. */
+    /** The servers and proxies heard since the last report to the other core machines; none before the next report is due. */
     public List<RegistryEntry> takeUnreported(long now) {
         if (now < nextReportAtMs) {
             return List.of();
@@ -136,7 +136,7 @@
         return all;
     }
 
-    /** Who was heard at another core machine. */
+    /** A report of another core machine. */
     public void onPeerReport(long now, List<RegistryEntry> reported) {
         for (RegistryEntry f : reported) {
             Map<String, LastHeartbeat> of = f.subject() == RegistryEntry.Subject.SERVER ? servers : proxies;
@@ -147,7 +147,7 @@
         }
     }
 
-    /** Who has been silent for too long; to be asked only while this machine is in touch with the rest of the core. */
+    /** The entries of servers and proxies that have timed out; only while this machine is connected to the rest of the core. */
     public List<RegistryEntry> expireSilent(long now) {
         if (now < nextCheckAtMs) {
             return List.of();
@@ -157,7 +157,7 @@
         for (RegistryEntry f : registry.all(RegistryEntry.Subject.SERVER)) {
             boolean there = f.state() == RegistryEntry.State.READY || f.state() == RegistryEntry.State.DRAINING;
             if (there && silent(now, servers, f.key(), (long) (heartbeatMs * MAX_MISSED_HEARTBEATS))) {
-                // One that was leaving has left: nothing may bring it back as ready.
+                // One that was draining has ended: nothing may bring it back as ready.
                 RegistryEntry.State end =
                         f.state() == RegistryEntry.State.DRAINING ? RegistryEntry.State.GONE : RegistryEntry.State.LOST;
                 expired.add(new RegistryEntry(f.subject(), f.key(), f.seq() + 1, end, f.text()));
@@ -173,13 +173,13 @@
         return expired;
     }
 
-    /** One that is first heard of by others' word has all its time from then on. */
+    /** The timeout of one that was never heard here starts now. */
     private static boolean silent(long now, Map<String, LastHeartbeat> of, String key, long ms) {
         LastHeartbeat last = of.computeIfAbsent(key, k -> new LastHeartbeat(now, 0));
         return now - last.at() > ms;
     }
 
-    /** Everybody has all their time anew: nothing was heard while this machine was out of touch. */
+    /** All timeouts start again: nothing could be heard while this machine was disconnected. */
     public void restartTimeouts(long now) {
         servers.replaceAll((k, l) -> new LastHeartbeat(now, l.count()));
         proxies.replaceAll((k, l) -> new LastHeartbeat(now, l.count()));
--- a/src/main/java/quartzspan/registry/PublishedState.java
+++ b/src/main/java/quartzspan/registry/PublishedState.java
@@ -15,7 +15,7 @@
 import quartzspan.replication.ControlState;
 
 /**
- * What all processes need of the control state. Unlike the whole of it, this lacks what only a primary judges orders by.
+ * The part of the control state that all processes need; it lacks what only a primary needs to judge changes.
  *
  * @param weights versions of weights that were named, by model
  * @param rolloutHolder the replica that last claimed the rollout of weights; empty if none did
@@ -29,7 +29,7 @@
         return new PublishedState(state.configuration(), Map.copyOf(state.weights()), state.rolloutHolder());
     }
 
-    /** The difference from this state to a later one; null if only the whole of the later one expresses it. */
+    /** The difference from this state to a later one; null if only the complete later one expresses it. */
     byte[] deltaTo(PublishedState later) {
         JsonObject patch = later.configuration.patchFrom(configuration);
         if (patch == null || !later.weights.keySet().containsAll(weights.keySet())) {
@@ -60,7 +60,7 @@
         }
     }
 
-    /** The whole state in binary form. */
+    /** The complete state in binary form. */
     byte[] bytes() {
         return encode(configuration.bytes(), weights, rolloutHolder);
     }
--- a/src/main/java/quartzspan/registry/Registry.java
+++ b/src/main/java/quartzspan/registry/Registry.java
@@ -13,15 +13,15 @@
 import quartzspan.replication.ControlState;
 
 /**
- * What one process knows of the fleet: entries, and the newest published state it was told. Every process has one; they pass on
- * news to a few others, and find gaps by comparing digests. No clock, no I/O; times are milliseconds of a steady clock.
+ * What one process knows of the fleet: entries, and the newest published state. Every process has one; {@link Gossip} keeps them
+ * in step. No clock, no I/O; times are milliseconds of a steady clock.
  */
 public final class Registry {
     /** Buckets by which entries are compared: what differs is sent a bucket at a time. */
     static final int BUCKETS = 32;
 
     private static final int MAX_FRESHNESS_CLAIMS = 16;
-    /** How long what is gone is kept in mind, so that an old word does not bring it back. */
+    /** How long ended entries are kept, so that an old update does not bring them back. */
     private static final long TOMBSTONE_TTL_MS = 120_000;
 
     private final Map<RegistryEntry.Subject, SubjectEntries> bySubject = new EnumMap<>(RegistryEntry.Subject.class);
@@ -36,12 +36,12 @@
     private long digest;
 
     private final StateFollower states = new StateFollower();
-    /** The latest time at which what is held here was surely the newest. */
+    /** The latest time at which the state here was surely the newest. */
     private long freshAt = Long.MIN_VALUE / 2;
-    /** Claims about states that are not held here yet. */
+    /** Claims about states that have not arrived here yet. */
     private final ArrayDeque<FreshnessClaim> claims = new ArrayDeque<>();
 
-    /** The state at an index was surely the newest at a time: whoever holds it or a later one is as fresh as that. */
+    /** The state at an index was surely the newest at a time: a process with it or a later one is as fresh as that. */
     private record FreshnessClaim(long index, long at) {}
 
     /** A name with the hash that orders it. */
@@ -122,12 +122,12 @@
         return servers;
     }
 
-    /** Rises with every change of a subject's entries: what is worked out from them holds as long as this stays. */
+    /** Rises with every change of a subject's entries: what is derived from them is valid as long as this stays. */
     public long version(RegistryEntry.Subject subject) {
         return bySubject.get(subject).version;
     }
 
-    /** Takes a entry; whether it was news. */
+    /** Merges an entry; whether it was newer than the one here. */
     public boolean merge(long now, RegistryEntry entry) {
         SubjectEntries subjectEntries = bySubject.get(entry.subject());
         RegistryEntry old = subjectEntries.entries.get(entry.key());
@@ -153,7 +153,7 @@
         digest ^= digests;
     }
 
-    /** Forgets what has long been gone. */
+    /** Removes entries that ended long ago. */
     public void expire(long now) {
         endedAtMs.entrySet().removeIf(e -> {
             if (now - e.getValue() < TOMBSTONE_TTL_MS) {
@@ -169,7 +169,7 @@
         });
     }
 
-    /** Takes a committed state from the replica at this process; whether it is newer than the one held. */
+    /** Publishes a committed state of the replica at this process; whether it is newer than the one here. */
     public boolean publish(long index, ControlState committed) {
         return states.publish(index, committed);
     }
@@ -189,7 +189,7 @@
         return states.index();
     }
 
-    /** When the state held here was last surely the newest. */
+    /** When the state here was last surely the newest. */
     public long freshAt() {
         for (FreshnessClaim claim : claims) {
             if (claim.index() <= states.index()) {
@@ -209,7 +209,7 @@
         return at < 0 && at < now - Integer.MAX_VALUE ? -1 : now - at;
     }
 
-    /** A question that names what is known here; {@code full}: bucket by bucket, else by one digest of all. */
+    /** A query that names what is known here; {@code full}: bucket by bucket, else by one digest of all. */
     GossipMessage query(long now, long nonce, boolean full) {
         long[] digests = full ? buckets.clone() : new long[] {digest};
         return new GossipMessage(
@@ -223,7 +223,7 @@
                 SnapshotChunk.NONE);
     }
 
-    /** The answer to a question: what the asker lacks or has otherwise, or the digests by which it can ask for that. */
+    /** The reply to a query: the entries that differ, or the digests by which they can be queried. */
     GossipMessage reply(long now, GossipMessage query) {
         boolean same = query.buckets().length == 1 && query.buckets()[0] == digest;
         return new GossipMessage(
@@ -248,14 +248,14 @@
         return differ;
     }
 
-    /** What was new in message. */
+    /** What was new in a message. */
     public record Update(List<RegistryEntry> entries, boolean state) {
         public boolean isEmpty() {
             return !state && entries.isEmpty();
         }
     }
 
-    /** Takes in what another says, but for parts of snapshots; {@code askedAt}: when the question left, for an answer. */
+    /** Merges a message, but for chunks of snapshots; {@code askedAt}: when the query of a reply was sent. */
     Update merge(long now, GossipMessage in, long askedAt) {
         boolean stateAdvanced = states.apply(in.deltas());
         List<RegistryEntry> newer = new ArrayList<>();
@@ -264,7 +264,7 @@
                 newer.add(f);
             }
         }
-        // Its state was the newest so long before it answered, and it answered after it was asked.
+        // Its state was the newest so long before it replied, and it replied after the query was sent.
         if (in.kind() == GossipMessage.Kind.REPLY && in.ageMs() >= 0) {
             claims.add(new FreshnessClaim(in.stateIndex(), askedAt - in.ageMs()));
             if (claims.size() > MAX_FRESHNESS_CLAIMS) {
@@ -275,8 +275,8 @@
     }
 
     /**
-     * Of many names the few that one knows and watches: those whose hash together with its own is highest. Everybody works
-     * out the same without a word, and one that comes or goes moves nobody else's choice but by itself.
+     * Rendezvous hashing: the names whose hash together with one's own is lowest. All processes work out the same without any
+     * message, and a name that comes or goes changes no other choice.
      */
     public static List<String> rendezvousSelect(String self, List<String> names, int count) {
         Hasher64 hasher = Hashing.xxh3_64();
@@ -286,7 +286,8 @@
                 ranked.add(new Ranked(name, hasher.hashLongLongToLong(self.hashCode(), name.hashCode())));
             }
         }
-        // One lambda: composed comparators are built by the JVM at every start, for the class-data archive can't hold
+        // One lambda: composed comparators are built by the JVM at every start, for the class-data archive can't
+        // contain
         // them.
         Comparator<Ranked> order = (one, other) -> one.hash() != other.hash()
                 ? Long.compare(one.hash(), other.hash())
--- a/src/main/java/quartzspan/registry/RegistryEntry.java
+++ b/src/main/java/quartzspan/registry/RegistryEntry.java
@@ -1,7 +1,7 @@
 package quartzspan.registry;
 
 /**
- * Something that all processes are to know. Of two about one key the one with the more final state holds, then the one
+ * Something that all processes are to know. Of two about one key the one with the more final state supersedes the other, then the one
  * with the higher {@code seq}.
  *
  * @param text what is known of it; see {@link Server} for servers
@@ -16,7 +16,7 @@
 
     /**
      * {@code LOST} may come back with a higher {@code seq}; {@code DRAINING} ends only by {@code GONE}, and {@code GONE} never:
-     * what a server said of its end holds against any later word of others about it, which may not have heard it.
+     * a server's own announcement of its end supersedes any later entry of processes that may not have received it.
      */
     public enum State {
         READY(0),
@@ -31,7 +31,7 @@
         }
     }
 
-    /** Whether this one holds where both are known: a total order, so that all processes end with the same. */
+    /** Whether this entry replaces the other: a total order, so that all processes end with the same. */
     boolean supersedes(RegistryEntry other) {
         if (other == null) {
             return true;
--- a/src/main/java/quartzspan/registry/Snapshot.java
+++ b/src/main/java/quartzspan/registry/Snapshot.java
@@ -8,7 +8,7 @@
 import quartzspan.common.FleetException;
 
 /**
- * A whole published state as it is sent: compressed, since configurations repeat themselves.
+ * A complete published state as it is sent: compressed, since configurations repeat themselves.
  *
  * @param index the committed index of the state
  */
--- a/src/main/java/quartzspan/registry/SnapshotChunk.java
+++ b/src/main/java/quartzspan/registry/SnapshotChunk.java
@@ -1,14 +1,14 @@
 package quartzspan.registry;
 
 /**
- * A part of a snapshot: it is sent in parts, each asked for, so that it holds up nothing else for long.
+ * A chunk of a snapshot: it is sent in chunks, each requested, so that it delays nothing else for long.
  *
  * @param index the committed index of the state in the snapshot; in a request the one being read, {@link #ANY} or
  *     {@link #WITHOUT_STEPS}
- * @param total bytes of the whole snapshot; 0 in a request, or where there is none
+ * @param total bytes of the complete snapshot; 0 in a request, or where there is none
  */
 public record SnapshotChunk(long index, int offset, int total, byte[] bytes) {
-    /** Bytes of a part; a link of 7 Mbit/s carries them in 75 ms. */
+    /** Bytes of a chunk; a link of 7 Mbit/s carries them in 75 ms. */
     static final int MAX_BYTES = 64 * 1024;
 
     /** The index in a request: the steps are as good as a snapshot. */
@@ -19,7 +19,7 @@
     private static final byte[] NO_BYTES = {};
     public static final SnapshotChunk NONE = request(ANY, 0);
 
-    /** Names the part that is wanted. */
+    /** Requests a chunk. */
     static SnapshotChunk request(long index, int offset) {
         return new SnapshotChunk(index, offset, 0, NO_BYTES);
     }
--- a/src/main/java/quartzspan/registry/StateFetch.java
+++ b/src/main/java/quartzspan/registry/StateFetch.java
@@ -4,7 +4,7 @@
 import quartzspan.common.FleetException;
 
 /**
- * Fetches the published state from a process that holds a newer one: the steps, or a snapshot part by part. From one process at
+ * Fetches the published state from a process that has a newer one: the deltas, or a snapshot chunk by chunk. From one process at
  * a time, so that nothing large comes twice. No clock, no I/O.
  */
 final class StateFetch {
@@ -24,14 +24,14 @@
     private long snapshotIndex = -1;
 
     private ByteArrayOutputStream received = new ByteArrayOutputStream();
-    /** The steps from the state held don't fit it: only a snapshot helps. */
+    /** The deltas don't apply to the state here: only a snapshot helps. */
     private boolean stepsFailed;
-    /** Who was last heard to hold a newer state, and which. */
+    /** The process that was last heard to have a newer state, and its index. */
     private String newestHolder;
 
     private long newestIndex = -1;
 
-    /** @param firstNonce one that no other life of this process is likely to be near */
+    /** @param firstNonce one that no other incarnation of this process is likely to be near */
     StateFetch(StateFollower states, long firstNonce, Gossip.Out out) {
         this.states = states;
         this.lastNonce = firstNonce;
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Another process holds the state at an index. Most often it is on its way here as well: unless there is none here yet, or
+     * Another process has the state at an index. Most often it is on its way here as well: unless there is none here yet, or
      * steps came that don't fit ({@code gap}), the next tick sees whether it is still needed.
      */
     void onIndex(long now, String from, long index, boolean gap) {
@@ -87,7 +87,7 @@
                         ++lastNonce, states.index(), SnapshotChunk.request(snapshotIndex, received.size())));
     }
 
-    /** The answer to a request; whether the state held moved on by it. */
+    /** The reply to a request; whether the state here advanced by it. */
     boolean onFetchReply(long now, String from, GossipMessage in) {
         if (!from.equals(source) || in.nonce() != lastNonce) {
             return false;
@@ -136,7 +136,7 @@
         try {
             return states.take(new Snapshot(snapshotIndex, bytes));
         } catch (FleetException e) {
-            // Nothing is taken of what can't be read whole; somebody else is asked when next heard.
+            // Nothing is taken of a snapshot that can't be read; another process is asked when next heard.
             return false;
         }
     }
--- a/src/main/java/quartzspan/registry/StateFollower.java
+++ b/src/main/java/quartzspan/registry/StateFollower.java
@@ -5,7 +5,7 @@
 import quartzspan.replication.ControlState;
 
 /**
- * The published state as one process holds it: reached by steps or by a snapshot, and passed on likewise. It only ever moves
+ * The published state at one process: reached by deltas or by a snapshot, and passed on likewise. It only ever moves
  * to higher committed indexes. No clock, no I/O.
  */
 final class StateFollower {
@@ -15,7 +15,7 @@
     private long index = -1;
     private PublishedState state = PublishedState.EMPTY;
     private final StateHistory history = new StateHistory();
-    /** The snapshot that was last asked for; a reader of its parts is not made to begin anew by later changes. */
+    /** The snapshot that was last requested; later changes do not make a reader of its chunks start again. */
     private Snapshot snapshot;
 
     long index() {
@@ -43,7 +43,7 @@
         return true;
     }
 
-    /** Takes those of the steps that lead on from the state held; whether there were any. */
+    /** Applies the deltas that follow the state here; whether there were any. */
     boolean apply(List<StateDelta> steps) {
         boolean advanced = false;
         for (StateDelta step : steps) {
@@ -53,7 +53,7 @@
             try {
                 state = state.with(step.change());
             } catch (FleetException e) {
-                // Not what its sender holds: the state stays, and a snapshot is asked for.
+                // Not the state of its sender: the state here stays, and a snapshot is requested.
                 return advanced;
             }
             index = step.to();
@@ -75,14 +75,14 @@
         return true;
     }
 
-    /** The steps from another process's state to the one held; empty if they are not known. */
+    /** The deltas from another process's state to the one here; empty if they are not known. */
     List<StateDelta> since(long from) {
         return history.since(from);
     }
 
     /**
-     * A part of a snapshot for a process that holds the state at an index: of the snapshot that it is reading, else of one that
-     * is newer and from which the steps to the state held are known.
+     * A chunk of a snapshot for a process with the state at an index: of the snapshot that it is reading, else of one that
+     * is newer and from which the deltas to the state here are known.
      */
     SnapshotChunk chunk(long after, SnapshotChunk wanted) {
         if (index <= after) {
--- a/src/main/java/quartzspan/registry/StateHistory.java
+++ b/src/main/java/quartzspan/registry/StateHistory.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The latest steps of the published state up to the one held, within bounds; each begins where the one before ends. */
+/** The latest deltas of the published state, within bounds; each begins where the one before ends. */
 final class StateHistory {
     /** More than this is dearer to keep and to send than a snapshot. */
     private static final int MAX_BYTES = 512 * 1024;
@@ -26,7 +26,7 @@
         }
     }
 
-    /** Begins anew: the state held was not reached by steps. */
+    /** Starts again: the state was not reached by deltas. */
     void clear() {
         steps.clear();
         bytes = 0;
--- a/src/main/java/quartzspan/replication/DiskLossRecovery.java
+++ b/src/main/java/quartzspan/replication/DiskLossRecovery.java
@@ -9,7 +9,7 @@
  * How a replica whose disk was lost learns again what it may have promised.
  *
  * <p>It asks the others in the name of a new generation of its disk. Of each set of voters that it belongs to, so many have to
- * answer that no majority which it took part in is without one of them; of any other set a majority. Who replies has noted
+ * answer that no majority which it took part in is without one of them; of any other set a majority. Whoever replies has recorded
  * the generation durably, so that what was promised before the loss cannot be counted any more.
  */
 final class DiskLossRecovery {
--- a/src/main/java/quartzspan/replication/MembershipReview.java
+++ b/src/main/java/quartzspan/replication/MembershipReview.java
@@ -35,7 +35,7 @@
         return canReplace || canAdd || voters != null ? Optional.of(election(voters, failing)) : Optional.empty();
     }
 
-    /** An election that this primary holds itself: it avoids replicas that fail or are about to end. */
+    /** An election that this primary starts itself: it avoids replicas that fail or are about to end. */
     ElectionPlan election(List<String> voters, Set<String> failing) {
         return new ElectionPlan(voters, failing, true).avoiding(peers.leaving(context.now()));
     }
--- a/src/main/java/quartzspan/replication/Replica.java
+++ b/src/main/java/quartzspan/replication/Replica.java
@@ -8,11 +8,11 @@
  * one that makes transitions between roles:
  *
  * <pre>
- * RECOVERING  disk lost           to STANDBY, BACKUP, WITNESS   enough others have told what was promised
+ * RECOVERING  disk lost           to STANDBY, BACKUP, WITNESS   enough others have reported what was promised
  * STANDBY     no vote             to BACKUP, WITNESS            a primary's membership names it as voter
  * BACKUP,     follow the primary  to CANDIDATE                  the primary is not heard, or hands over
  * WITNESS
- * CANDIDATE   holds an election   to PRIMARY                    its membership is in effect
+ * CANDIDATE   runs an election    to PRIMARY                    its membership is in effect
  *                                 to BACKUP, WITNESS            another one has a higher epoch, a step timed out
  * PRIMARY     accepts changes     to CANDIDATE                  its membership has to change
  *                                 to BACKUP, WITNESS            another one has a higher epoch, no quorum, a slow disk
@@ -109,7 +109,7 @@
             }
             return true;
         } catch (RuntimeException unreadable) {
-            // Whatever a parser throws at damaged bytes: the records are worth nothing then.
+            // Whatever a parser throws at damaged bytes: none of the records can be used then.
             voter.clear();
             log.clear();
             return false;
--- a/src/main/java/quartzspan/replication/ReplicaStore.java
+++ b/src/main/java/quartzspan/replication/ReplicaStore.java
@@ -101,7 +101,7 @@
     }
 
     private void write(byte[] record) {
-        if (begun && store.logged() < MAX_LOG_BYTES && record.length <= MAX_APPENDED_BYTES) {
+        if (begun && store.logBytes() < MAX_LOG_BYTES && record.length <= MAX_APPENDED_BYTES) {
             store.append(record);
         } else {
             store.checkpoint(join());
--- a/src/main/java/quartzspan/store/FileDisk.java
+++ b/src/main/java/quartzspan/store/FileDisk.java
@@ -81,7 +81,7 @@
             throw new FleetException(
                     FleetException.Code.STORE_REFUSES,
                     folder + ": " + e.getMessage(),
-                    "free space or mend the disk; this machine takes nothing more until then");
+                    "free space or repair the disk; this machine accepts no changes until then");
         }
     }
 }
--- a/src/main/java/quartzspan/store/SlotStore.java
+++ b/src/main/java/quartzspan/store/SlotStore.java
@@ -9,31 +9,32 @@
 
 /**
  * What must outlast its process: a state in one of two slots, written in turn, and a short log of records since. What has
- * been appended or checkpointed is there after any loss of power; what was being written then is there whole or not at all.
+ * been appended or checkpointed is there after any loss of power; what was being written then is there completely or not at all.
  *
  * <p>A slot is {@code generation, length, checksum, state}; the log begins with the generation of its slot, and a log of
  * another generation is as good as none. Only the last record can be torn, for each is synced before the next is written:
  * a record that can't be read before one that can is damage, and refused.
  */
 public final class SlotStore {
-    private static final String[] SLOTS = {"slot-a", "slot-b"};
-    private static final String LOG = "log";
-    private static final int HEAD = 16;
-    private static final int RECORD = 8;
+    private static final String[] SLOT_FILES = {"slot-a", "slot-b"};
+    private static final String LOG_FILE = "log";
+    private static final int SLOT_HEADER_BYTES = 16;
+    private static final int LOG_HEADER_BYTES = 8;
+    private static final int RECORD_HEADER_BYTES = 8;
     /** No state or record is larger: a length above it is no length. */
-    private static final int MOST = 32 * 1024 * 1024;
+    private static final int MAX_STATE_BYTES = 32 * 1024 * 1024;
 
     /** What was found; {@code state} is null if nothing was ever kept. */
     public record Contents(byte[] state, List<byte[]> records) {}
 
     private final Disk disk;
     private long generation;
-    private long end;
-    private boolean torn;
+    private long logEnd;
+    private boolean hasTornTail;
     /** Whether the log's first bytes may not be this generation's. */
-    private boolean headless;
+    private boolean headerPending;
     /** Whether the log's name is known to be on the disk. */
-    private boolean logNamed;
+    private boolean logNameSynced;
 
     public SlotStore(Disk disk) {
         this.disk = disk;
@@ -46,54 +47,76 @@
      * anybody builds on it.
      */
     public Contents open() {
+        boolean anySlot = false;
         byte[] state = null;
-        boolean any = false;
-        for (String name : SLOTS) {
+        for (String name : SLOT_FILES) {
             byte[] file = readSynced(name);
-            any |= file != null;
-            if (file != null && file.length >= HEAD) {
-                ByteBuffer b = ByteBuffer.wrap(file);
-                long g = b.getLong();
-                int length = b.getInt();
-                int sum = b.getInt();
-                if (length >= 0
-                        && length <= file.length - HEAD
-                        && sum == sum(g, file, HEAD, length)
-                        && g > generation) {
-                    generation = g;
-                    state = Arrays.copyOfRange(file, HEAD, HEAD + length);
-                }
-            }
+            anySlot |= file != null;
+            byte[] newer = file == null ? null : newerState(file);
+            state = newer == null ? state : newer;
         }
-        byte[] log = readSynced(LOG);
-        if (any || log != null) {
+        byte[] log = readSynced(LOG_FILE);
+        if (anySlot || log != null) {
             disk.syncFolder();
         }
-        logNamed = log != null;
-        List<byte[]> records = new ArrayList<>();
-        if (state == null) {
-            // Before the first checkpoint is whole nothing was ever promised: what there is was begun and not finished.
-            if (any && log != null && log.length > 0) {
-                throw damaged("neither slot can be read");
-            }
-            return new Contents(null, records);
+        logNameSynced = log != null;
+        if (state != null) {
+            return new Contents(state, openLog(log));
         }
-        if (log == null || log.length < 8 || ByteBuffer.wrap(log).getLong() != generation) {
+        // Before the first checkpoint is complete nothing was ever acknowledged: what there is was begun and not
+        // finished.
+        if (anySlot && log != null && log.length > 0) {
+            throw damaged("neither slot can be read");
+        }
+        return new Contents(null, new ArrayList<>());
+    }
+
+    /** The state of a slot if it is complete and newer than the one before; its generation becomes the current one. */
+    private byte[] newerState(byte[] slot) {
+        if (slot.length < SLOT_HEADER_BYTES) {
+            return null;
+        }
+        ByteBuffer header = ByteBuffer.wrap(slot);
+        long slotGeneration = header.getLong();
+        int length = header.getInt();
+        int storedChecksum = header.getInt();
+        boolean complete = length >= 0
+                && length <= slot.length - SLOT_HEADER_BYTES
+                && storedChecksum == checksum(slotGeneration, slot, SLOT_HEADER_BYTES, length);
+        if (!complete || slotGeneration <= generation) {
+            return null;
+        }
+        generation = slotGeneration;
+        return Arrays.copyOfRange(slot, SLOT_HEADER_BYTES, SLOT_HEADER_BYTES + length);
+    }
+
+    /** The records of the current generation; a log of another one is replaced by an empty one. */
+    private List<byte[]> openLog(byte[] log) {
+        if (log == null || log.length < LOG_HEADER_BYTES || ByteBuffer.wrap(log).getLong() != generation) {
             restartLog();
-            return new Contents(state, records);
+            return new ArrayList<>();
         }
-        int at = 8;
-        for (byte[] r; (r = record(log, at)) != null; at += RECORD + r.length) {
-            records.add(r);
+        List<byte[]> records = new ArrayList<>();
+        int offset = LOG_HEADER_BYTES;
+        byte[] record = record(log, offset);
+        while (record != null) {
+            records.add(record);
+            offset += RECORD_HEADER_BYTES + record.length;
+            record = record(log, offset);
         }
-        for (int later = at + 1; later + RECORD <= log.length; later++) {
-            if (record(log, later) != null) {
-                throw damaged("the log can't be read at byte " + at);
+        refuseRecordsAfter(offset, log);
+        logEnd = offset;
+        hasTornTail = offset < log.length;
+        return records;
+    }
+
+    /** Only the last record can be torn: a readable one behind an unreadable one shows damage. */
+    private void refuseRecordsAfter(int offset, byte[] log) {
+        for (int position = offset + 1; position + RECORD_HEADER_BYTES <= log.length; position++) {
+            if (record(log, position) != null) {
+                throw damaged("the log can't be read at byte " + offset);
             }
         }
-        end = at;
-        torn = at < log.length;
-        return new Contents(state, records);
     }
 
     private byte[] readSynced(String name) {
@@ -104,22 +127,24 @@
         return file;
     }
 
-    private byte[] record(byte[] log, int at) {
-        if (log.length - at < RECORD) {
+    private byte[] record(byte[] log, int offset) {
+        if (log.length - offset < RECORD_HEADER_BYTES) {
             return null;
         }
-        ByteBuffer b = ByteBuffer.wrap(log, at, RECORD);
-        int length = b.getInt();
-        int sum = b.getInt();
-        if (length <= 0 || length > log.length - at - RECORD || sum != sum(generation, log, at + RECORD, length)) {
+        ByteBuffer buffer = ByteBuffer.wrap(log, offset, RECORD_HEADER_BYTES);
+        int length = buffer.getInt();
+        int checksum = buffer.getInt();
+        if (length <= 0
+                || length > log.length - offset - RECORD_HEADER_BYTES
+                || checksum != checksum(generation, log, offset + RECORD_HEADER_BYTES, length)) {
             return null;
         }
-        return Arrays.copyOfRange(log, at + RECORD, at + RECORD + length);
+        return Arrays.copyOfRange(log, offset + RECORD_HEADER_BYTES, offset + RECORD_HEADER_BYTES + length);
     }
 
     /** Bytes in the log. */
-    public long logged() {
-        return end;
+    public long logBytes() {
+        return logEnd;
     }
 
     /** Adds a record; it is there for good on return. */
@@ -127,41 +152,41 @@
         if (generation == 0) {
             throw new IllegalStateException("a checkpoint comes before the first record");
         }
-        if (headless) {
+        if (headerPending) {
             restartLog();
-        } else if (torn) {
-            disk.truncate(LOG, end);
-            disk.sync(LOG);
-            torn = false;
+        } else if (hasTornTail) {
+            disk.truncate(LOG_FILE, logEnd);
+            disk.sync(LOG_FILE);
+            hasTornTail = false;
         }
-        torn = true;
+        hasTornTail = true;
         disk.write(
-                LOG,
-                end,
-                ByteBuffer.allocate(RECORD + record.length)
+                LOG_FILE,
+                logEnd,
+                ByteBuffer.allocate(RECORD_HEADER_BYTES + record.length)
                         .putInt(record.length)
-                        .putInt(sum(generation, record, 0, record.length))
+                        .putInt(checksum(generation, record, 0, record.length))
                         .put(record)
                         .array());
-        disk.sync(LOG);
-        torn = false;
-        end += RECORD + record.length;
+        disk.sync(LOG_FILE);
+        hasTornTail = false;
+        logEnd += RECORD_HEADER_BYTES + record.length;
     }
 
     /** Replaces state and records by a new state; it is there for good on return. */
     public void checkpoint(byte[] state) {
-        if (state.length > MOST) {
+        if (state.length > MAX_STATE_BYTES) {
             throw new IllegalArgumentException("a state of " + state.length + " bytes");
         }
         long next = generation + 1;
-        String slot = SLOTS[(int) (next & 1)];
+        String slot = SLOT_FILES[(int) (next & 1)];
         disk.write(
                 slot,
                 0,
-                ByteBuffer.allocate(HEAD + state.length)
+                ByteBuffer.allocate(SLOT_HEADER_BYTES + state.length)
                         .putLong(next)
                         .putInt(state.length)
-                        .putInt(sum(next, state, 0, state.length))
+                        .putInt(checksum(next, state, 0, state.length))
                         .put(state)
                         .array());
         disk.sync(slot);
@@ -174,35 +199,38 @@
 
     /** Empties everything: what was there can't be read. */
     public void discard() {
-        for (String name : List.of(SLOTS[0], SLOTS[1], LOG)) {
+        for (String name : List.of(SLOT_FILES[0], SLOT_FILES[1], LOG_FILE)) {
             disk.truncate(name, 0);
             disk.sync(name);
         }
         generation = 0;
-        end = 0;
-        torn = false;
-        logNamed = false;
+        logEnd = 0;
+        hasTornTail = false;
+        logNameSynced = false;
     }
 
     private void restartLog() {
-        headless = true;
-        end = 8;
-        disk.truncate(LOG, 0);
-        disk.write(LOG, 0, ByteBuffer.allocate(8).putLong(generation).array());
-        disk.sync(LOG);
-        if (!logNamed) {
+        headerPending = true;
+        logEnd = LOG_HEADER_BYTES;
+        disk.truncate(LOG_FILE, 0);
+        disk.write(
+                LOG_FILE,
+                0,
+                ByteBuffer.allocate(LOG_HEADER_BYTES).putLong(generation).array());
+        disk.sync(LOG_FILE);
+        if (!logNameSynced) {
             disk.syncFolder();
-            logNamed = true;
+            logNameSynced = true;
         }
-        headless = false;
-        torn = false;
+        headerPending = false;
+        hasTornTail = false;
     }
 
-    private static int sum(long generation, byte[] bytes, int from, int length) {
-        CRC32C sum = new CRC32C();
-        sum.update(ByteBuffer.allocate(12).putLong(generation).putInt(length).flip());
-        sum.update(bytes, from, length);
-        return (int) sum.getValue();
+    private static int checksum(long generation, byte[] bytes, int from, int length) {
+        CRC32C crc = new CRC32C();
+        crc.update(ByteBuffer.allocate(12).putLong(generation).putInt(length).flip());
+        crc.update(bytes, from, length);
+        return (int) crc.getValue();
     }
 
     private static FleetException damaged(String reason) {
--- a/src/main/java/quartzspan/transport/InboundConnections.java
+++ b/src/main/java/quartzspan/transport/InboundConnections.java
@@ -9,17 +9,17 @@
 
 /**
  * Which of the connections that a process opened to us speaks for it: the one accepted last. What is still unread on an older
- * one was written before, by the same life of the process or by one that has ended, and would come out of order. A life that
+ * one was written before, by the same incarnation of the process or by one that has ended, and would come out of order. One that
  * another one has followed at its address never speaks again, whatever it opens: it may have been frozen meanwhile.
  */
 final class InboundConnections {
-    /** Lives remembered for each address. */
+    /** Incarnations remembered for each address. */
     private static final int MAX_ENDED_INCARNATIONS = 16;
 
     private static final class Peer {
         long incarnation;
         long connection;
-        /** Lives that another one has followed, the last ones of them. */
+        /** Incarnations that another one has followed, the last ones of them. */
         final Set<Long> ended = Collections.newSetFromMap(new LinkedHashMap<>() {
             private static final long serialVersionUID = 1L;
 
--- a/src/main/java/quartzspan/transport/MessageCodec.java
+++ b/src/main/java/quartzspan/transport/MessageCodec.java
@@ -29,7 +29,7 @@
  * end first, then a message with its header. Whatever is no such message is refused, and costs its connection only.
  */
 public final class MessageCodec {
-    /** No frame is longer; the largest hold a whole configuration. */
+    /** No frame is longer; the largest have a complete configuration. */
     public static final int MAX_FRAME_BYTES = 16 * 1024 * 1024;
 
     private static final int FLAG_GRANTED = 1;
@@ -39,12 +39,12 @@
      * Who opened a connection.
      *
      * @param control where it answers servers and operators, empty for proxies
-     * @param incarnation drawn at random at each start of a process, so that its successor at the same address is told from it
+     * @param incarnation drawn at random at each start of a process, so that its successor at the same address can be distinguished
      */
     public record Hello(boolean core, String address, String control, String zone, long incarnation) {
         private static final SplittableRandom INCARNATIONS = new SplittableRandom();
 
-        /** A new life at an address. */
+        /** A new incarnation at an address. */
         public Hello(boolean core, String address, String control, String zone) {
             this(core, address, control, zone, INCARNATIONS.nextLong());
         }
--- a/src/main/java/quartzspan/transport/TcpTransport.java
+++ b/src/main/java/quartzspan/transport/TcpTransport.java
@@ -29,14 +29,14 @@
 import quartzspan.transport.MessageCodec.Hello;
 
 /**
- * Messages between the system's processes over TCP: each keeps one connection to everybody it writes to, and reads from
+ * Messages between the system's processes over TCP: each keeps one connection to every process that it writes to, and reads from
  * those that others opened. Nothing is promised: what can't be written soon is dropped, and the protocols above ask again.
  * All on one event loop.
  */
 public final class TcpTransport implements Transport {
     private static final Logger LOG = LoggerFactory.getLogger(TcpTransport.class);
     private static final int CONNECT_TIMEOUT_MS = 600;
-    /** No word from one we write to for so long: the connection may hang behind a cut, and a new one would not. */
+    /** A peer that sends nothing for so long: the connection may hang behind a partition, and a new one would not. */
     private static final long RESPONSE_TIMEOUT_MS = 1_200;
 
     private static final long RECONNECT_INTERVAL_MS = 200;
@@ -219,7 +219,7 @@
         connection.queued.clear();
     }
 
-    /** Closes connections to those nobody has written to for long. */
+    /** Closes connections that were not written to for long. */
     public void closeIdle(long unusedMs) {
         long now = now();
         outgoing.values().removeIf(connection -> {
