--- a/src/main/java/quartzspan/clientproxy/ClientProxy.java
+++ b/src/main/java/quartzspan/clientproxy/ClientProxy.java
@@ -343,7 +343,7 @@
 
     /** Takes a request that is as the protocol says, and answers for it at once if it is not. */
     @Override
-    public void take(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
+    public void onRequest(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
         String path = in.uri().split("\\?", 2)[0];
         if (path.equals("/-/ready")) {
             client.answer(
@@ -393,7 +393,7 @@
         Exchange x = new Exchange(client, request, type, OutgoingRequest.of(in, body), now() + budget);
         open.put(id, x);
         guard(x, at + patience);
-        client.opened(() -> gone(x));
+        client.onDisconnect(() -> gone(x));
         run(() -> balancer.onRequest(now(), x.request));
     }
 
--- a/src/main/java/quartzspan/controlplane/ControlPlane.java
+++ b/src/main/java/quartzspan/controlplane/ControlPlane.java
@@ -184,7 +184,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        loop.execute(httpServer::leave);
+        loop.execute(httpServer::closeAfterResponses);
         group.shutdownGracefully(0, SHUTDOWN_TIMEOUT_MS, TimeUnit.MILLISECONDS).awaitUninterruptibly();
         replicaHost.close();
     }
@@ -204,7 +204,7 @@
     }
 
     @Override
-    public void take(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
+    public void onRequest(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
         router.route(client, in, body);
     }
 
--- a/src/main/java/quartzspan/controlplane/OperatorApi.java
+++ b/src/main/java/quartzspan/controlplane/OperatorApi.java
@@ -71,7 +71,7 @@
     /** Passes the replica's answer on to a client, unless that has disconnected by then. */
     private static PendingReplicaRequests.Callback answerTo(ClientConnection client, Consumer<ControlState> onGranted) {
         AtomicBoolean disconnected = new AtomicBoolean();
-        client.opened(() -> disconnected.set(true));
+        client.onDisconnect(() -> disconnected.set(true));
         return (refusal, state) -> {
             if (disconnected.get()) {
                 return;
--- a/src/main/java/quartzspan/controlplane/ServerApi.java
+++ b/src/main/java/quartzspan/controlplane/ServerApi.java
@@ -50,7 +50,7 @@
         DrainAcknowledger.Pending pending =
                 drains.begin(clockMs.getAsLong(), draining, requiredHolders.getAsInt(), caller);
         if (pending.isPending()) {
-            client.opened(pending::cancel);
+            client.onDisconnect(pending::cancel);
         }
     }
 }
--- a/src/main/java/quartzspan/controlplane/ServerClient.java
+++ b/src/main/java/quartzspan/controlplane/ServerClient.java
@@ -137,7 +137,7 @@
         }
 
         @Override
-        public boolean whole() {
+        public boolean wantsErrorBody() {
             return true;
         }
     }
--- a/src/main/java/quartzspan/frontend/FrontendProxy.java
+++ b/src/main/java/quartzspan/frontend/FrontendProxy.java
@@ -162,7 +162,7 @@
             LOG.info("shutdown requested, {} requests in flight", inFlight.size());
             shutdown.begin(nowMs());
             ready = false;
-            httpServer.leave();
+            httpServer.closeAfterResponses();
             loop.scheduleWithFixedDelay(
                     new PeriodicTask("shutdown", this::continueShutdown), TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
         });
@@ -178,7 +178,7 @@
         if (shutdown.closesIdleConnections(now)) {
             httpServer.closeIdle();
         }
-        if (shutdown.isOver(now, inFlight.isEmpty() && httpServer.idle())) {
+        if (shutdown.isOver(now, inFlight.isEmpty() && httpServer.isIdle())) {
             // From here to the process's end nothing more may be read: it would not be answered.
             httpServer.close();
             ended.countDown();
@@ -303,7 +303,7 @@
     // ---- requests of clients -------------------------------------------------------------------------
 
     @Override
-    public void take(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long receivedAtUs) {
+    public void onRequest(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long receivedAtUs) {
         if (!isFresh()) {
             reject(client, NOT_READY_RETRY_AFTER_US);
             return;
--- a/src/main/java/quartzspan/frontend/ProxiedRequest.java
+++ b/src/main/java/quartzspan/frontend/ProxiedRequest.java
@@ -88,7 +88,7 @@
     }
 
     void start() {
-        client.opened(this::onDisconnect);
+        client.onDisconnect(this::onDisconnect);
         next();
     }
 
@@ -156,7 +156,7 @@
         }
         int status = answer.status().code();
         boolean success = status >= 200 && status < 300;
-        return !success || hasServerSeal(answer.headers()) ? ResponseMatch.OURS : ResponseMatch.UNKNOWN;
+        return !success || hasServerSeal(answer.headers()) ? ResponseMatch.CURRENT : ResponseMatch.UNKNOWN;
     }
 
     private static boolean hasServerSeal(HttpHeaders headers) {
@@ -173,12 +173,12 @@
     }
 
     @Override
-    public boolean whole() {
+    public boolean wantsErrorBody() {
         return true;
     }
 
     @Override
-    public boolean streams(HttpResponse answer) {
+    public boolean streamsBody(HttpResponse answer) {
         if (ended) {
             return false;
         }
@@ -192,7 +192,7 @@
             // The response has no chunks, not even a last one.
             headers.remove(HttpHeaderNames.TRANSFER_ENCODING);
         }
-        client.begin(new DefaultHttpResponse(HttpVersion.HTTP_1_1, answer.status(), headers));
+        client.startResponse(new DefaultHttpResponse(HttpVersion.HTTP_1_1, answer.status(), headers));
         return true;
     }
 
@@ -205,12 +205,12 @@
     }
 
     @Override
-    public boolean piece(ByteBuf bytes) {
+    public boolean onChunk(ByteBuf bytes) {
         if (ended) {
             return true;
         }
-        client.piece(bytes.retain());
-        return client.writable(() -> {
+        client.writeChunk(bytes.retain());
+        return client.isWritable(() -> {
             if (attempt != null) {
                 attempt.resumeReading();
             }
@@ -218,7 +218,7 @@
     }
 
     private void onAttemptEnded(Outcome outcome, Response answer) {
-        boolean stale = attempt.stale();
+        boolean stale = attempt.isStale();
         // That a server closes idle connections does not make it a failing one.
         proxy.endpoints().placement().ended(proxy.now(), server, job, stale ? Outcome.IGNORED : outcome);
         attempt = null;
@@ -228,9 +228,9 @@
         if (responseStarted) {
             ended = true;
             if (outcome == Outcome.OK) {
-                client.finish();
+                client.finishResponse();
             } else {
-                client.cut();
+                client.abort();
             }
             proxy.onEnded(this);
             return;
--- a/src/main/java/quartzspan/frontend/ReadinessHandler.java
+++ b/src/main/java/quartzspan/frontend/ReadinessHandler.java
@@ -26,7 +26,7 @@
     }
 
     @Override
-    public void take(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
+    public void onRequest(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
         boolean known = in.uri().split("\\?", 2)[0].equals(PATH);
         if (!known) {
             client.answer(HttpResponseStatus.NOT_FOUND);
--- a/src/main/java/quartzspan/http/ConnectionPool.java
+++ b/src/main/java/quartzspan/http/ConnectionPool.java
@@ -36,30 +36,36 @@
 import quartzspan.loadbalancing.LoadBalancer.Outcome;
 
 /**
- * Connections to hosts, one request at a time on each, and the attempts made on them. It resends nothing:
- * an attempt is written whole once at most, and ends exactly once, with the outcome that can be vouched for.
+ * Connections to endpoints, one request at a time on each, and the attempts made on them. It retries nothing: an attempt is
+ * written completely once at most, and ends exactly once, with the outcome that can be vouched for.
+ *
+ * <p>Owned by one event loop; all calls and callbacks are made on it. Example:
+ *
+ * <pre>
+ * pool.attempt(endpoint, request, timeoutUs, () -> true, responseHandler, listener).start(Reuse.ANY);
+ * </pre>
  */
 public final class ConnectionPool {
-    /** Part of the settings' idle time after which we close first: a host closes at the whole of it. */
+    /** Fraction of the idle timeout after which this side closes first: a server closes after all of it. */
     private static final double IDLE_TIMEOUT_FRACTION = 0.75;
 
     private static final long SWEEP_INTERVAL_MS = 100;
-    /** How long a connection rests after an answer: what follows that unasked must not meet a new request. */
+    /** How long a connection stays idle after a response: unsolicited input that follows must not meet a new request. */
     private static final long MIN_IDLE_NANOS = 3_000_000;
-    /** Interim answers (1xx) to one request; more of them is noise. */
+    /** Interim responses (1xx) to one request; more of them are an error. */
     private static final int MAX_INTERIM_RESPONSES = 16;
-    /** Fresh connections to one attempt, as long as they are reset before a request is written whole. */
+    /** New connections for one attempt, as long as they are reset before the request is written completely. */
     private static final int MAX_NEW_CONNECTIONS = 3;
     /**
-     * A connection that is reset this soon after a request was written to it had been stale: its host forgot it while it
-     * was idle, and did not tell.
+     * A connection that is reset this soon after a request was written to it had been stale: its server had closed it while it
+     * was idle, without a sign.
      */
     private static final long STALE_RESET_NANOS = 20_000_000;
 
     /** Buffers count as heap, which is bounded once and for all, and need no pool at this traffic. */
     public static final UnpooledByteBufAllocator BUFFERS = new UnpooledByteBufAllocator(false);
 
-    /** What hosts' answers mean. */
+    /** The meaning of servers' responses where the caller gives no handler. */
     private static final ResponseHandler DEFAULT_HANDLER = new ResponseHandler() {
         @Override
         public Outcome outcome(HttpResponse head) {
@@ -74,7 +80,7 @@
     private final Bootstrap bootstrap;
     private final IdleTimeout idleLimit;
     private final int maxConnections;
-    /** Idle connections to all hosts, the longest idle first. */
+    /** Idle connections to all endpoints, the longest idle first. */
     private final LinkedHashSet<Connection> idle = new LinkedHashSet<>();
 
     private int connections;
@@ -98,14 +104,14 @@
     }
 
     /**
-     * From now on a connection that is closed takes with it what the other side has not read yet. A request that was given up
-     * then can't arrive late, when a link has healed.
+     * From now on closing a connection discards what the other side has not received yet. A request that was abandoned can't
+     * arrive late then, after a partition.
      */
     public void discardUnsentOnClose() {
         bootstrap.option(ChannelOption.SO_LINGER, 0);
     }
 
-    /** Closes what has been idle for long, from now on. */
+    /** Closes connections that have been idle for long, from now on. */
     public void begin() {
         loop.scheduleWithFixedDelay(
                 () -> {
@@ -117,7 +123,7 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** A host as last listed; all fields are discovery's to set. */
+    /** A server as last listed by discovery. */
     public static final class Endpoint {
         /** No bound of connections but that of all together. */
         public static final int UNBOUNDED = Integer.MAX_VALUE;
@@ -125,7 +131,7 @@
         final String id;
         InetSocketAddress address;
         boolean ready;
-        /** Connections it may have of us at once. */
+        /** Connections of this process that it may have at once. */
         private int most = UNBOUNDED;
 
         private int made;
@@ -149,7 +155,7 @@
             ready = false;
         }
 
-        /** What was heard of it. */
+        /** Updates what is known of it. */
         public void listed(InetSocketAddress at, boolean isReady, int maxConnections) {
             address = at;
             ready = isReady;
@@ -167,48 +173,48 @@
         }
     }
 
-    /** A host's whole answer; {@code headers} where the reading asks for them, else null. */
+    /** A complete response; {@code headers} where the handler wants error bodies, else null. */
     public record Response(byte[] body, String contentType, HttpHeaders headers) {
-        /** An answer without a body. */
+        /** A response without a body. */
         public static final Response EMPTY = new Response(new byte[0], null, null);
     }
 
-    /** Told once how an attempt ended; {@code answer} is null unless there is one to pass on. */
+    /** Called once when an attempt ends; {@code answer} is null unless there is a response to pass on. */
     public interface CompletionListener {
         void ended(Outcome outcome, Response answer);
     }
 
-    /** Whose answer it is that came while a request was open. */
+    /** Which request a response belongs to that came while one was in flight. */
     public enum ResponseMatch {
-        /** The open request's. */
-        OURS,
-        /** An earlier request's, late: it is passed over, and the open one's is still to come. */
+        /** To the request in flight. */
+        CURRENT,
+        /** To an earlier request: it is skipped, and the current one is still to come. */
         EARLIER,
-        /** Nobody can tell: the connection is closed, and the open request may have run. */
+        /** Unknown: the connection is closed, and the request in flight may have been executed. */
         UNKNOWN
     }
 
-    /** What an answer means, and whether its body is wanted as it comes. */
+    /** Interprets responses, and takes bodies as they come. */
     public interface ResponseHandler {
         Outcome outcome(HttpResponse head);
 
-        /** Whose answer a final (not 1xx) head begins. */
+        /** Which request a final (not 1xx) response belongs to. */
         default ResponseMatch match(HttpResponse head) {
-            return ResponseMatch.OURS;
+            return ResponseMatch.CURRENT;
         }
 
-        /** The head of an answer; true if its body is to come in pieces, to {@link #piece}. */
-        default boolean streams(HttpResponse head) {
+        /** The head of a response; true if its body is to come in chunks, to {@link #onChunk}. */
+        default boolean streamsBody(HttpResponse head) {
             return false;
         }
 
-        /** A piece of the body; the buffer is the caller's. False to read no more until told. */
-        default boolean piece(ByteBuf bytes) {
+        /** A chunk of the body; the caller keeps ownership of the buffer. False to stop reading until {@link Attempt#resumeReading}. */
+        default boolean onChunk(ByteBuf bytes) {
             return true;
         }
 
-        /** Whether answers that are no 2xx come with headers and body. */
-        default boolean whole() {
+        /** Whether responses other than 2xx come with headers and body. */
+        default boolean wantsErrorBody() {
             return false;
         }
     }
@@ -216,14 +222,14 @@
     /**
      * An attempt, to be started at once.
      *
-     * @param wanted whether the request still waits for an answer
+     * @param wanted whether the request still waits for a response
      */
     public Attempt attempt(
             Endpoint endpoint, OutgoingRequest call, long timeoutUs, BooleanSupplier wanted, CompletionListener end) {
         return attempt(endpoint, call, timeoutUs, wanted, DEFAULT_HANDLER, end);
     }
 
-    /** An attempt whose answer is read in a way of its own. */
+    /** An attempt with a handler of its own. */
     public Attempt attempt(
             Endpoint endpoint,
             OutgoingRequest call,
@@ -234,7 +240,7 @@
         return new Attempt(endpoint, call, timeoutUs, wanted, responseHandler, end);
     }
 
-    /** Closes the idle connections to a host; those in use close after their answer. */
+    /** Closes the idle connections to an endpoint; those in use close after their response. */
     public void closeIdle(Endpoint endpoint) {
         for (Connection c; (c = endpoint.idle.peek()) != null; ) {
             c.close();
@@ -245,14 +251,14 @@
     public enum Reuse {
         /** Any that is at hand. */
         ANY,
-        /** One that has hardly been idle, else a new one: the request is lost if its connection turns out to be stale. */
+        /** One that was idle for a short time only, else a new one: the request is lost if its connection turns out to be stale. */
         RECENT,
-        /** A new one: nothing that was asked for before can be answered on it. */
+        /** A new one: no response to an earlier request can come on it. */
         NONE
     }
 
-    /** The last used of the idle connections that have rested and show nothing; null if none will do. */
-    private Connection rested(Endpoint endpoint, Reuse reuse) {
+    /** The most recently used idle connection that shows no input; null if there is none. */
+    private Connection takeIdle(Endpoint endpoint, Reuse reuse) {
         if (reuse == Reuse.NONE) {
             return null;
         }
@@ -280,7 +286,7 @@
         return null;
     }
 
-    /** One request written to one server, up to its one end. */
+    /** One request written to one server, until its end. */
     public final class Attempt {
         private final Endpoint endpoint;
         private final OutgoingRequest call;
@@ -292,12 +298,12 @@
         private ChannelFuture connecting;
         private Connection connection;
         private ChannelFuture written;
-        private int fresh;
+        private int newConnections;
         private boolean cautious;
         private boolean stale;
         private long idleFor;
         private long writtenAt;
-        private boolean over;
+        private boolean ended;
 
         private Attempt(
                 Endpoint endpoint,
@@ -315,15 +321,15 @@
             this.timer = loop.schedule(() -> abandon(Outcome.TIMED_OUT), timeoutUs, TimeUnit.MICROSECONDS);
         }
 
-        /** The end may be told before this returns. */
+        /** Starts with any connection; the listener may be called before this returns. */
         public void start() {
             start(Reuse.ANY);
         }
 
-        /** The same, with a say in which connection is used. */
+        /** Starts with a connection of the given kind; the listener may be called before this returns. */
         public void start(Reuse reuse) {
             cautious = reuse == Reuse.RECENT;
-            Connection reused = rested(endpoint, reuse);
+            Connection reused = takeIdle(endpoint, reuse);
             if (reused != null) {
                 idleFor = System.nanoTime() - reused.idleAt;
                 write(reused, true);
@@ -352,7 +358,7 @@
                     .channelFactory(() -> made.channel)
                     .handler(made.pipeline())
                     .connect(endpoint.address);
-            fresh++;
+            newConnections++;
             connections++;
             endpoint.made++;
             up.channel().closeFuture().addListener(f -> {
@@ -361,11 +367,11 @@
             });
             connecting = up;
             up.addListener(f -> {
-                if (over) {
+                if (ended) {
                     up.channel().close();
                 } else if (f.isSuccess()) {
                     write(made, false);
-                } else if (resetAtOnce(f.cause()) && fresh < MAX_NEW_CONNECTIONS) {
+                } else if (resetAtOnce(f.cause()) && newConnections < MAX_NEW_CONNECTIONS) {
                     connect();
                 } else {
                     finish(Outcome.CONNECT_ERROR, null);
@@ -374,10 +380,10 @@
         }
 
         /**
-         * The one place where a request goes out. While the connection came up the host may have been told
-         * to drain, the request may have ended, or its time may have passed if this process stood still: then nothing is
-         * written, and that is known. A connection that does not take the whole of it says little of the host: a fresh one
-         * is tried.
+         * The one place where a request is written. While the connection was established the endpoint may have started to
+         * drain, the request may have ended, or its deadline may have passed if this process was frozen: then nothing is
+         * written, and that is known. A connection that does not take all of it says little about the server: a new one is
+         * tried.
          */
         private void write(Connection c, boolean reused) {
             connection = c;
@@ -392,15 +398,15 @@
             written = c.channel.writeAndFlush(call.encode(Math.max(1, leftNanos / 1_000_000)));
             written.addListener(f -> {
                 boolean answered = c.current != this;
-                if (f.isSuccess() || over || answered) {
+                if (f.isSuccess() || ended || answered) {
                     return;
                 }
-                if (reused || fresh < MAX_NEW_CONNECTIONS) {
+                if (reused || newConnections < MAX_NEW_CONNECTIONS) {
                     idleFor = 0;
                     release();
                     connect();
                 } else {
-                    broken();
+                    onConnectionLost();
                 }
             });
         }
@@ -416,17 +422,17 @@
             return call.method().equals("HEAD");
         }
 
-        /** Whether its connection, which had been kept, was reset at once: its host had forgotten it while it was idle. */
-        public boolean stale() {
+        /** Whether its pooled connection was reset at once: the server had closed it while it was idle. */
+        public boolean isStale() {
             return stale;
         }
 
-        /** Whether the whole request has gone out. */
+        /** Whether the complete request was written. */
         public boolean sent() {
             return written != null && written.isSuccess();
         }
 
-        /** Stops waiting: the connection goes with the attempt, so that the host stops too. */
+        /** Stops waiting: the connection is closed, so that the server stops too. */
         public void cancel() {
             abandon(Outcome.CANCELED);
         }
@@ -436,14 +442,14 @@
             finish(outcome == Outcome.TIMED_OUT && !whole ? Outcome.CONNECT_ERROR : outcome, null);
         }
 
-        /** The connection is gone. Only if the write did not reach the last byte has it surely not run. */
-        private void broken() {
+        /** The connection is lost. Only if the last byte was not written the request was surely not executed. */
+        private void onConnectionLost() {
             stale = idleFor > 0 && System.nanoTime() - writtenAt < STALE_RESET_NANOS;
             learnIdle();
             finish(written.isSuccess() ? Outcome.RESET : Outcome.CONNECT_ERROR, null);
         }
 
-        /** What a reused connection taught: it had been idle for too long, or not. */
+        /** Learns from a reused connection whether it had been idle for too long. */
         private void learnIdle() {
             if (stale) {
                 idleLimit.stale(System.nanoTime(), idleFor);
@@ -452,7 +458,7 @@
             }
         }
 
-        /** Whether something is there that would not have this connection: then the host is not away. */
+        /** Whether the server is there and refused this connection only. */
         private static boolean resetAtOnce(Throwable cause) {
             return cause instanceof SocketException
                     && !(cause instanceof ConnectException)
@@ -470,19 +476,19 @@
             }
         }
 
-        /** Closes what the attempt still holds before its end is told: what follows may be another. */
+        /** Closes the attempt's connection before the listener is called, which may start another attempt. */
         private void finish(Outcome outcome, Response answer) {
-            if (over) {
+            if (ended) {
                 return;
             }
-            over = true;
+            ended = true;
             timer.cancel(false);
             release();
             end.ended(outcome, answer);
         }
     }
 
-    /** A socket that can be asked whether anything has come: the loop may not have seen it yet. */
+    /** A socket that can be checked for input: the loop may not have seen it yet. */
     private static final class HostChannel extends NioSocketChannel {
         boolean untouched() {
             try {
@@ -493,14 +499,14 @@
         }
     }
 
-    /** One connection to a host: busy with one attempt, or idle in its host's list, or closed. */
+    /** One connection to an endpoint: in use by one attempt, or idle in the pool, or closed. */
     private final class Connection extends SimpleChannelInboundHandler<HttpObject> {
         private final Endpoint endpoint;
         private final HostChannel channel = new HostChannel();
         private final ByteBuf body = BUFFERS.buffer();
         private Attempt current;
         private long idleAt;
-        /** How long it may be idle by its host's word. */
+        /** How long it may be idle by the server's Keep-Alive header. */
         private long keepNanos = Long.MAX_VALUE;
 
         private HttpResponse head;
@@ -508,12 +514,12 @@
         private boolean reusable = true;
         private Outcome outcome;
         private Response answer;
-        /** Whether the answer at hand goes on in pieces. */
+        /** Whether the body of the current response goes to its handler in chunks. */
         private boolean streaming;
-        /** Whether the answer at hand belongs to an earlier request. */
-        private boolean passedOver;
+        /** Whether the current response belongs to an earlier request. */
+        private boolean skippingResponse;
 
-        /** What comes while nothing is asked belongs to no request, read to its end or not. */
+        /** Input while no request is in flight belongs to no request: it closes the connection. */
         private final HttpFraming.ResponseDecoder decoder = new HttpFraming.ResponseDecoder() {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object in) throws Exception {
@@ -560,8 +566,8 @@
         }
 
         /**
-         * An answer is served only if it is whole by its own word; the codec would also take as whole what
-         * ends with its connection, or has two lengths. What can't be read may have run all the same.
+         * A response is complete only if it states its length; the codec would also accept one that ends with its connection,
+         * or has two lengths. A request whose response can't be read may have been executed all the same.
          */
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject in) {
@@ -573,7 +579,7 @@
                 return;
             }
             if (in.decoderResult().isFailure()) {
-                spoilt();
+                rejectResponse();
                 return;
             }
             if (in instanceof HttpResponse response) {
@@ -583,26 +589,26 @@
                 }
             }
             if (in instanceof HttpContent content && head.status().code() >= 200) {
-                if (passedOver) {
-                    passedOver = !(in instanceof LastHttpContent);
+                if (skippingResponse) {
+                    skippingResponse = !(in instanceof LastHttpContent);
                     return;
                 }
                 if (streaming) {
-                    if (content.content().isReadable() && !current.responseHandler.piece(content.content())) {
+                    if (content.content().isReadable() && !current.responseHandler.onChunk(content.content())) {
                         channel.config().setAutoRead(false);
                     }
                     if (in instanceof LastHttpContent && current != null) {
-                        whole();
+                        completeResponse();
                     }
                     return;
                 }
                 if (body.readableBytes() + content.content().readableBytes() > HttpFraming.MAX_BODY_BYTES) {
-                    spoilt();
+                    rejectResponse();
                     return;
                 }
                 body.writeBytes(content.content());
                 if (in instanceof LastHttpContent) {
-                    whole();
+                    completeResponse();
                 }
             }
         }
@@ -614,48 +620,48 @@
             boolean stated = current.forHead() || HttpFraming.statesLength(response.headers());
             boolean good = status >= 200 && status < 300;
             if (!HttpFraming.sound(response) || status < 200 && !interimToo || good && !stated) {
-                spoilt();
-            } else if (status >= 200 && !ours(response, stated)) {
+                rejectResponse();
+            } else if (status >= 200 && !belongsToCurrent(response, stated)) {
                 return;
-            } else if (good && current.responseHandler.streams(response)) {
+            } else if (good && current.responseHandler.streamsBody(response)) {
                 streaming = true;
             } else if (HttpFraming.tooLong(response.headers(), HttpFraming.MAX_BODY_BYTES)) {
-                spoilt();
+                rejectResponse();
             } else if (status > 200 && !stated) {
-                whole();
+                completeResponse();
                 reusable = false;
             }
         }
 
-        /** Whether the answer is the open request's; an earlier one's can be passed over only if its end is known. */
-        private boolean ours(HttpResponse response, boolean stated) {
+        /** Whether the response belongs to the request in flight; an earlier one's can be skipped only if its end is known. */
+        private boolean belongsToCurrent(HttpResponse response, boolean stated) {
             ResponseMatch match = current.responseHandler.match(response);
             if (match == ResponseMatch.EARLIER && stated) {
-                passedOver = true;
-            } else if (match != ResponseMatch.OURS) {
-                spoilt();
+                skippingResponse = true;
+            } else if (match != ResponseMatch.CURRENT) {
+                rejectResponse();
             }
-            return match == ResponseMatch.OURS;
+            return match == ResponseMatch.CURRENT;
         }
 
-        private void spoilt() {
+        private void rejectResponse() {
             outcome = Outcome.FAILED;
             reusable = false;
         }
 
-        /** Keeps the answer until the read is over: what follows it unasked ends the connection. */
-        private void whole() {
+        /** Keeps the response until the read is complete: unsolicited input that follows it closes the connection. */
+        private void completeResponse() {
             outcome = current.responseHandler.outcome(head);
             reusable = HttpUtil.isKeepAlive(head) && current.written.isSuccess();
             long keepS = HttpFraming.keepAliveSeconds(head.headers());
             keepNanos = keepS < 0 ? Long.MAX_VALUE : (long) (IDLE_TIMEOUT_FRACTION * 1e9 * keepS);
-            if (outcome == Outcome.OK || current.responseHandler.whole()) {
+            if (outcome == Outcome.OK || current.responseHandler.wantsErrorBody()) {
                 byte[] bytes = new byte[body.readableBytes()];
                 body.readBytes(bytes);
                 answer = new Response(
                         bytes,
                         head.headers().get(HttpHeaderNames.CONTENT_TYPE),
-                        current.responseHandler.whole() ? head.headers() : null);
+                        current.responseHandler.wantsErrorBody() ? head.headers() : null);
             }
         }
 
@@ -697,15 +703,15 @@
             if (outcome != null) {
                 deliver();
             } else if (current != null) {
-                current.broken();
+                current.onConnectionLost();
             }
         }
 
-        /** A reset, say: it costs this connection and its attempt, no more. */
+        /** A reset, for instance: it costs this connection and its attempt only. */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (current != null && outcome == null) {
-                current.broken();
+                current.onConnectionLost();
             }
             close();
         }
--- a/src/main/java/quartzspan/http/HttpFraming.java
+++ b/src/main/java/quartzspan/http/HttpFraming.java
@@ -14,8 +14,8 @@
 import java.util.Map;
 
 /**
- * Where a message begins and ends, strictly by RFC 9112. The codec mends what is ambiguous and reads on; one
- * in the middle must not: what the two sides of it read differently hides a second request or a cut answer.
+ * Where a message begins and ends, strictly by RFC 9112. The codec repairs ambiguous messages and reads on; a proxy must not:
+ * what its two sides read differently hides a second request (request smuggling) or a truncated response.
  */
 public final class HttpFraming {
     public static final int MAX_BODY_BYTES = 64 * 1024;
@@ -32,7 +32,7 @@
 
     private HttpFraming() {}
 
-    /** Decodes requests of clients; what no decoder may guess at ends the connection. */
+    /** Decodes requests of clients; an ambiguous message ends the connection. */
     static class RequestDecoder extends HttpRequestDecoder {
         RequestDecoder(int maxHeaderBytes) {
             super(strict(maxHeaderBytes));
@@ -50,7 +50,7 @@
         }
     }
 
-    /** Decodes answers of servers; what no decoder may guess at ends the connection. */
+    /** Decodes responses of servers; an ambiguous message ends the connection. */
     static class ResponseDecoder extends HttpResponseDecoder {
         ResponseDecoder() {
             super(strict(MAX_HEADER_BYTES));
--- a/src/main/java/quartzspan/http/HttpServer.java
+++ b/src/main/java/quartzspan/http/HttpServer.java
@@ -38,24 +38,31 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What clients connect to. It reads requests, hands them to the {@link Desk} behind it and writes final answers, one at a time on each connection. Nothing that a client sends, or does not send,
- * may cost more than its own connection.
+ * The server that clients connect to: reads requests, hands them to a {@link RequestHandler}, and writes final responses, one at a
+ * time on each connection. Nothing that a client sends, or does not send, may cost more than its own connection.
+ *
+ * <p>Owned by one event loop; all calls and callbacks are made on it. Example:
+ *
+ * <pre>
+ * HttpServer server = new HttpServer(handler, loop);
+ * server.listen(address);
+ * </pre>
  */
 public final class HttpServer {
-    /** Who answers requests. All calls come on the event loop. */
+    /** Answers requests. All calls come on the event loop. */
     public interface RequestHandler {
         /** The present time, microseconds. */
         long now();
 
-        /** A whole request, read at {@code at}; it is to be answered once, now or later. */
-        void take(ClientConnection client, HttpRequest in, byte[] body, long at);
+        /** A complete request, received at {@code at} (microseconds); it is to be answered once, now or later. */
+        void onRequest(ClientConnection client, HttpRequest in, byte[] body, long at);
 
-        /** What clients may do; asked anew for each connection. */
+        /** The limits of clients; read again for each connection. */
         ConnectionLimits limits();
     }
 
     /**
-     * What clients may do.
+     * The limits of clients.
      *
      * @param maxConnections connections at once
      * @param maxHeaderBytes bytes of a head
@@ -67,29 +74,28 @@
             int maxConnections, int maxHeaderBytes, int maxBodyBytes, long idleTimeoutMs, long requestTimeoutMs) {}
 
     /**
-     * What a client may send ahead of its answers before reading stops: requests, and bytes of bodies. All
-     * clients together may send {@code MOST_HELD} bytes ahead; above that only what is not yet whole is read.
+     * How many requests, and bytes of bodies, a client may pipeline before reading stops. All clients together may pipeline
+     * {@code MAX_BUFFERED_BYTES}; above that only requests that are not complete yet are read on.
      */
     private static final int MAX_PIPELINED_REQUESTS = 16;
 
     private static final int MAX_PIPELINED_BYTES = HttpFraming.MAX_BODY_BYTES;
     private static final int MAX_BUFFERED_BYTES = 8 * 1024 * 1024;
     /**
-     * One read at most, so that what is decoded after reading has been stopped stays small. Reads go on until
-     * there is nothing more, or others have their turn: a client that has left behind its request shows by the
-     * last of them only.
+     * Size of one read, so that little is decoded after reading was stopped. Reads go on until there is nothing more, or
+     * other connections have their turn: only the last of them shows that a client has disconnected behind its request.
      */
     private static final int READ_BYTES = 8 * 1024;
 
     private static final int MAX_READS = 16;
-    /** While reading has stopped, one read now and then tells of a client that left. */
+    /** While reading is stopped, one read at this interval detects a client that has disconnected. */
     private static final long PEEK_INTERVAL_MS = 200;
 
     private static final long SWEEP_INTERVAL_MS = 100;
     /**
-     * Clients know of no other place to go: for as long as there is time they are served where they are.
-     * New connections come for 0.4 s after SIGTERM; answers end their connection from some time before
-     * SIGKILL on, and when each client has had time for one more, nothing more is taken.
+     * The drain of the client proxy. Its clients have nowhere else to go, so they are served as long as there is time: new
+     * connections are accepted for 0.4 s after SIGTERM at least; responses close their connection from some time before
+     * SIGKILL on, and when each client has had time for one more request, none is accepted any more.
      */
     private static final long MIN_DRAIN_MS = 400;
 
@@ -100,17 +106,17 @@
     private final EventLoop loop;
     private final ChannelGroup clients;
     private ConnectionLimits limits;
-    /** Connections without an open request, the longest quiet first. */
+    /** Connections without a request in flight, the longest idle first. */
     private final LinkedHashSet<ClientConnection> idleConnections = new LinkedHashSet<>();
-    /** Connections in the middle of a request, the longest first. */
+    /** Connections of which a request is being received, the longest first. */
     private final LinkedHashSet<ClientConnection> receivingConnections = new LinkedHashSet<>();
 
-    private long held;
-    private Channel server;
+    private long bufferedBytes;
+    private Channel listener;
     private boolean draining;
-    private boolean leaving;
-    private boolean deaf;
-    private int busyConnections;
+    private boolean closingAfterResponses;
+    private boolean closed;
+    private int respondingConnections;
 
     /** A server that does not listen yet; to be called on the event loop. */
     public HttpServer(RequestHandler handler, EventLoop loop) {
@@ -153,11 +159,11 @@
                     }
                 })
                 .bind(address);
-        server = bound.channel();
+        listener = bound.channel();
         return bound;
     }
 
-    /** At the most, the longest quiet one makes room; where all have a request open, a new one must wait. */
+    /** At the maximum the longest idle connection is closed; where all have a request in flight, a new one has to wait. */
     private void admit(SocketChannel ch, ClientConnection client) {
         if (clients.size() >= limits.maxConnections() && !idleConnections.isEmpty()) {
             ClientConnection longest = idleConnections.iterator().next();
@@ -166,10 +172,10 @@
         }
         clients.add(ch);
         client.markIdle();
-        ch.closeFuture().addListener(f -> acceptIfRoom(ch));
+        ch.closeFuture().addListener(f -> updateAccepting(ch));
     }
 
-    private void acceptIfRoom(Channel client) {
+    private void updateAccepting(Channel client) {
         client.parent().config().setAutoRead(clients.size() < limits.maxConnections() || !idleConnections.isEmpty());
     }
 
@@ -186,7 +192,7 @@
             if (now - longestIdle.idleSinceNanos <= timeoutNanos) {
                 return;
             }
-            longestIdle.tooLong();
+            longestIdle.onTimeout();
         }
     }
 
@@ -194,35 +200,34 @@
         long timeoutNanos = TimeUnit.MILLISECONDS.toNanos(limits.requestTimeoutMs());
         while (!receivingConnections.isEmpty()) {
             ClientConnection longest = receivingConnections.iterator().next();
-            if (now - longest.readAt <= timeoutNanos) {
+            if (now - longest.receivingSinceNanos <= timeoutNanos) {
                 return;
             }
             receivingConnections.remove(longest);
-            if (longest.busy) {
+            if (longest.responding) {
                 // Its next request has all its time again: the one in flight must not end with it.
-                longest.readAt = now;
+                longest.receivingSinceNanos = now;
                 receivingConnections.add(longest);
             } else {
-                longest.tooLong();
+                longest.onTimeout();
             }
         }
     }
 
     public int port() {
-        return ((InetSocketAddress) server.localAddress()).getPort();
+        return ((InetSocketAddress) listener.localAddress()).getPort();
     }
 
     /**
-     * Serves on, from some time before the end with each answer the last of its connection; then stops
-     * listening and taking requests, closes what is idle and runs {@code done} when the last client has its
-     * answer.
+     * Serves on; from some time before the end each response closes its connection; then stops listening and accepting
+     * requests, closes idle connections and runs {@code done} when the last client has its response.
      *
      * @param leftMs time until the process may be killed
      */
     public void drain(long leftMs, Runnable done) {
         draining = true;
         long leaveMs = Math.max(MIN_DRAIN_MS, leftMs - CLOSE_MARGIN_MS);
-        loop.schedule(() -> leaving = true, leaveMs, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> closingAfterResponses = true, leaveMs, TimeUnit.MILLISECONDS);
         loop.schedule(
                 () -> {
                     close();
@@ -232,21 +237,21 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Whether its end has been told. */
+    /** Whether a drain has begun. */
     public boolean draining() {
         return draining;
     }
 
-    /** From now on each answer is the last on its connection; new connections are served the same way. */
-    public void leave() {
-        leaving = true;
+    /** From now on each response closes its connection; new connections are served the same way. */
+    public void closeAfterResponses() {
+        closingAfterResponses = true;
     }
 
-    /** Takes nothing more: stops listening and closes what is idle. The process is about to end. */
+    /** Accepts nothing more: stops listening and closes idle connections. The process is about to end. */
     public void close() {
-        deaf = true;
-        if (server != null) {
-            server.close();
+        closed = true;
+        if (listener != null) {
+            listener.close();
         }
         clients.forEach(c -> c.pipeline().get(ClientConnection.class).closeIfIdle());
     }
@@ -256,36 +261,36 @@
         idleConnections.stream().filter(ClientConnection::isIdle).toList().forEach(client -> client.channel.close());
     }
 
-    /** Requests taken and not yet answered, and those being read. */
-    public boolean idle() {
-        return busyConnections == 0 && receivingConnections.isEmpty();
+    /** Whether no request is in flight or being received. */
+    public boolean isIdle() {
+        return respondingConnections == 0 && receivingConnections.isEmpty();
     }
 
     /** One connection of a client. */
     public final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
         private final Channel channel;
-        private final ArrayDeque<QueuedRequest> ahead = new ArrayDeque<>();
+        private final ArrayDeque<QueuedRequest> queuedRequests = new ArrayDeque<>();
         private int queuedBytes;
-        /** The request being read, its body so far, and whether the client waits to be told to send it. */
+        /** The request being received, its body so far, and whether the client waits for {@code 100 Continue}. */
         private HttpRequest head;
 
         private ByteBuf body;
-        private boolean expects;
-        /** Set by what can't be read: nothing after it is. */
-        private boolean lost;
+        private boolean expectsContinue;
+        /** Set by input that can't be read: nothing after it is read. */
+        private boolean inputUnreadable;
 
-        private boolean busy;
+        private boolean responding;
         private boolean served;
-        private boolean pumping;
-        private boolean peeking;
+        private boolean handlingQueued;
+        private boolean peekScheduled;
         private boolean keepAlive;
-        private boolean lastAnswer;
+        private boolean lastResponse;
         private long idleSinceNanos;
-        private long readAt;
-        private Runnable gone;
-        private Runnable writable;
+        private long receivingSinceNanos;
+        private Runnable disconnectListener;
+        private Runnable writableListener;
 
-        /** A request as read, or what is to be said of one that can't be. */
+        /** A complete request, or the error of one that can't be read. */
         private record QueuedRequest(HttpRequest head, byte[] body, long at, HttpResponseStatus error) {}
 
         ClientConnection(Channel channel) {
@@ -296,7 +301,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject in) {
-            if (lost || deaf) {
+            if (inputUnreadable || closed) {
                 return;
             }
             if (in.decoderResult().isFailure()) {
@@ -310,38 +315,38 @@
                 return;
             }
             if (in instanceof HttpRequest request) {
-                begin(request);
+                startRequest(request);
             }
-            if (in instanceof HttpContent content && !lost) {
+            if (in instanceof HttpContent content && !inputUnreadable) {
                 append(content.content());
-                if (in instanceof LastHttpContent && !lost) {
-                    end();
+                if (in instanceof LastHttpContent && !inputUnreadable) {
+                    finishRequest();
                 }
             }
         }
 
-        private void begin(HttpRequest request) {
+        private void startRequest(HttpRequest request) {
             String expected = request.headers().get(HttpHeaderNames.EXPECT);
-            expects = expected != null;
+            expectsContinue = expected != null;
             if (!HttpFraming.sound(request)) {
                 unreadable(HttpResponseStatus.BAD_REQUEST);
             } else if (HttpFraming.tooLong(request.headers(), limits.maxBodyBytes())) {
                 unreadable(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
-            } else if (expects && !HttpHeaderValues.CONTINUE.contentEqualsIgnoreCase(expected)) {
+            } else if (expectsContinue && !HttpHeaderValues.CONTINUE.contentEqualsIgnoreCase(expected)) {
                 unreadable(HttpResponseStatus.EXPECTATION_FAILED);
             } else {
                 head = request;
-                readAt = System.nanoTime();
+                receivingSinceNanos = System.nanoTime();
                 receivingConnections.add(this);
                 body = ConnectionPool.BUFFERS.buffer();
-                goAhead();
+                sendContinue();
             }
         }
 
-        /** Tells a client that asks first to send its body, once it is its turn. */
-        private void goAhead() {
-            if (expects && head != null && !busy && ahead.isEmpty()) {
-                expects = false;
+        /** Sends {@code 100 Continue} once the request is the next to be handled. */
+        private void sendContinue() {
+            if (expectsContinue && head != null && !responding && queuedRequests.isEmpty()) {
+                expectsContinue = false;
                 channel.writeAndFlush(new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
             }
@@ -351,114 +356,114 @@
             if (body.readableBytes() + more.readableBytes() > limits.maxBodyBytes()) {
                 unreadable(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
             } else {
-                hold(more.readableBytes());
+                addBuffered(more.readableBytes());
                 body.writeBytes(more);
             }
         }
 
-        private void end() {
+        private void finishRequest() {
             byte[] whole = new byte[body.readableBytes()];
             body.readBytes(whole);
             HttpRequest request = head;
             head = null;
             receivingConnections.remove(this);
-            wait(new QueuedRequest(request, whole, handler.now(), null));
+            enqueue(new QueuedRequest(request, whole, handler.now(), null));
         }
 
-        /** The last that is read of this client: what it sent before is served, then it is told. */
+        /** The last input that is read of this client: the requests before it are answered, then it gets the error. */
         private void unreadable(HttpResponseStatus error) {
-            lost = true;
+            inputUnreadable = true;
             head = null;
             receivingConnections.remove(this);
-            wait(new QueuedRequest(null, new byte[0], 0, error));
+            enqueue(new QueuedRequest(null, new byte[0], 0, error));
         }
 
-        /** A request has its turn when all that is there has been read, and never if its client has left. */
-        private void wait(QueuedRequest next) {
+        /** A request is handled when all input has been read, and never if its client has disconnected. */
+        private void enqueue(QueuedRequest next) {
             idleConnections.remove(this);
-            ahead.add(next);
-            resumeReading();
+            queuedRequests.add(next);
+            updateAutoRead();
         }
 
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
-            if (!busy && !ahead.isEmpty()) {
-                loop.execute(this::pump);
+            if (!responding && !queuedRequests.isEmpty()) {
+                loop.execute(this::handleQueued);
             }
         }
 
-        private void hold(int bytes) {
+        private void addBuffered(int bytes) {
             queuedBytes += bytes;
-            held += bytes;
+            bufferedBytes += bytes;
         }
 
-        /** Reading stops while enough waits. Only a read shows that a client left: one is made at times. */
-        private void resumeReading() {
-            boolean enough = (busy || !ahead.isEmpty())
-                    && !lost
-                    && (ahead.size() >= MAX_PIPELINED_REQUESTS
+        /** Reading stops while enough requests wait. Only a read shows that a client has disconnected: one is made at times. */
+        private void updateAutoRead() {
+            boolean enough = (responding || !queuedRequests.isEmpty())
+                    && !inputUnreadable
+                    && (queuedRequests.size() >= MAX_PIPELINED_REQUESTS
                             || queuedBytes >= MAX_PIPELINED_BYTES
-                            || held >= MAX_BUFFERED_BYTES);
+                            || bufferedBytes >= MAX_BUFFERED_BYTES);
             channel.config().setAutoRead(!enough);
-            if (enough && !peeking) {
-                peeking = true;
+            if (enough && !peekScheduled) {
+                peekScheduled = true;
                 loop.schedule(this::peek, PEEK_INTERVAL_MS, TimeUnit.MILLISECONDS);
             }
         }
 
         private void peek() {
-            peeking = false;
+            peekScheduled = false;
             if (channel.isActive()) {
-                if (queuedBytes < 2 * MAX_PIPELINED_BYTES && held < MAX_BUFFERED_BYTES) {
+                if (queuedBytes < 2 * MAX_PIPELINED_BYTES && bufferedBytes < MAX_BUFFERED_BYTES) {
                     channel.read();
                 }
-                resumeReading();
+                updateAutoRead();
             }
         }
 
         // ---- answering -------------------------------------------------------------------------------
 
-        /** Takes up requests in their order while none is open. */
-        private void pump() {
-            if (pumping) {
+        /** Handles requests in their order, one at a time. */
+        private void handleQueued() {
+            if (handlingQueued) {
                 return;
             }
-            pumping = true;
-            while (!busy && !ahead.isEmpty() && channel.isActive()) {
-                QueuedRequest next = ahead.poll();
-                hold(-next.body().length);
+            handlingQueued = true;
+            while (!responding && !queuedRequests.isEmpty() && channel.isActive()) {
+                QueuedRequest next = queuedRequests.poll();
+                addBuffered(-next.body().length);
                 handle(next);
             }
-            pumping = false;
-            goAhead();
-            resumeReading();
+            handlingQueued = false;
+            sendContinue();
+            updateAutoRead();
         }
 
         private void handle(QueuedRequest next) {
-            busy = true;
+            responding = true;
             served = true;
-            busyConnections++;
+            respondingConnections++;
             HttpRequest in = next.head();
             keepAlive = in != null && HttpUtil.isKeepAlive(in);
             if (in == null) {
                 answer(next.error());
             } else {
-                handler.take(this, in, next.body(), next.at());
+                handler.onRequest(this, in, next.body(), next.at());
             }
         }
 
-        /** The request at hand is open until {@link #answer}; {@code left} is told if its client leaves before. */
-        public void opened(Runnable left) {
-            this.gone = left;
+        /** Sets a listener that runs if the client disconnects before the response to the current request is complete. */
+        public void onDisconnect(Runnable listener) {
+            this.disconnectListener = listener;
         }
 
         public void answer(HttpResponseStatus status) {
             answer(status, ConnectionPool.Response.EMPTY, 0);
         }
 
-        /** The final answer of the request at hand; the next has its turn when this one is written. */
+        /** Sends the complete response to the current request; the next request is handled when it is written. */
         public void answer(HttpResponseStatus status, ConnectionPool.Response what, long retryAfterUs) {
-            gone = null;
+            disconnectListener = null;
             DefaultFullHttpResponse out =
                     new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(what.body()));
             out.headers().set(HttpHeaderNames.CONTENT_LENGTH, what.body().length);
@@ -476,88 +481,89 @@
             if (what.headers() != null) {
                 out.headers().add(what.headers());
             }
-            boolean last = last(out);
+            boolean last = markIfLast(out);
             markIdle();
-            channel.writeAndFlush(out).addListener(written -> over(last, written));
+            channel.writeAndFlush(out).addListener(written -> onResponseWritten(last, written));
         }
 
-        private boolean last(HttpResponse head) {
-            boolean last = !keepAlive || leaving && ahead.isEmpty();
+        private boolean markIfLast(HttpResponse head) {
+            boolean last = !keepAlive || closingAfterResponses && queuedRequests.isEmpty();
             if (last) {
                 head.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             }
             return last;
         }
 
-        private void over(boolean last, Future<?> written) {
-            if (busy) {
-                busyConnections--;
-                busy = false;
+        private void onResponseWritten(boolean last, Future<?> written) {
+            if (responding) {
+                respondingConnections--;
+                responding = false;
             }
             if (last || !written.isSuccess()) {
                 channel.close();
             } else {
-                pump();
+                handleQueued();
             }
         }
 
-        /** Begins an answer whose body comes in pieces; {@link #finish} ends it, {@link #cut} breaks it off. */
-        public void begin(HttpResponse out) {
-            lastAnswer = last(out);
+        /** Starts a response whose body comes in chunks; {@link #finishResponse} ends it, {@link #abort} breaks it off. */
+        public void startResponse(HttpResponse out) {
+            lastResponse = markIfLast(out);
             channel.writeAndFlush(out);
         }
 
-        /** A piece of the body, written at once. Takes over the buffer. */
-        public void piece(ByteBuf bytes) {
+        /** Writes a chunk of the body. Takes ownership of the buffer. */
+        public void writeChunk(ByteBuf bytes) {
             channel.writeAndFlush(new DefaultHttpContent(bytes));
         }
 
-        /** The answer is whole. */
-        public void finish() {
-            gone = null;
+        /** The response is complete. */
+        public void finishResponse() {
+            disconnectListener = null;
             markIdle();
-            boolean last = lastAnswer;
-            channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(written -> over(last, written));
+            boolean last = lastResponse;
+            channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
+                    .addListener(written -> onResponseWritten(last, written));
         }
 
-        /** The answer can't be made whole, or none can be given: its client sees that by the connection's end. */
-        public void cut() {
-            gone = null;
+        /** The response can't be completed, or none can be given: the client sees the connection's end. */
+        public void abort() {
+            disconnectListener = null;
             channel.close();
         }
 
-        /** Whether more can be written without piling up; {@code again} is told when it can be after it could not. */
-        public boolean writable(Runnable again) {
-            writable = again;
+        /** Whether more can be written without buffering; the listener runs when it can be after it could not. */
+        public boolean isWritable(Runnable listener) {
+            writableListener = listener;
             return channel.isWritable();
         }
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-            if (writable != null && channel.isWritable()) {
-                writable.run();
+            if (writableListener != null && channel.isWritable()) {
+                writableListener.run();
             }
         }
 
-        /** From here on the connection is quiet: also one whose client does not read its answer. */
+        /** From here on the connection counts as idle: also one whose client does not read its response. */
         private void markIdle() {
             if (channel.isActive()) {
                 idleSinceNanos = System.nanoTime();
                 idleConnections.remove(this);
                 idleConnections.add(this);
-                acceptIfRoom(channel);
+                updateAccepting(channel);
             }
         }
 
         private boolean isIdle() {
-            return served && !busy && head == null && ahead.isEmpty();
+            return served && !responding && head == null && queuedRequests.isEmpty();
         }
 
-        private void tooLong() {
+        private void onTimeout() {
             idleConnections.remove(this);
-            if (head != null && !busy) {
-                busy = true;
-                busyConnections++;
+            if (head != null && !responding) {
+                responding = true;
+                respondingConnections++;
                 keepAlive = false;
                 answer(HttpResponseStatus.REQUEST_TIMEOUT);
             } else {
@@ -565,9 +571,9 @@
             }
         }
 
-        /** What is open has its answer first, and reading only tells whether its client is still there. */
+        /** A request in flight gets its response first; reading only shows whether its client is still there. */
         private void closeIfIdle() {
-            if (!busy && ahead.isEmpty()) {
+            if (!responding && queuedRequests.isEmpty()) {
                 channel.close();
             }
         }
@@ -576,19 +582,19 @@
         public void channelInactive(ChannelHandlerContext ctx) {
             idleConnections.remove(this);
             receivingConnections.remove(this);
-            ahead.clear();
-            held -= queuedBytes;
+            queuedRequests.clear();
+            bufferedBytes -= queuedBytes;
             queuedBytes = 0;
-            if (busy) {
-                busy = false;
-                busyConnections--;
+            if (responding) {
+                responding = false;
+                respondingConnections--;
             }
-            if (gone != null) {
-                gone.run();
+            if (disconnectListener != null) {
+                disconnectListener.run();
             }
         }
 
-        /** Whatever went wrong costs this connection; what was open on it is the client's to retry. */
+        /** Any failure costs this connection; the client has to retry the request in flight. */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             ctx.close();
--- a/src/main/java/quartzspan/http/IdleTimeout.java
+++ b/src/main/java/quartzspan/http/IdleTimeout.java
@@ -1,8 +1,8 @@
 package quartzspan.http;
 
 /**
- * How long a connection to a server may have been idle and still be used. A server may forget idle connections sooner than
- * it says, and tell nobody: the next request on such a connection is reset, and may have run for all that is known. The
+ * How long a connection to a server may have been idle and still be used. A server may close idle connections sooner than
+ * it states, without a sign: the next request on such a connection is reset, and may have been executed for all that is known. The
  * limit is cut when that happens and grows again while it does not. Times are nanoseconds.
  */
 final class IdleTimeout {
--- a/src/main/java/quartzspan/http/OutgoingRequest.java
+++ b/src/main/java/quartzspan/http/OutgoingRequest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A request as it goes on to a host: all that the client sent but what concerns its own connection. */
+/** A request as it is forwarded to a server: without the headers that concern the client's own connection. */
 public record OutgoingRequest(String method, String uri, HttpHeaders headers, byte[] body) {
     public static final AsciiString DEADLINE = AsciiString.cached("x-deadline-ms");
 
@@ -38,14 +38,14 @@
         return new OutgoingRequest(in.method().name(), in.uri(), headers, body);
     }
 
-    /** A probe. */
+    /** A health check. */
     public static OutgoingRequest health() {
         return new OutgoingRequest(
                 "GET", "/-/healthy", new DefaultHttpHeaders().set(HttpHeaderNames.HOST, "origin.svc"), new byte[0]);
     }
 
     /**
-     * The whole request in one buffer, so that its write either reaches the last byte or surely did not: an
+     * The complete request in one buffer, so that its write either reaches the last byte or surely did not: an
      * encoder's head and body apart could end between the two.
      */
     ByteBuf encode(long deadlineMs) {
--- a/src/main/java/quartzspan/localrun/Main.java
+++ b/src/main/java/quartzspan/localrun/Main.java
@@ -176,7 +176,8 @@
                             }
 
                             @Override
-                            public void take(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
+                            public void onRequest(
+                                    HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
                                 HttpHeaders marks = new DefaultHttpHeaders()
                                         .set("X-Attempt-Id", in.headers().get("X-Attempt-Id", ""))
                                         .set("X-Server-Seal", "local");
--- a/src/test/java/quartzspan/http/HttpServerTest.java
+++ b/src/test/java/quartzspan/http/HttpServerTest.java
@@ -35,7 +35,7 @@
                                 }
 
                                 @Override
-                                public void take(
+                                public void onRequest(
                                         HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
                                     // Long after the slow one's time is up.
                                     loop.schedule(
@@ -82,7 +82,7 @@
                                 }
 
                                 @Override
-                                public void take(
+                                public void onRequest(
                                         HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
                                     taken.incrementAndGet();
                                     client.answer(HttpResponseStatus.OK);
