--- a/src/main/java/quartzspan/common/Settings.java
+++ b/src/main/java/quartzspan/common/Settings.java
@@ -23,7 +23,7 @@
  * @param listen addresses by what is served there ({@code frontend}, {@code readiness}, {@code control_plane})
  * @param internalPort first port that is free for the system's own traffic
  * @param seeds {@code control_plane} addresses of up to three core machines
- * @param bootstrap whether this is the first start of the whole system
+ * @param bootstrap whether this is the first start of the complete system
  * @param voter whether this machine's loss is counted
  * @param memoryMb memory above which the process is killed
  * @param descriptors descriptors that the process may use
--- a/src/main/java/quartzspan/controlplane/ControlPlane.java
+++ b/src/main/java/quartzspan/controlplane/ControlPlane.java
@@ -208,7 +208,7 @@
         router.route(client, in, body);
     }
 
-    private void status(HttpServer.ClientConnection client, HttpRequest in, byte[] body, String rest) {
+    private void status(HttpServer.ClientConnection client, HttpRequest in, byte[] body, String pathSuffix) {
         byte[] report = StatusReport.json(nowMs(), settings.nodeName(), replica, registry);
         RequestRouter.answer(client, HttpResponseStatus.OK, report);
     }
--- a/src/main/java/quartzspan/controlplane/OperatorApi.java
+++ b/src/main/java/quartzspan/controlplane/OperatorApi.java
@@ -30,15 +30,15 @@
         this.registry = registry;
     }
 
-    void replace(ClientConnection client, HttpRequest in, byte[] body, String rest) {
+    void replace(ClientConnection client, HttpRequest in, byte[] body, String pathSuffix) {
         change(client, in, Change.Kind.REPLACE, base(in), body);
     }
 
-    void update(ClientConnection client, HttpRequest in, byte[] body, String rest) {
+    void update(ClientConnection client, HttpRequest in, byte[] body, String pathSuffix) {
         change(client, in, Change.Kind.UPDATE, base(in), body);
     }
 
-    void nameWeights(ClientConnection client, HttpRequest in, byte[] body, String rest) {
+    void nameWeights(ClientConnection client, HttpRequest in, byte[] body, String pathSuffix) {
         change(client, in, Change.Kind.WEIGHTS, 0, body);
     }
 
@@ -59,7 +59,7 @@
         }
     }
 
-    void describe(ClientConnection client, HttpRequest in, byte[] body, String rest) {
+    void describe(ClientConnection client, HttpRequest in, byte[] body, String pathSuffix) {
         if (!redirectedToPrimary(client, in)) {
             replicaHost.read(answerTo(
                     client,
--- a/src/main/java/quartzspan/controlplane/ReplicaHost.java
+++ b/src/main/java/quartzspan/controlplane/ReplicaHost.java
@@ -59,13 +59,13 @@
         this.transport = transport;
         this.listener = listener;
         this.store = new ReplicaStore(new SlotStore(new FileDisk(settings.disk())));
-        List<byte[]> kept = open(store);
+        List<byte[]> records = open(store);
         this.replica = new Replica(
                 self,
                 seeds,
                 settings.losses(),
                 settings.bootstrap() && !store.discarded(),
-                kept,
+                records,
                 System.nanoTime(),
                 clockMs.getAsLong(),
                 new ReplicaOutput());
--- a/src/main/java/quartzspan/controlplane/RequestRouter.java
+++ b/src/main/java/quartzspan/controlplane/RequestRouter.java
@@ -18,9 +18,9 @@
 final class RequestRouter {
     private static final Logger LOG = LoggerFactory.getLogger(RequestRouter.class);
 
-    /** Handles one kind of request; {@code rest} is what follows the declared path. */
+    /** Handles one kind of request; {@code pathSuffix} is what follows the declared path. */
     interface Handler {
-        void handle(ClientConnection client, HttpRequest in, byte[] body, String rest);
+        void handle(ClientConnection client, HttpRequest in, byte[] body, String pathSuffix);
     }
 
     /** By method and path. The key is a string: a record's hash and equality are built by the JVM at their first use, during a start. */
--- a/src/main/java/quartzspan/controlplane/RolloutActions.java
+++ b/src/main/java/quartzspan/controlplane/RolloutActions.java
@@ -21,7 +21,7 @@
 import quartzspan.replication.Replica;
 
 /** Carries out the weights rollout: claims it in the control state, calls servers, and updates the registry. */
-final class RolloutActions implements RolloutCoordinator.Out {
+final class RolloutActions implements RolloutCoordinator.Actions {
     private static final Logger LOG = LoggerFactory.getLogger(RolloutActions.class);
     private static final int OK = 200;
     private static final int ACCEPTED = 202;
--- a/src/main/java/quartzspan/controlplane/RolloutCoordinator.java
+++ b/src/main/java/quartzspan/controlplane/RolloutCoordinator.java
@@ -49,7 +49,7 @@
     record Order(Server server, String model, long version, long fencingToken) {}
 
     /** The actions of the rollout. */
-    interface Out {
+    interface Actions {
         /** Claims the rollout in the control state; {@link RolloutCoordinator#claimed} reports the outcome. */
         void claim(Epoch leadership);
 
@@ -69,7 +69,7 @@
     private final String self;
     private final long leaseMs;
     private final Supplier<Optional<Leadership>> leaderships;
-    private final Out out;
+    private final Actions actions;
     private final RolloutPlanner rollout;
     private final List<Announced> announced = new ArrayList<>();
     private final Map<String, Long> reportAt = new HashMap<>();
@@ -88,12 +88,16 @@
      * @param leaderships this machine's leadership at the moment; empty while it is not primary
      */
     RolloutCoordinator(
-            String self, long leaseMs, RolloutPlanner rollout, Supplier<Optional<Leadership>> leaderships, Out out) {
+            String self,
+            long leaseMs,
+            RolloutPlanner rollout,
+            Supplier<Optional<Leadership>> leaderships,
+            Actions actions) {
         this.self = self;
         this.leaseMs = leaseMs;
         this.rollout = rollout;
         this.leaderships = leaderships;
-        this.out = out;
+        this.actions = actions;
     }
 
     /**
@@ -151,7 +155,7 @@
         leaseBeginsAtMs = noOtherSince
                 ? leadershipSinceMs
                 : leadershipSinceMs + CONFIRMATION_VALID_MS + ORDER_TIMEOUT_MS + leaseMs;
-        out.claim(leadership.epoch());
+        actions.claim(leadership.epoch());
     }
 
     /** What became of the claim made in a term; {@code claimFence} is its fence if it was granted. */
@@ -182,7 +186,7 @@
             Announced next = all.next();
             if (now >= next.dueAt()) {
                 all.remove();
-                out.order(next.order());
+                actions.order(next.order());
             }
         }
     }
@@ -191,7 +195,7 @@
         for (RolloutPlanner.Order due : rollout.due(now, leadership.weights(), servers)) {
             rollout.ordered(now, due.server().id());
             reportAt.put(due.server().id(), now + REPORT_INTERVAL_MS);
-            out.announce(due.server(), due.version());
+            actions.announce(due.server(), due.version());
             announced.add(new Announced(
                     now + ANNOUNCE_MS, new Order(due.server(), due.model(), due.version(), fencingToken)));
         }
@@ -201,7 +205,7 @@
         for (String id : rollout.under(now)) {
             if (now >= reportAt.getOrDefault(id, 0L)) {
                 reportAt.put(id, now + REPORT_INTERVAL_MS);
-                servers.stream().filter(s -> s.id().equals(id)).findFirst().ifPresent(out::report);
+                servers.stream().filter(s -> s.id().equals(id)).findFirst().ifPresent(actions::report);
             }
         }
         reportAt.values().removeIf(at -> now - at > REPORT_EXPIRY_MS);
--- a/src/main/java/quartzspan/http/ConnectionPool.java
+++ b/src/main/java/quartzspan/http/ConnectionPool.java
@@ -411,7 +411,7 @@
             });
         }
 
-        /** Reads on after {@link Reading#piece} asked not to. */
+        /** Reads on after {@link ResponseHandler#onChunk} stopped it. */
         public void resumeReading() {
             if (connection != null) {
                 connection.channel.config().setAutoRead(true);
@@ -438,8 +438,8 @@
         }
 
         private void abandon(Outcome outcome) {
-            boolean whole = written != null && written.isSuccess();
-            finish(outcome == Outcome.TIMED_OUT && !whole ? Outcome.CONNECT_ERROR : outcome, null);
+            boolean completelyWritten = written != null && written.isSuccess();
+            finish(outcome == Outcome.TIMED_OUT && !completelyWritten ? Outcome.CONNECT_ERROR : outcome, null);
         }
 
         /** The connection is lost. Only if the last byte was not written the request was surely not executed. */
--- a/src/main/java/quartzspan/http/HttpServer.java
+++ b/src/main/java/quartzspan/http/HttpServer.java
@@ -362,12 +362,12 @@
         }
 
         private void finishRequest() {
-            byte[] whole = new byte[body.readableBytes()];
-            body.readBytes(whole);
+            byte[] completeBody = new byte[body.readableBytes()];
+            body.readBytes(completeBody);
             HttpRequest request = head;
             head = null;
             receivingConnections.remove(this);
-            enqueue(new QueuedRequest(request, whole, handler.now(), null));
+            enqueue(new QueuedRequest(request, completeBody, handler.now(), null));
         }
 
         /** The last input that is read of this client: the requests before it are answered, then it gets the error. */
--- a/src/main/java/quartzspan/http/IdleTimeout.java
+++ b/src/main/java/quartzspan/http/IdleTimeout.java
@@ -6,19 +6,19 @@
  * limit is cut when that happens and grows again while it does not. Times are nanoseconds.
  */
 final class IdleTimeout {
-    private static final long LEAST_NANOS = 100_000_000;
-    private static final double CUT = 0.8;
-    private static final double GROW = 1.1;
+    private static final long MIN_NANOS = 100_000_000;
+    private static final double DECREASE_FACTOR = 0.8;
+    private static final double INCREASE_FACTOR = 1.1;
     /** Requests that may run once do not try out longer idleness so soon after a stale connection. */
-    private static final long HOLD_NANOS = 5_000_000_000L;
+    private static final long GROWTH_PAUSE_NANOS = 5_000_000_000L;
 
-    private final long mostNanos;
+    private final long maxNanos;
     private long nanos;
     private long staleAt;
 
-    IdleTimeout(long mostNanos) {
-        this.mostNanos = mostNanos;
-        this.nanos = mostNanos;
+    IdleTimeout(long maxNanos) {
+        this.maxNanos = maxNanos;
+        this.nanos = maxNanos;
     }
 
     /** For requests that may be sent again. */
@@ -28,22 +28,22 @@
 
     /** For requests that are lost with their connection: well below what has lately been too long. */
     long cautiousNanos() {
-        return nanos == mostNanos ? nanos : nanos / 2;
+        return nanos == maxNanos ? nanos : nanos / 2;
     }
 
     /** A connection was stale after this idleness. */
     void stale(long now, long idleFor) {
-        if (idleFor > LEAST_NANOS) {
+        if (idleFor > MIN_NANOS) {
             staleAt = now;
-            nanos = Math.min(nanos, Math.max(LEAST_NANOS, (long) (CUT * idleFor)));
+            nanos = Math.min(nanos, Math.max(MIN_NANOS, (long) (DECREASE_FACTOR * idleFor)));
         }
     }
 
     /** A connection was still good after this idleness; {@code cautious} as it was chosen. */
     void good(long now, long idleFor, boolean cautious) {
-        boolean held = cautious && now - staleAt < HOLD_NANOS;
-        if (!held && idleFor > (cautious ? cautiousNanos() : nanos) / 2) {
-            nanos = Math.min(mostNanos, (long) (GROW * nanos));
+        boolean growthPaused = cautious && now - staleAt < GROWTH_PAUSE_NANOS;
+        if (!growthPaused && idleFor > (cautious ? cautiousNanos() : nanos) / 2) {
+            nanos = Math.min(maxNanos, (long) (INCREASE_FACTOR * nanos));
         }
     }
 }
--- a/src/main/java/quartzspan/prefixcache/KvEventReader.java
+++ b/src/main/java/quartzspan/prefixcache/KvEventReader.java
@@ -25,7 +25,7 @@
         LIST
     }
 
-    /** A change of what is kept, as the server says it. */
+    /** A change of the cached blocks, as the server reports it. */
     public record Event(String salt, String id, int tokens, String model) {}
 
     private final String server;
--- a/src/main/java/quartzspan/registry/Gossip.java
+++ b/src/main/java/quartzspan/registry/Gossip.java
@@ -35,7 +35,7 @@
     private static final Registry.Update NO_UPDATE = new Registry.Update(List.of(), false);
 
     /** Where messages go. */
-    public interface Out {
+    public interface Sender {
         void send(String to, GossipMessage message);
     }
 
@@ -45,7 +45,7 @@
     private final boolean core;
     private List<String> seeds;
     private final Registry registry;
-    private final Out out;
+    private final Sender sender;
     private final Map<Long, Query> openQueries = new LinkedHashMap<>();
     private final Map<String, Long> subscribers = new HashMap<>();
     private final AcknowledgementTracker acknowledgements = new AcknowledgementTracker();
@@ -79,8 +79,8 @@
     private long rankedPeersVersion = -1;
 
     /** As below, with queries numbered from 1 on: for a process without an earlier incarnation. */
-    public Gossip(String self, boolean core, List<String> seeds, Registry registry, Out out) {
-        this(self, core, seeds, registry, out, 0);
+    public Gossip(String self, boolean core, List<String> seeds, Registry registry, Sender sender) {
+        this(self, core, seeds, registry, sender, 0);
     }
 
     /**
@@ -90,13 +90,13 @@
      * @param firstNonce the number before that of the first query: a reply to a query of an earlier incarnation of this
      *     process must match none of this one, or old state would count as fresh
      */
-    public Gossip(String self, boolean core, List<String> seeds, Registry registry, Out out, long firstNonce) {
+    public Gossip(String self, boolean core, List<String> seeds, Registry registry, Sender sender, long firstNonce) {
         this.self = self;
         this.core = core;
         this.seeds = seeds;
         this.registry = registry;
-        this.out = out;
-        this.fetches = new StateFetch(registry.states(), firstNonce, out);
+        this.sender = sender;
+        this.fetches = new StateFetch(registry.states(), firstNonce, sender);
         this.lastNonce = firstNonce;
     }
 
@@ -206,7 +206,7 @@
 
     private void query(long now, String to, boolean full) {
         openQueries.put(++lastNonce, new Query(to, now, full));
-        out.send(to, registry.query(now, lastNonce, full));
+        sender.send(to, registry.query(now, lastNonce, full));
     }
 
     /** A message came; what was new in it has been forwarded already. */
@@ -232,7 +232,7 @@
 
     private Registry.Update onQuery(long now, String from, GossipMessage in) {
         subscribers.put(from, now);
-        out.send(from, registry.reply(now, in));
+        sender.send(from, registry.reply(now, in));
         return NO_UPDATE;
     }
 
@@ -264,7 +264,7 @@
     private Registry.Update onUpdate(long now, String from, GossipMessage in) {
         Registry.Update update = registry.merge(now, in, NEVER);
         if (in.nonce() != 0 && !acknowledgesNothing) {
-            out.send(from, GossipMessage.acknowledgement(in.nonce()));
+            sender.send(from, GossipMessage.acknowledgement(in.nonce()));
         }
         fetches.onIndex(now, from, in.stateIndex(), !in.deltas().isEmpty());
         return update;
@@ -276,7 +276,7 @@
         boolean anyWill = in.chunk().index() == SnapshotChunk.ANY;
         List<StateDelta> steps = anyWill ? states.since(in.stateIndex()) : List.of();
         SnapshotChunk chunk = steps.isEmpty() ? states.chunk(in.stateIndex(), in.chunk()) : SnapshotChunk.NONE;
-        out.send(from, GossipMessage.fetchReply(in.nonce(), states.index(), steps, chunk));
+        sender.send(from, GossipMessage.fetchReply(in.nonce(), states.index(), steps, chunk));
         return NO_UPDATE;
     }
 
@@ -289,7 +289,7 @@
     private void sendLacking(String to, long[] buckets) {
         List<RegistryEntry> lacking = registry.differing(buckets);
         if (!lacking.isEmpty()) {
-            out.send(to, GossipMessage.update(0, registry.stateIndex(), lacking, List.of()));
+            sender.send(to, GossipMessage.update(0, registry.stateIndex(), lacking, List.of()));
         }
     }
 
@@ -339,7 +339,7 @@
         GossipMessage full = GossipMessage.update(0, broadcastIndex, update.entries(), steps);
         for (String other : to) {
             if (!other.equals(except) && !other.equals(self)) {
-                out.send(other, publishes || !cores().contains(other) ? full : index);
+                sender.send(other, publishes || !cores().contains(other) ? full : index);
             }
         }
         publishes = false;
@@ -366,7 +366,7 @@
         }
         others.removeAll(cores);
         GossipMessage plain = GossipMessage.update(0, registry.stateIndex(), update, List.of());
-        others.forEach(to -> out.send(to, plain));
+        others.forEach(to -> sender.send(to, plain));
         long nonce = ++lastNonce;
         acknowledgements.track(now, nonce, wanted, cores, update, onAcknowledged);
         sendForAcknowledgement(nonce, update, cores);
@@ -380,6 +380,6 @@
 
     private void sendForAcknowledgement(long nonce, List<RegistryEntry> update, List<String> to) {
         GossipMessage asking = GossipMessage.update(nonce, registry.stateIndex(), update, List.of());
-        to.forEach(c -> out.send(c, asking));
+        to.forEach(c -> sender.send(c, asking));
     }
 }
--- a/src/main/java/quartzspan/registry/StateFetch.java
+++ b/src/main/java/quartzspan/registry/StateFetch.java
@@ -14,7 +14,7 @@
     private static final int MAX_SNAPSHOT_BYTES = 16 * 1024 * 1024;
 
     private final StateFollower states;
-    private final Gossip.Out out;
+    private final Gossip.Sender sender;
     private long lastNonce;
     /** Whom the open request is put to; null if there is none. */
     private String source;
@@ -32,10 +32,10 @@
     private long newestIndex = -1;
 
     /** @param firstNonce one that no other incarnation of this process is likely to be near */
-    StateFetch(StateFollower states, long firstNonce, Gossip.Out out) {
+    StateFetch(StateFollower states, long firstNonce, Gossip.Sender sender) {
         this.states = states;
         this.lastNonce = firstNonce;
-        this.out = out;
+        this.sender = sender;
     }
 
     /**
@@ -81,7 +81,7 @@
 
     private void request(long now) {
         requestedAtMs = now;
-        out.send(
+        sender.send(
                 source,
                 GossipMessage.fetch(
                         ++lastNonce, states.index(), SnapshotChunk.request(snapshotIndex, received.size())));
--- a/src/main/java/quartzspan/replication/Replica.java
+++ b/src/main/java/quartzspan/replication/Replica.java
@@ -66,7 +66,7 @@
      * @param seeds names of the replicas that found the system, the same everywhere; later only whom to ask first
      * @param losses number of replicas that may be lost at once
      * @param found whether to found the system if the disk is empty
-     * @param kept the records found on disk, oldest first; empty for none
+     * @param records the records found on disk, oldest first; empty for none
      * @param seed seed of the replica's random numbers
      * @param now the present time
      */
@@ -75,7 +75,7 @@
             List<String> seeds,
             int losses,
             boolean found,
-            List<byte[]> kept,
+            List<byte[]> records,
             long seed,
             long now,
             Output output) {
@@ -90,7 +90,7 @@
         this.follower = new FollowerState(context, voter, log, peers, replies, new FollowerTransitions());
         this.recoveryResponder = new RecoveryResponder(context, voter, peers, replies);
         this.requests = new MembershipRequests(context, voter, this.seeds);
-        boolean damaged = !restore(kept);
+        boolean damaged = !restore(records);
         if (damaged || voter.membership().epoch().equals(Epoch.NONE)) {
             begin(found && !damaged);
         }
@@ -98,9 +98,9 @@
     }
 
     /** Whether all records could be read; damage is as good as an empty disk, for the others know what was promised. */
-    private boolean restore(List<byte[]> kept) {
+    private boolean restore(List<byte[]> records) {
         try {
-            for (byte[] record : kept) {
+            for (byte[] record : records) {
                 if (record[0] == VoterState.RECORD_TAG) {
                     voter.restore(record);
                 } else {
--- a/src/main/java/quartzspan/replication/ReplicaLog.java
+++ b/src/main/java/quartzspan/replication/ReplicaLog.java
@@ -94,19 +94,19 @@
             throw new IllegalStateException("an update that does not follow " + epoch.text() + " at " + index);
         }
         appending = true;
-        StateUpdate kept = toKeep(update, result);
-        byte[] record = record(kept);
+        StateUpdate stored = toStore(update, result);
+        byte[] record = record(stored);
         disk.write(now, record, durable -> {
             appending = false;
             if (durable) {
                 install(update, result);
-                count(kept, record.length);
+                count(stored, record.length);
             }
             completion.done(durable);
         });
     }
 
-    private StateUpdate toKeep(StateUpdate update, ControlState result) {
+    private StateUpdate toStore(StateUpdate update, ControlState result) {
         boolean outgrown = entriesBytes > Math.max(MIN_ENTRIES_BYTES, snapshotBytes) || entryCount > MAX_ENTRIES;
         return !update.isSnapshot() && (outgrown || index < 0)
                 ? StateUpdate.ofSnapshot(update.epoch(), update.index(), result)
@@ -121,14 +121,14 @@
         return record;
     }
 
-    private void count(StateUpdate kept, int bytes) {
-        if (kept.isSnapshot()) {
+    private void count(StateUpdate stored, int bytes) {
+        if (stored.isSnapshot()) {
             snapshotBytes = bytes;
             entriesBytes = 0;
             entryCount = 0;
         } else {
             entriesBytes += bytes;
-            entryCount += kept.entries().size();
+            entryCount += stored.entries().size();
         }
     }
 
--- a/src/test/java/quartzspan/controlplane/RolloutCoordinatorTest.java
+++ b/src/test/java/quartzspan/controlplane/RolloutCoordinatorTest.java
@@ -32,7 +32,7 @@
     private final List<Long> orderedAt = new ArrayList<>();
 
     /** One machine of the core. */
-    private final class Machine implements RolloutCoordinator.Out {
+    private final class Machine implements RolloutCoordinator.Actions {
         private final String name;
         private RolloutCoordinator duty;
         private long epoch = -1;
