--- a/src/test/java/quartzspan/cli/CommandLineTest.java
+++ b/src/test/java/quartzspan/cli/CommandLineTest.java
@@ -25,13 +25,13 @@
     }
 
     @Test
-    void aWrongWordShowsHowItIsUsed() {
+    void unknownVerbPrintsUsage() {
         assertEquals(2, run("dance"));
         Approvals.verify(out.toString(StandardCharsets.UTF_8), new Options());
     }
 
     @Test
-    void aFileIsCheckedWithoutAskingAnybody() throws Exception {
+    void checkWorksOffline() throws Exception {
         Path good = Files.writeString(folder.resolve("good.json"), "{\"version\":3,\"routes\":[],\"services\":[]}");
         Path bad = Files.writeString(folder.resolve("bad.json"), "{\"version\":3,\"routes\":[{\"name\":\"a\"}]}");
         assertEquals(0, run("check", good.toString()));
--- a/src/test/java/quartzspan/common/SettingsTest.java
+++ b/src/test/java/quartzspan/common/SettingsTest.java
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void whatIsMissingOrAbsurdIsRefusedByName() {
+    void missingAndInvalidFieldsAreRefusedByName() {
         for (String[] bad : List.of(
                 new String[] {"node_name: \"n1\"", "", "node_name"},
                 new String[] {"  - 7640", "  - 99999", "internal_ports"},
--- a/src/test/java/quartzspan/configuration/ConfigurationTest.java
+++ b/src/test/java/quartzspan/configuration/ConfigurationTest.java
@@ -41,14 +41,14 @@
     }
 
     @Test
-    void whatWasSentIsKeptToTheLetter() {
+    void documentIsKeptByteForByte() {
         assertEquals(
                 GOOD.replace('\'', '"'),
                 new String(Configuration.read(json(GOOD)).bytes(), StandardCharsets.UTF_8));
     }
 
     @Test
-    void eachKindOfInvalidOneIsRefusedByName() {
+    void invalidDocumentsAreRefusedByName() {
         assertTrue(refused(GOOD.replace("'service':'s'", "'service':'z'"))
                 .getMessage()
                 .contains("unknown service z"));
@@ -89,7 +89,7 @@
 
     /** A patch leads from one configuration exactly to another, or there is none. */
     @Test
-    void aPatchLeadsToTheVeryDocument() {
+    void patchLeadsToTheSameDocument() {
         Configuration old = Configuration.read(json(GOOD));
         for (String text : List.of(
                 GOOD.replace("'version':7", "'version':8"),
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void anUpdateChecksTheItemsThatStayAgainstThoseThatCome() {
+    void updateChecksKeptItemsAgainstNewOnes() {
         Configuration old = Configuration.read(json(GOOD));
         assertThrows(
                 FleetException.class,
--- a/src/test/java/quartzspan/controlplane/ApiCompatibilityTest.java
+++ b/src/test/java/quartzspan/controlplane/ApiCompatibilityTest.java
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void refusalsOfAMachineThatHearsNobodyAreThoseOfEarlierVersions() throws Exception {
+    void refusalsOfAnIsolatedMachineAreThoseOfEarlierVersions() throws Exception {
         try (CoreCluster started = new CoreCluster(folder, GRACE_PERIOD_S)) {
             cluster = started;
             String alone = CoreCluster.HOSTS.get(0);
--- a/src/test/java/quartzspan/controlplane/CoreClusterTest.java
+++ b/src/test/java/quartzspan/controlplane/CoreClusterTest.java
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void aPrimaryHandsOverAndTheLastOneAloneConfirmsNothing() throws Exception {
+    void primaryHandsOverAndTheLastMachineAloneAcknowledgesNothing() throws Exception {
         cluster.startAll();
         Set<String> left = new HashSet<>(HOSTS);
         String first = cluster.primary(left);
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void aMachineThatHearsNobodyConfirmsNothing() throws Exception {
+    void isolatedMachineAcknowledgesNothing() throws Exception {
         cluster.start(HOSTS.get(0), false);
         confirmsNothing(HOSTS.get(0), "{\"version\":2,\"routes\":[],\"services\":[]}");
     }
--- a/src/test/java/quartzspan/controlplane/DrainAcknowledgerTest.java
+++ b/src/test/java/quartzspan/controlplane/DrainAcknowledgerTest.java
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void theWordOutlivesWhoAcknowledgedItAndAnother() {
+    void acknowledgedEntryOutlivesTheAcknowledgerAndAnotherMachine() {
         // The proxies are cut off from those that are about to hear it, and hear nothing at first.
         down.addAll(List.of("c4:1", "c5:1", "p1:1", "p2:1"));
         drain(2);
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void aMachineThatStartsAnewHearsItFromOneThatMissedIt() {
+    void restartedMachineLearnsTheEntryFromOneThatMissedTheBroadcast() {
         down.add("c5:1");
         drain(2);
         run(TICK_MS);
@@ -159,7 +159,7 @@
     }
 
     @Test
-    void aCallerThatWentAwayIsNotAnsweredAndNothingIsKept() {
+    void disconnectedCallerIsNotAnsweredAndForgotten() {
         down.addAll(List.of("c2:1", "c3:1", "c4:1", "c5:1"));
         DrainAcknowledger.Pending waiting = drain(1);
         assertTrue(waiting.isPending());
@@ -172,7 +172,7 @@
     }
 
     @Test
-    void whereNothingMayBeLostNobodyIsWaitedFor() {
+    void withoutToleratedLossesTheEntryIsAcknowledgedAtOnce() {
         down.addAll(List.of("c2:1", "c3:1", "c4:1", "c5:1"));
         assertFalse(drain(0).isPending());
         assertEquals(List.of("acknowledged"), answers);
--- a/src/test/java/quartzspan/controlplane/GracefulShutdownPhasesTest.java
+++ b/src/test/java/quartzspan/controlplane/GracefulShutdownPhasesTest.java
@@ -27,14 +27,14 @@
             GRACE_MS);
 
     @Test
-    void itNeverEndsUntold() {
+    void neverOverBeforeTheShutdownBegins() {
         left = true;
         assertFalse(stop.isOver(1_000_000, true));
         assertFalse(stop.started());
     }
 
     @Test
-    void itHandsOverFirstAndAnswersWhoWaits() {
+    void overOnceHandedOverAndIdle() {
         stop.begin(100);
         stop.begin(150);
         assertEquals(1, leaves, "once");
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void itEndsByItselfBeforeItIsKilled() {
+    void overBeforeTheGracePeriodEnds() {
         stop.begin(0);
         assertFalse(stop.isOver(GRACE_MS - GracefulShutdown.KILL_MARGIN_MS - 1, true));
         assertTrue(stop.isOver(GRACE_MS - GracefulShutdown.KILL_MARGIN_MS, false));
--- a/src/test/java/quartzspan/controlplane/HeartbeatHandlerTest.java
+++ b/src/test/java/quartzspan/controlplane/HeartbeatHandlerTest.java
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void aMachineThatIsCutOffSendsServersOnButKeepsWhatTheySaid() {
+    void disconnectedMachineRefusesHeartbeatsButAppliesThem() {
         registry.confirmFresh(10_000);
         assertNull(receiver.heartbeat(10_000 + HeartbeatHandler.MAX_STALENESS_MS, "i", body(1, "ready")));
         long cut = 10_001 + HeartbeatHandler.MAX_STALENESS_MS;
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void oneThatLeavesIsTakenInAndMustBeHeldByOthers() {
+    void drainingEntryHasToBeAcknowledgedByOthers() {
         assertEquals(
                 RegistryEntry.State.DRAINING,
                 receiver.heartbeat(99_000, "i", body(1, "draining")).state());
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void whatCantBeReadIsRefused() {
+    void malformedHeartbeatIsRefused() {
         assertThrows(FleetException.class, () -> receiver.heartbeat(0, "i", new byte[] {'{'}));
     }
 }
--- a/src/test/java/quartzspan/controlplane/RolloutCoordinatorTest.java
+++ b/src/test/java/quartzspan/controlplane/RolloutCoordinatorTest.java
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void theFirstHolderWaitsForNobody() {
+    void firstLeaseHolderDoesNotWait() {
         Machine a = new Machine("a");
         a.leaderships(1);
         a.run(300);
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void nothingIsOrderedWhereNothingIsNamed() {
+    void nothingIsOrderedWithoutNamedWeights() {
         named.clear();
         Machine a = new Machine("a");
         a.leaderships(1);
@@ -127,7 +127,7 @@
     }
 
     @Test
-    void aCutHolderIsSilentForTheLeaseBeforeTheNextOneBegins() {
+    void partitionedHolderIsSilentForTheLeaseBeforeTheNextOneOrders() {
         Machine a = new Machine("a");
         Machine b = new Machine("b");
         a.leaderships(1);
@@ -169,7 +169,7 @@
     }
 
     @Test
-    void aFrozenHolderThatThawsSendsNothing() {
+    void thawedHolderSendsNothing() {
         Machine a = new Machine("a");
         a.leaderships(1);
         a.run(200);
@@ -183,7 +183,7 @@
     }
 
     @Test
-    void anAnnouncedOrderOfAnEarlierTermIsNotSent() {
+    void announcedOrderOfAnEarlierLeadershipIsNotSent() {
         Machine a = new Machine("a");
         a.leaderships(1);
         a.run(200);
@@ -194,7 +194,7 @@
     }
 
     @Test
-    void theSameHolderGoesOnAtOnceUnderAHigherToken() {
+    void sameHolderContinuesAtOnceWithAHigherToken() {
         Machine a = new Machine("a");
         a.leaderships(1);
         a.run(200);
@@ -207,7 +207,7 @@
     }
 
     @Test
-    void aClaimThatWasTakenUnansweredDoesNotHideTheHolderBefore() {
+    void grantedButUnansweredClaimDoesNotHideThePreviousHolder() {
         Machine a = new Machine("a");
         Machine b = new Machine("b");
         b.leaderships(1);
@@ -229,7 +229,7 @@
     }
 
     @Test
-    void aRestartedHolderWaitsAsAnyOther() {
+    void restartedHolderWaitsForTheLease() {
         Machine a = new Machine("a");
         a.leaderships(1);
         a.run(200);
@@ -241,7 +241,7 @@
     }
 
     @Test
-    void tokensNeverFallNorAreSharedWhateverTheOrderOfTerms() {
+    void tokensNeverFallAndAreNeverShared() {
         List<Machine> machines = List.of(new Machine("a"), new Machine("b"), new Machine("c"));
         Map<Long, String> owners = new HashMap<>();
         for (int epoch = 1; epoch < 12; epoch++) {
@@ -264,7 +264,7 @@
     }
 
     @Test
-    void weightsNamedLongAfterTheTakeOverAreOrderedAtOnce() {
+    void weightsNamedLongAfterTheElectionAreOrderedAtOnce() {
         named.clear();
         holder = "other";
         fencingToken = 7;
@@ -279,7 +279,7 @@
     }
 
     @Test
-    void anOrderThatWasNotSentIsGivenAnewSoonAndOneWithoutAnAnswerLater() {
+    void unsentOrderIsRetriedSoonAndUnansweredOneLater() {
         Machine a = new Machine("a");
         a.leaderships(1);
         a.run(200);
@@ -298,7 +298,7 @@
     }
 
     @Test
-    void whoMeetsAHigherTokenClaimsAnew() {
+    void higherTokenLeadsToANewClaim() {
         Machine a = new Machine("a");
         a.leaderships(1);
         a.run(200);
@@ -308,7 +308,7 @@
     }
 
     @Test
-    void whatANewHolderWaitsCountsAsTimeUsed() {
+    void waitOfANewHolderCountsAsTimeUsed() {
         holder = "other";
         fencingToken = 7;
         Machine a = new Machine("a");
--- a/src/test/java/quartzspan/controlplane/RolloutPlannerTest.java
+++ b/src/test/java/quartzspan/controlplane/RolloutPlannerTest.java
@@ -64,13 +64,13 @@
     }
 
     @Test
-    void aFewAtOnceWhileLoadsAreQuick() {
+    void fewLoadsAtOnceWhileTheyAreQuick() {
         assertTrue(finishedAt(8, 1_000) <= 5_000);
         assertEquals(2, most);
     }
 
     @Test
-    void moreAtOnceWhereRunsHoldLoadsUp() {
+    void moreLoadsAtOnceWhereRunsDelayLoads() {
         for (int servers : new int[] {6, 8, 63, 78}) {
             loaded.clear();
             loadedAt.clear();
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void someServeThroughoutHoweverLateItIs() {
+    void someServersServeHoweverLateTheRolloutIs() {
         finishedAt(10, 9_000);
         assertEquals(6, most);
     }
--- a/src/test/java/quartzspan/controlplane/ServerClientTest.java
+++ b/src/test/java/quartzspan/controlplane/ServerClientTest.java
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void permissionIsAskedWhenTheConnectionStandsAndWithoutItNothingGoesOut() throws Exception {
+    void permissionIsCheckedOnceConnectedAndNothingIsSentWithoutIt() throws Exception {
         CompletableFuture<Boolean> early = new CompletableFuture<>();
         AtomicInteger asked = new AtomicInteger();
         CompletableFuture<Integer> ended = new CompletableFuture<>();
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void anOrderWithoutAnAnswerMayHaveBeenTakenAndIsNotWrittenAgain() throws Exception {
+    void unansweredOrderIsNotWrittenAgain() throws Exception {
         AtomicInteger asked = new AtomicInteger();
         CompletableFuture<Integer> ended = post(() -> asked.incrementAndGet() > 0);
         try (Socket accepted = listening.accept()) {
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void anAnswerIsPassedOnWhateverItsStatus() throws Exception {
+    void responseOfAnyStatusIsReported() throws Exception {
         CompletableFuture<Integer> ended = post(() -> true);
         try (Socket accepted = listening.accept()) {
             accepted.getInputStream().read();
@@ -105,13 +105,13 @@
     }
 
     @Test
-    void whoCantBeReachedHasReadNothing() throws Exception {
+    void unreachableServerCountsAsNotSent() throws Exception {
         listening.close();
         assertEquals(ServerClient.NOT_SENT, post(() -> true).get(PATIENCE_S, TimeUnit.SECONDS));
     }
 
     @Test
-    void anOrderThatIsGivenUpIsTakenBackFromTheConnection() throws Exception {
+    void abandonedOrderIsDiscardedFromTheConnection() throws Exception {
         CompletableFuture<Integer> ended = post(() -> true);
         try (Socket accepted = listening.accept()) {
             assertEquals(ServerClient.NO_RESPONSE, ended.get(PATIENCE_S, TimeUnit.SECONDS), "its time runs out");
@@ -125,7 +125,7 @@
 
     /** A server answers a question twice: the second answer is not taken for that of the order which follows. */
     @Test
-    void anAnswerTooManyOnAKeptConnectionIsNotTheOrders() throws Exception {
+    void extraResponseOnAPooledConnectionIsNotTheOrders() throws Exception {
         String answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}";
         CompletableFuture<Integer> asked = new CompletableFuture<>();
         loop.execute(
--- a/src/test/java/quartzspan/frontend/RequestResendTest.java
+++ b/src/test/java/quartzspan/frontend/RequestResendTest.java
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void aRequestThatRunsOnceIsNotSentAgainWhenItsKeptConnectionWasForgotten() throws Exception {
+    void nonIdempotentRequestIsNotResentAfterAStaleConnection() throws Exception {
         Set<Socket> known = ConcurrentHashMap.newKeySet();
         Server server = server("forgets", s -> forgetful(s, known));
         assertEquals("for a1", client().write(request("once", "a1")).read().text());
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void aReadGoesOnAnotherConnectionWhenItsKeptOneWasForgotten() throws Exception {
+    void readIsResentOnAnotherConnectionAfterAStaleOne() throws Exception {
         Set<Socket> known = ConcurrentHashMap.newKeySet();
         server("forgets-a", s -> forgetful(s, known));
         server("forgets-b", s -> forgetful(s, known));
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void aConnectionIsNotKeptForLongerThanItsServerSays() throws Exception {
+    void connectionIsClosedWithinTheServersKeepAlive() throws Exception {
         Server server = server(
                 "brief",
                 s -> s.write(answer(
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void whateverByteAnAnswerBreaksOffAtNothingIsSentAgainAndNoPartLooksWhole() throws Exception {
+    void truncatedResponseIsNeverRetriedNorLooksComplete() throws Exception {
         String head = "HTTP/1.1 200 OK\r\nX-Attempt-Id: b\r\nX-Server-Seal: seal.1\r\n";
         for (String whole :
                 List.of(head + "Content-Length: 4\r\n\r\ndone", head + "Transfer-Encoding: chunked\r\n\r\n" + EVENTS)) {
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void aSilentServerIsNoReasonToPromiseAnything() throws Exception {
+    void timeoutPromisesNothing() throws Exception {
         Server server = server("mute", s -> {});
         Message answer = client().write(request("POST", "once", "a1", "", 300)).read();
         assertEquals(504, answer.status());
@@ -135,7 +135,7 @@
     }
 
     @Test
-    void whatAnAddressOfAnotherServerTurnsAwayRunsElsewhere() throws Exception {
+    void requestRejectedByAnotherInstanceRunsElsewhere() throws Exception {
         Server reused = server("reused", s -> s.write(notExecuted(421, id(s))));
         server("there", s -> s.write(answer(id(s), "ran")));
         reused.seen.clear();
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void anAnswerBeforeTheRequestIsReadIsTheAnswer() throws Exception {
+    void earlyResponseIsTheResponse() throws Exception {
         // The server says no to a large request after its head, and does not read the rest.
         String body = "x".repeat(3_000_000);
         Server server = server("early", s -> s.write(answer(id(s), "ran")));
@@ -214,7 +214,7 @@
     }
 
     @Test
-    void theAnswerToAClientThatLeftMeetsNobody() throws Exception {
+    void responseToADisconnectedClientReachesNoOther() throws Exception {
         Server server = server("slow", s -> {
             if (!id(s).equals("gone")) {
                 s.write(answer(id(s), "for " + id(s)));
@@ -232,7 +232,7 @@
     }
 
     @Test
-    void headsOfAnswersToHeadHaveNoBody() throws Exception {
+    void responsesToHeadHaveNoBody() throws Exception {
         server(
                 "heads",
                 s -> s.write(
@@ -257,7 +257,7 @@
     }
 
     @Test
-    void aClientIsToldOfAFullFleetOnlyWhenNothingRan() throws Exception {
+    void rejectionPromisesNonExecutionOnlyIfNothingWasExecuted() throws Exception {
         // Full first, then a reset: the refusal of the one says nothing of the other.
         Server full = server("full", s -> s.write(notExecuted(503, id(s))));
         Server broken = server("broken", Seen::reset);
@@ -271,7 +271,7 @@
     }
 
     @Test
-    void aHalfSentRequestOfAClientThatLeavesRunsNowhere() throws Exception {
+    void incompleteRequestOfADisconnectedClientIsNotForwarded() throws Exception {
         Server server = server("whole-only", s -> s.write(answer(id(s), "for " + id(s))));
         String half = request("once", "half");
         Client client = client().write(half.substring(0, half.length() - 1));
--- a/src/test/java/quartzspan/frontend/ResponseMatchingTest.java
+++ b/src/test/java/quartzspan/frontend/ResponseMatchingTest.java
@@ -12,7 +12,7 @@
 /** One answer belongs to one request: what servers send late, twice or without their marks is never another's. */
 class ResponseMatchingTest extends FleetFixture {
     @Test
-    void aWholeAnswerIsPassedOnUnchanged() throws Exception {
+    void completeResponseIsPassedOnUnchanged() throws Exception {
         server("plain", s -> s.write(answer(id(s), "done")));
         Message answer = client().write(request("once", "a1")).read();
         assertEquals("done", answer.text());
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void aLateAnswerInThePlaceOfTheNextIsPassedOver() throws Exception {
+    void lateResponseIsSkipped() throws Exception {
         server(
                 "late",
                 s -> s.write((id(s).equals("a2") ? answer("a1", "not yours") : "") + answer(id(s), "for " + id(s))));
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void aLateRefusalWithoutALengthIsNotTheAnswerToTheNext() throws Exception {
+    void lateRejectionWithoutLengthIsNotTheNextResponse() throws Exception {
         // Taken for a2's it would promise that a2 never ran, and let it run a second time elsewhere.
         Server server = server(
                 "bare",
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void anAnswerWithTwoIdsIsNotServed() throws Exception {
+    void responseWithTwoIdsIsNotServed() throws Exception {
         server(
                 "twofold",
                 s -> s.write(answer(
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void aRefusalWithoutTheMarkPromisesNothing() throws Exception {
+    void rejectionWithoutTheHeaderPromisesNothing() throws Exception {
         // 429, 503 and 408 tell a client that its request never runs; without the mark a server did not say so.
         for (int status : new int[] {503, 429, 408}) {
             Server server = server(
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void aRequestSentAgainToItsServerIsNotAnsweredByTheFirstTrysAnswer() throws Exception {
+    void resentRequestIsNotAnsweredByTheFirstAttemptsResponse() throws Exception {
         // A server of other weights turns it away, and once more, late, where the second send's answer is due.
         AtomicReference<Socket> first = new AtomicReference<>();
         String away = answer(421, "X-Attempt-Id: a1\r\nX-Not-Executed: 1\r\nX-Instance-Id: twice\r\n", "");
--- a/src/test/java/quartzspan/prefixcache/PrefixCacheIndexTest.java
+++ b/src/test/java/quartzspan/prefixcache/PrefixCacheIndexTest.java
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void onlyAWholePrefixCounts() {
+    void onlyACompletePrefixCounts() {
         PrefixCacheIndex s = new PrefixCacheIndex();
         s.onPrefill("i", 1, 512);
         s.onPrefill("i", 3, 100);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void aGapAsksForTheWholeAndOldReportsChangeNothing() {
+    void gapRequestsASnapshotAndOldUpdatesChangeNothing() {
         PrefixCacheIndex s = new PrefixCacheIndex();
         assertTrue(s.take(0, news(Kind.DELTA, 5, 4, 1, 10)), "nothing before it is known");
         assertFalse(s.take(100, news(Kind.SNAPSHOT, 5, 4, 1, 10)));
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void theWholeIsAskedForOnceWhileItIsOnItsWay() {
+    void snapshotIsRequestedOnceWhileOneIsOnItsWay() {
         PrefixCacheIndex s = new PrefixCacheIndex();
         long asked = IntStream.range(0, 30)
                 .filter(n -> s.take(100L * n, news(Kind.DELTA, 5, 4 + n, 1, 10)))
@@ -61,13 +61,13 @@
     }
 
     @Test
-    void saltsKeepWeightsAndWallsApart() {
+    void saltsSeparateVersionsAndTenants() {
         assertTrue(PrefixCacheIndex.block("v1", "ab", "m") != PrefixCacheIndex.block("v2", "ab", "m"));
         assertTrue(PrefixCacheIndex.block("v1wt", "ab", "m") != PrefixCacheIndex.block("v1", "ab", "m"));
     }
 
     @Test
-    void eventsAreFollowedAndTheListIsAskedForOnlyAfterAGap() {
+    void listIsRequestedOnlyAfterAGapInTheEvents() {
         KvEventReader w = new KvEventReader("i", 8);
         assertEquals(NextCall.EVENTS, w.due(0));
         assertEquals(NextCall.NOTHING, w.due(10_000), "one question at a time");
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void onlyWhatIsKeptIsToldOfAllThatHappened() {
+    void onlyTheOutcomeOfEventsIsReported() {
         List<Event> history = new ArrayList<>();
         for (int n = 0; n < 1_000; n++) {
             history.add(new Event("v1", "part" + n, 100, "m"));
--- a/src/test/java/quartzspan/registry/AcknowledgementTrackerTest.java
+++ b/src/test/java/quartzspan/registry/AcknowledgementTrackerTest.java
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void aMachineThatAnswersTwiceCountsOnce() {
+    void machineThatAcknowledgesTwiceCountsOnce() {
         long receipt = broadcast(2);
         answers("c2:1", receipt);
         answers("c2:1", receipt);
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void onlyThoseThatWereAskedCount() {
+    void onlyRecipientsCount() {
         long receipt = broadcast(1);
         answers("p1:1", receipt);
         answers("c2:1", receipt + 1);
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void whoDoesNotAnswerIsToldAgainAndNobodyElse() {
+    void onlyMachinesThatHaveNotAcknowledgedAreSentARetry() {
         long receipt = broadcast(2);
         answers("c2:1", receipt);
         sent.clear();
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void aReceiptGivenUpIsNeitherSentAgainNorToldOf() {
+    void cancelledBroadcastIsNeitherRetriedNorReported() {
         long receipt = broadcast(1);
         gossip.cancelBroadcast(receipt);
         sent.clear();
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void openReceiptsAreBounded() {
+    void pendingAcknowledgementsAreBounded() {
         AcknowledgementTracker acknowledgements = new AcknowledgementTracker();
         for (int nonce = 1; nonce <= 3 * AcknowledgementTracker.MAX_PENDING; nonce++) {
             acknowledgements.track(0, nonce, 1, CORES, List.of(DRAINING), () -> acknowledged++);
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void aReceiptIsGivenOnlyForWhatIsHeld() {
+    void entryIsAcknowledgedOnlyOnceMerged() {
         Registry registry = new Registry();
         List<Sent> answers = new ArrayList<>();
         Gossip other = new Gossip("c2:1", true, CORES, registry, (to, message) -> {
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void whoIsAboutToEndConfirmsNothing() {
+    void endingProcessAcknowledgesNothing() {
         List<Sent> answers = new ArrayList<>();
         Gossip other =
                 new Gossip("c2:1", true, CORES, new Registry(), (to, message) -> answers.add(new Sent(to, message)));
@@ -129,7 +129,7 @@
     }
 
     @Test
-    void anAnswerToAnEarlierLifeMakesNothingFresh() {
+    void replyToAnEarlierIncarnationDoesNotConfirmFreshness() {
         List<GossipMessage> query = new ArrayList<>();
         Gossip before = new Gossip("c1:1", true, CORES, new Registry(), (to, m) -> query.add(m), Gossip.firstNonce(1));
         before.onTick(0, "c2:1");
--- a/src/test/java/quartzspan/registry/RegistryEntryTest.java
+++ b/src/test/java/quartzspan/registry/RegistryEntryTest.java
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void laterWordsOfOthersDoNotUndoDraining() {
+    void laterEntriesOfOthersDoNotUndoDraining() {
         // While one machine hears that it leaves, another one counts its weights twice.
         Registry heard = new Registry();
         HeartbeatTracker first = new HeartbeatTracker(heard, 1_000);
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void aServerThatWasLeavingIsNotLostButGone() {
+    void drainingServerThatTimesOutIsGone() {
         Registry registry = new Registry();
         HeartbeatTracker tracker = new HeartbeatTracker(registry, 1_000);
         Server said = new Server("i", "s", "10.0.0.9:80", "z", "m", 1, 0, 0, RegistryEntry.State.READY);
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void aLateWordThatAServerLeavesIsTaken() {
+    void lateDrainingHeartbeatIsApplied() {
         Registry registry = new Registry();
         HeartbeatTracker tracker = new HeartbeatTracker(registry, 1_000);
         Server said = new Server("i", "s", "10.0.0.9:80", "z", "m", 1, 0, 0, RegistryEntry.State.READY);
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void theOrderIsTotalSoThatAllEndWithTheSame() {
+    void orderIsTotalSoThatAllConverge() {
         List<RegistryEntry> all = new ArrayList<>();
         for (RegistryEntry.State state : RegistryEntry.State.values()) {
             for (long seq = 1; seq < 4; seq++) {
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void equalNumbersWithDifferentTextsAreFoundAndRepaired() {
+    void equalNumbersWithDifferentTextsAreRepaired() {
         Registry one = new Registry();
         Registry other = new Registry();
         one.merge(0, entry(4, RegistryEntry.State.READY, "a"));
--- a/src/test/java/quartzspan/registry/RegistryTest.java
+++ b/src/test/java/quartzspan/registry/RegistryTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void whatIsGoneStaysGoneAndAnOldWordChangesNothing() {
+    void goneServerStaysGone() {
         Registry r = new Registry();
         HeartbeatTracker g = new HeartbeatTracker(r, 1_000);
         assertNotNull(g.onServerHeartbeat(0, "i", 5, RegistryEntry.State.READY, server("i", 1)));
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void adrainingWordIsNewsAfterWeightsWereSeen() {
+    void drainingIsAnUpdateAfterWeightsWereReported() {
         Registry r = new Registry();
         HeartbeatTracker g = new HeartbeatTracker(r, 1_000);
         g.onServerHeartbeat(0, "i", 1, RegistryEntry.State.READY, server("i", 1));
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void theSilentAreLostAndComeBack() {
+    void serversThatTimeOutAreLostAndMayComeBack() {
         Registry r = new Registry();
         HeartbeatTracker g = new HeartbeatTracker(r, 1_000);
         g.onServerHeartbeat(0, "i", 1, RegistryEntry.State.READY, server("i", 1));
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void freshnessCountsFromTheAskingAndNeedsTheState() {
+    void freshnessCountsFromTheQueryAndNeedsTheState() {
         ControlState next = ControlState.EMPTY.with(new Change(
                 Change.Kind.REPLACE,
                 0,
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void coreMachinesOfTheSameZoneAreAskedFirstAndOthersIfTheyAreMute() {
+    void coreMachinesOfTheSameZoneArePreferredUnlessUnresponsive() {
         Registry registry = new Registry();
         List<String> query = new ArrayList<>();
         Gossip gossip = new Gossip("p:1", false, List.of("a:1"), registry, (to, m) -> query.add(to));
@@ -135,7 +135,7 @@
     }
 
     @Test
-    void fewAreTheSameForAllAndOneThatComesMovesLittle() {
+    void rendezvousSelectionIsStable() {
         List<String> names = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             names.add("10.1.0." + i + ":70");
@@ -155,7 +155,7 @@
 
     /** Forty proxies and three core machines over links that lose a part of all messages: in the end all know all. */
     @Test
-    void newsReachEverybodyAndGapsAreRepaired() {
+    void updatesReachAllAndGapsAreRepaired() {
         SplittableRandom random = new SplittableRandom(9);
         ArrayDeque<Flying> flying = new ArrayDeque<>();
         Map<String, Registry> registries = new HashMap<>();
--- a/src/test/java/quartzspan/registry/StateGossipTest.java
+++ b/src/test/java/quartzspan/registry/StateGossipTest.java
@@ -168,7 +168,7 @@
     }
 
     @Test
-    void everybodyHoldsTheSameAfterLossesDelaysAndChangesOfPrimary() {
+    void allConvergeAfterLossesDelaysAndElections() {
         for (int seed = 0; seed < 12; seed++) {
             Fleet fleet = new Fleet(seed, 12, seed % 4 * 12, seed % 3 * 60 + 5);
             ControlState state = first();
@@ -190,7 +190,7 @@
     }
 
     @Test
-    void aChangeCostsBytesAsItIsLargeAndNotAsTheConfigurationIs() {
+    void bytesOfAChangeGrowWithTheChangeNotTheConfiguration() {
         Fleet fleet = new Fleet(3, 40, 0, 3);
         ControlState state = first();
         fleet.run(2_000);
@@ -213,7 +213,7 @@
     }
 
     @Test
-    void aWholeConfigurationIsFetchedOnceByEach() {
+    void completeConfigurationIsFetchedOnceByEach() {
         Fleet fleet = new Fleet(4, 40, 0, 3);
         fleet.run(2_000);
         ControlState state = first();
@@ -230,7 +230,7 @@
     }
 
     @Test
-    void stepsThatDoNotBeginAtTheStateHeldChangeNothing() {
+    void deltasOfAnotherStateChangeNothing() {
         ControlState first = first();
         ControlState second = after(first, 4);
         ControlState third = after(second, 5);
@@ -262,7 +262,7 @@
     }
 
     @Test
-    void aStepThatDoesNotFitIsMendedByASnapshot() {
+    void deltaThatDoesNotApplyIsRepairedByASnapshot() {
         Map<String, List<GossipMessage>> sent = new HashMap<>();
         Registry registry = new Registry();
         Gossip gossip = new Gossip(
@@ -287,7 +287,7 @@
 
     /** A snapshot in parts: reading goes on while newer states come, and each part is asked for by itself. */
     @Test
-    void aLargeSnapshotComesInPartsWhileChangesGoOn() {
+    void largeSnapshotComesInChunksWhileChangesGoOn() {
         SplittableRandom random = new SplittableRandom(1);
         StringBuilder noise = new StringBuilder();
         for (int i = 0; i < 300_000; i++) {
@@ -314,7 +314,7 @@
     }
 
     @Test
-    void whoHearsOnlyAStaleCoreMachineIsNotFreshAndGoesForwardLater() {
+    void processThatHearsOnlyAStaleCoreMachineIsNotFresh() {
         Fleet fleet = new Fleet(6, 4, 0, 3);
         ControlState old = first();
         fleet.publish("c1:1", 1, old);
--- a/src/test/java/quartzspan/replication/EpochTest.java
+++ b/src/test/java/quartzspan/replication/EpochTest.java
@@ -18,7 +18,7 @@
             new Epoch(2, "a", 1));
 
     @Test
-    void numberThenCandidateThenAttemptDecide() {
+    void epochsAreOrderedByNumberThenCandidateThenAttempt() {
         for (int i = 0; i < RISING.size(); i++) {
             for (int j = 0; j < RISING.size(); j++) {
                 assertEquals(
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void equalsAndHashFollowTheOrder() {
+    void equalsAndHashCodeFollowTheOrder() {
         for (Epoch epoch : RISING) {
             Epoch again = new Epoch(epoch.number(), new String(epoch.candidate()), epoch.attempt());
             assertEquals(epoch, again);
--- a/src/test/java/quartzspan/replication/HandoverTest.java
+++ b/src/test/java/quartzspan/replication/HandoverTest.java
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void aPrimaryThatLeavesHandsOverTheLeadAtOnce() {
+    void leavingPrimaryHandsOverAtOnce() {
         SimulatedCluster cluster = calm(1);
         Machine leaver = cluster.primary();
         leaver.replica.beginHandover(cluster.now);
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void aBackupThatLeavesHoldsNoCopyWhenItEnds() {
+    void leavingBackupHoldsNoDataWhenItEnds() {
         SimulatedCluster cluster = calm(1);
         Machine leaver = backup(cluster);
         leaver.replica.beginHandover(cluster.now);
@@ -71,7 +71,7 @@
 
     /** The letter's third point: the leaver goes, and the primary's disk is lost right after. */
     @Test
-    void whatWasAcknowledgedOutlivesALeavingBackupAndTheDiskOfItsPrimaryRightAfter() {
+    void acknowledgedChangesOutliveALeavingBackupAndThePrimarysDisk() {
         for (int losses = 1; losses <= 2; losses++) {
             SimulatedCluster cluster = calm(losses);
             Machine standby = cluster.new Machine("10.0.9.9:7000");
@@ -99,7 +99,7 @@
 
     /** A voter is gone, its successor comes and is lost again: a majority of the three is there all the while. */
     @Test
-    void aStandbyIsNotTakenInBesideAVoterThatIsSilent() {
+    void standbyIsNotAddedBesideASilentVoter() {
         SimulatedCluster cluster = calm(1);
         Machine gone = backup(cluster);
         end(cluster, gone);
@@ -124,7 +124,7 @@
     }
 
     @Test
-    void aBlankReplicaMayEndAtOnce() {
+    void recoveringReplicaMayEndAtOnce() {
         SimulatedCluster cluster = calm(1);
         Machine wiped = backup(cluster);
         wiped.kill();
@@ -136,7 +136,7 @@
     }
 
     @Test
-    void withoutAnybodyToTakeOverAPrimaryKeepsTheLeadUntilItEnds() {
+    void primaryWithoutSuccessorLeadsUntilItEnds() {
         SimulatedCluster cluster = calm(1);
         Machine leaver = cluster.primary();
         Set<Machine> others = new TreeSet<>((a, b) -> a.name.compareTo(b.name));
@@ -152,7 +152,7 @@
     }
 
     @Test
-    void whoComesBackAfterLeavingHoldsItsVoteAsBefore() {
+    void replicaThatComesBackAfterLeavingKeepsItsVote() {
         SimulatedCluster cluster = calm(1);
         Machine leaver = cluster.primary();
         leaver.replica.beginHandover(cluster.now);
--- a/src/test/java/quartzspan/replication/ReplicaGuardsTest.java
+++ b/src/test/java/quartzspan/replication/ReplicaGuardsTest.java
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void aBackupTakesNothingOfABallotBelowItsPromise() {
+    void backupRefusesEpochsBelowItsPromise() {
         start(B, true);
         now += 5_000;
         ask(C, 4);
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void aVoterPutsNoViewBelowItsPromiseIntoEffect() {
+    void voterRefusesMembershipsBelowItsPromise() {
         start(B, true);
         now += 5_000;
         ask(C, 4);
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void aNumberIsGrantedToOneCandidateAndTheGrantOutlivesTheProcess() {
+    void numberIsGrantedToOneCandidateAndTheVoteOutlivesTheProcess() {
         start(B, true);
         now += 5_000;
         ask(C, 4);
@@ -136,7 +136,7 @@
 
     /** Two candidates with one number: whoever has granted it to the higher one takes nothing of the lower one. */
     @Test
-    void aViewOfTheSameNumberByALowerCandidateIsNotAccepted() {
+    void membershipOfTheSameNumberByALowerCandidateIsRefused() {
         start(B, true);
         now += 5_000;
         ask(C, 6);
@@ -150,7 +150,7 @@
     }
 
     @Test
-    void nothingIsGrantedBeforeItIsOnTheDisk() {
+    void voteIsGrantedOnlyOnceDurable() {
         start(B, true);
         now += 5_000;
         replica.onMessage(now, C, ReplicaMessage.of(Kind.VOTE, epoch(4, C)));
@@ -161,7 +161,7 @@
 
     /** A view that is on its way to the disk may be lost with this life: nobody is told of it. */
     @Test
-    void aViewIsToldOnlyOnceItIsOnTheDisk() {
+    void membershipIsReportedOnlyOnceDurable() {
         start(B, true);
         now += 5_000;
         Epoch accepted = epoch(4, C);
@@ -174,7 +174,7 @@
     }
 
     @Test
-    void anEmptyDiskGrantsNothingUntilAllOthersThatMayKnowHaveSaid() {
+    void recoveringReplicaGrantsNothingUntilEnoughOthersHaveReplied() {
         start(B, false);
         assertTrue(replica.isRecovering());
         replica.onTick(now);
@@ -199,7 +199,7 @@
 
     /** The disk was lost twice: what another still says to the life before helps this one to nothing. */
     @Test
-    void anAnswerToAnEarlierLifeOfTheDiskDoesNotCount() {
+    void recoveryReplyToAnEarlierIncarnationDoesNotCount() {
         start(B, false);
         replica.onTick(now);
         ReplicaMessage request = last(Kind.RECOVERY);
@@ -217,7 +217,7 @@
     }
 
     @Test
-    void aGenerationIsNotedOnTheDiskBeforeItIsAnswered() {
+    void generationIsRecordedDurablyBeforeTheReply() {
         start(A, true);
         ReplicaMessage request = ReplicaMessage.of(Kind.RECOVERY, Epoch.NONE)
                 .withPromisedEpoch(Epoch.NONE, true)
@@ -237,7 +237,7 @@
     }
 
     @Test
-    void aCopyForAnEarlierLifeOfTheDiskIsNotTaken() {
+    void updateForAnEarlierGenerationIsRefused() {
         start(B, true);
         now += 5_000;
         ReplicaMessage forAnother =
@@ -249,7 +249,7 @@
     }
 
     @Test
-    void stepsThatBeginFromAnotherStateAreNotTaken() {
+    void entriesThatFollowAnotherStateAreRefused() {
         start(B, true);
         now += 5_000;
         Epoch epoch = epoch(3, A);
@@ -265,7 +265,7 @@
     }
 
     @Test
-    void aCopyIsAcknowledgedOnlyOnceItIsOnTheDisk() {
+    void updateIsAcknowledgedOnlyOnceDurable() {
         start(B, true);
         now += 5_000;
         replica.onMessage(now, A, snapshot(epoch(3, A), 9));
@@ -280,7 +280,7 @@
 
     /** The copies of the newest view hold what it answered; a copy from before it may not. */
     @Test
-    void aCopyFromBeforeTheNewestViewIsNoSource() {
+    void replicaFromBeforeTheLatestMembershipIsNoSource() {
         start(A, true);
         tickUntil(Kind.PRE_VOTE);
         replica.onMessage(
@@ -301,7 +301,7 @@
     }
 
     @Test
-    void nobodyIsGrantedABallotWhileThePrimaryIsHeard() {
+    void noVoteIsGrantedWhileThePrimaryIsHeard() {
         start(C, true);
         now += 5_000;
         Epoch first = epoch(1, A);
@@ -337,7 +337,7 @@
 
     /** While voters change, a majority of either set is needed: those of the new ones alone may not know the old primary. */
     @Test
-    void aJointViewNeedsMajoritiesOfBothSetsOfVoters() {
+    void jointMembershipNeedsMajoritiesOfBothVoterSets() {
         String d = "10.0.0.4:7";
         start(A, true);
         Epoch joint = epoch(1, C);
@@ -381,7 +381,7 @@
 
     /** It was away while the others dropped it: their votes would make a primary of one that nobody counts as a voter. */
     @Test
-    void whoLearnsThatItIsNoVoterAnyMoreStandsNoMore() {
+    void removedVoterAbandonsItsElection() {
         start(A, true);
         tickUntil(Kind.PRE_VOTE);
         Epoch newer = epoch(3, B);
@@ -406,7 +406,7 @@
 
     /** A vote that was given before its disk was lost does not count beside one that knows of the loss. */
     @Test
-    void aVoteFromBeforeTheLossOfItsDiskIsVoid() {
+    void voteFromBeforeADiskLossDoesNotCount() {
         start(A, true);
         tickUntil(Kind.PRE_VOTE);
         replica.onMessage(
@@ -436,7 +436,7 @@
 
     /** The view that a late vote tells was accepted before it: what it answered may not have been taken over. */
     @Test
-    void aNewerViewThatALateVoteTellsEndsACandidacy() {
+    void newerMembershipInALateVoteEndsTheElection() {
         start(A, true);
         tickUntil(Kind.PRE_VOTE);
         replica.onMessage(
@@ -456,7 +456,7 @@
 
     /** Every step of a candidacy waits for whom it must. */
     @Test
-    void aPrimaryHasAMajorityAtEachStepAndItsBackupAtEachChange() {
+    void electionNeedsAQuorumAtEachStepAndAChangeAllBackups() {
         start(A, true);
         tickUntil(Kind.PRE_VOTE);
         assertEquals(null, last(Kind.VOTE), "sounded alone");
@@ -514,7 +514,7 @@
 
     /** Found by the local run: with one voter its own word is a majority, and it deposed itself for want of others. */
     @Test
-    void whereThereIsOneVoterItLeadsForGood() {
+    void singleVoterStaysPrimary() {
         replica = new Replica(A, List.of(A), 0, true, List.of(), 5, now, new Replica.Output() {
             @Override
             public void send(String to, ReplicaMessage message) {
--- a/src/test/java/quartzspan/replication/ReplicaSimulationTest.java
+++ b/src/test/java/quartzspan/replication/ReplicaSimulationTest.java
@@ -17,7 +17,7 @@
     static final int HISTORIES = Integer.getInteger("quartzspan.histories", 1_500);
 
     @Test
-    void nothingAcknowledgedIsLostInAnyHistory() {
+    void noAcknowledgedChangeIsLostInAnyHistory() {
         long reads = 0;
         long acked = 0;
         for (long seed = 1; seed <= HISTORIES; seed++) {
--- a/src/test/java/quartzspan/replication/simulation/SimulatorTest.java
+++ b/src/test/java/quartzspan/replication/simulation/SimulatorTest.java
@@ -23,7 +23,7 @@
     private static final long FIRST = Long.getLong("first", 1);
 
     @Test
-    void noDrawnHistoryBreaksARule() {
+    void noGeneratedHistoryViolatesAnInvariant() {
         SimulationRunner runner = new SimulationRunner();
         int stopAfter = Integer.getInteger("findings", 1);
         if (stopAfter == 0) {
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void aSeedPlaysTheSameEachTime() {
+    void simulationIsDeterministic() {
         for (long seed = 1; seed <= 20; seed++) {
             assertEquals(fingerprint(seed), fingerprint(seed));
         }
--- a/src/test/java/quartzspan/store/SlotStoreTest.java
+++ b/src/test/java/quartzspan/store/SlotStoreTest.java
@@ -65,7 +65,7 @@
 
     /** What was done before power went is there; what was being done is there whole or not at all. */
     @Test
-    void powerMayGoBetweenAnyTwoOperations() {
+    void recoversFromPowerLossBetweenAnyTwoOperations() {
         for (int after = 0; after < 45; after++) {
             for (int seed = 0; seed < 40; seed++) {
                 MemoryDisk disk = new MemoryDisk();
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void aFullDiskRefusesAndLosesNothing() {
+    void fullDiskRefusesAndLosesNothing() {
         MemoryDisk disk = new MemoryDisk();
         SlotStore store = new SlotStore(disk);
         store.open();
@@ -125,7 +125,7 @@
 
     /** Any bit of anything synced that turns over is seen: the older state is never passed off as the newest. */
     @Test
-    void aFlippedBitIsSeen() {
+    void flippedBitIsDetected() {
         MemoryDisk disk = new MemoryDisk();
         SlotStore store = new SlotStore(disk);
         store.open();
@@ -154,7 +154,7 @@
 
     /** A process is killed between a write and its sync, the next one reads the record, and then power is lost. */
     @Test
-    void whatAProcessHasReadOutlivesALossOfPowerThoughItsWriterWasKilledBeforeTheSync() {
+    void recordsThatWereReadOutliveAPowerLossThoughNeverSyncedByTheirWriter() {
         for (int seed = 0; seed < 200; seed++) {
             MemoryDisk disk = new MemoryDisk();
             SlotStore killed = new SlotStore(disk);
--- a/src/test/java/quartzspan/transport/MessageCodecTest.java
+++ b/src/test/java/quartzspan/transport/MessageCodecTest.java
@@ -57,7 +57,7 @@
             new PrefixCacheUpdate(PrefixCacheUpdate.Kind.DELTA, "i-9", 4, 5, new long[] {8, 9}, new int[] {100, 0});
 
     @Test
-    void whatGoesInComesOut() {
+    void messagesAreDecodedAsEncoded() {
         assertEquals(HELLO, MessageCodec.decode(MessageCodec.encode(HELLO)));
         ReplicaMessage l = (ReplicaMessage) MessageCodec.decode(MessageCodec.encode(REPLICA_MESSAGE));
         assertEquals(REPLICA_MESSAGE.membership(), l.membership());
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void nonsenseIsRefusedAndNothingElse() {
+    void malformedMessagesAreRefused() {
         SplittableRandom random = new SplittableRandom(5);
         for (Object message : List.of(HELLO, REPLICA_MESSAGE, GOSSIP, INDEX_UPDATE)) {
             byte[] good = MessageCodec.encode(message);
--- a/src/test/java/quartzspan/transport/TransportContractTest.java
+++ b/src/test/java/quartzspan/transport/TransportContractTest.java
@@ -140,7 +140,7 @@
     }
 
     @Test
-    void nonsenseCostsItsOwnConnectionOnly() throws Exception {
+    void malformedInputClosesItsOwnConnectionOnly() throws Exception {
         Hello a = new Hello(true, address(), "c", "z");
         Hello b = new Hello(true, address(), "c", "z");
         BlockingQueue<Got> atB = new LinkedBlockingQueue<>();
@@ -182,7 +182,7 @@
     }
 
     @Test
-    void whoListensAgainIsReachedAgain() throws Exception {
+    void restartedPeerIsReachedAgain() throws Exception {
         Hello a = new Hello(true, address(), "c", "z");
         Hello b = new Hello(true, address(), "c", "z");
         Transport fromA = real(a, (from, m) -> {});
@@ -238,7 +238,7 @@
     }
 
     @Test
-    void whatAnOldConnectionStillHoldsIsNotReadAfterTheNewOne() throws Exception {
+    void unreadInputOfAnOldConnectionIsDropped() throws Exception {
         Hello a = new Hello(true, address(), "c", "z");
         Hello b = new Hello(true, address(), "c", "z");
         BlockingQueue<Got> atB = new LinkedBlockingQueue<>();
@@ -256,7 +256,7 @@
     }
 
     @Test
-    void aLifeThatAnotherOneFollowedNeverSpeaksAgain() throws Exception {
+    void replacedIncarnationIsNeverReadAgain() throws Exception {
         Hello b = new Hello(true, address(), "c", "z");
         String at = address();
         Hello first = new Hello(true, at, "c", "z");
