--- a/src/main/java/quartzspan/controlplane/ReplicaHost.java
+++ b/src/main/java/quartzspan/controlplane/ReplicaHost.java
@@ -137,7 +137,7 @@
         @Override
         public void persist(long number, byte[] record) {
             diskThread.execute(() -> {
-                boolean durable = store.keep(record);
+                boolean durable = store.persist(record);
                 loop.execute(() -> replica.onPersisted(clockMs.getAsLong(), number, durable));
             });
         }
--- a/src/main/java/quartzspan/replication/CandidateState.java
+++ b/src/main/java/quartzspan/replication/CandidateState.java
@@ -42,7 +42,7 @@
         void abandoned();
 
         /** The own disk refused a record. */
-        void diskRefused();
+        void diskFailed();
     }
 
     private final ReplicaContext context;
@@ -53,49 +53,49 @@
     private final Listener listener;
 
     private Step step;
-    private long stepSinceMs;
+    private long stepStartedAtMs;
     private long retryAtMs;
     private Epoch epoch;
     private final ElectionReplies replies;
     /** The log positions that the next data replicas have reported. */
     private final Map<String, ReplicaMessage> reportedPositions = new TreeMap<>();
 
-    private final Set<String> synced = new TreeSet<>();
+    private final Set<String> syncedReplicas = new TreeSet<>();
     /** The latest membership that the votes have named. */
-    private Membership latest;
+    private Membership latestMembership;
 
-    private Membership next;
-    private List<String> wantedVoters;
+    private Membership nextMembership;
+    private List<String> targetVoters;
     /** The replica whose state is taken over. */
-    private String source;
+    private String stateSource;
 
     CandidateState(ReplicaContext context, VoterState voter, ReplicaLog log, ElectionPlan plan, Listener listener) {
         this.context = context;
         this.voter = voter;
         this.log = log;
         this.plan = plan;
-        this.planner = new MembershipPlanner(context.self(), context.losses(), plan);
+        this.planner = new MembershipPlanner(context.self(), context.toleratedFailures(), plan);
         this.replies = new ElectionReplies(voter);
         this.listener = listener;
-        this.wantedVoters = plan.voters();
-        this.latest = voter.membership();
+        this.targetVoters = plan.voters();
+        this.latestMembership = voter.membership();
     }
 
-    private void enter(Step entered) {
-        step = entered;
-        stepSinceMs = context.now();
-        retryAtMs = context.now() + Timing.RETRY_MS;
+    private void enterStep(Step newStep) {
+        step = newStep;
+        stepStartedAtMs = context.nowMs();
+        retryAtMs = context.nowMs() + Timing.RETRY_MS;
         replies.clear();
     }
 
     void onTick() {
-        long now = context.now();
+        long nowMs = context.nowMs();
         boolean transfersState = step == Step.FETCH || step == Step.REPLICATE;
         long timeoutMs = transfersState ? Timing.STATE_TRANSFER_TIMEOUT_MS : Timing.ELECTION_STEP_TIMEOUT_MS;
-        if (now - stepSinceMs > timeoutMs) {
+        if (nowMs - stepStartedAtMs > timeoutMs) {
             listener.abandoned();
-        } else if (now >= retryAtMs) {
-            retryAtMs = now + Timing.RETRY_MS;
+        } else if (nowMs >= retryAtMs) {
+            retryAtMs = nowMs + Timing.RETRY_MS;
             resend();
         }
     }
@@ -103,19 +103,19 @@
     /** Sends the current step's request again to those it may not have reached. */
     private void resend() {
         switch (step) {
-            case PRE_VOTE -> requestFromSilent(Kind.PRE_VOTE);
+            case PRE_VOTE -> requestMissingReplies(Kind.PRE_VOTE);
             case VOTE -> {
                 if (replies.contains(context.self())) {
-                    requestFromSilent(Kind.VOTE);
+                    requestMissingReplies(Kind.VOTE);
                 }
             }
             case FETCH -> {
-                remindVoters();
+                resendVoteRequests();
                 fetch();
             }
             case REPLICATE -> {
-                remindVoters();
-                if (synced.contains(context.self())) {
+                resendVoteRequests();
+                if (syncedReplicas.contains(context.self())) {
                     replicateToAll();
                 }
             }
@@ -128,7 +128,7 @@
         }
     }
 
-    private void requestFromSilent(Kind kind) {
+    private void requestMissingReplies(Kind kind) {
         for (String name : electorate()) {
             if (!replies.contains(name)) {
                 context.send(name, request(kind));
@@ -137,20 +137,20 @@
     }
 
     private ReplicaMessage request(Kind kind) {
-        return ReplicaMessage.of(kind, epoch).withGranted(plan.handedOver()).withMembership(latest);
+        return ReplicaMessage.of(kind, epoch).withGranted(plan.handedOver()).withMembership(latestMembership);
     }
 
     /** Voters that hear of this election again and again start none themselves. */
-    private void remindVoters() {
+    private void resendVoteRequests() {
         electorate().forEach(name -> context.send(name, request(Kind.VOTE)));
     }
 
     /** All replicas whose vote may count, but this one. */
     private Set<String> electorate() {
-        Set<String> all = new LinkedHashSet<>(latest.electorate());
+        Set<String> all = new LinkedHashSet<>(latestMembership.electorate());
         all.addAll(voter.membership().electorate());
-        if (wantedVoters != null) {
-            all.addAll(wantedVoters);
+        if (targetVoters != null) {
+            all.addAll(targetVoters);
         }
         all.remove(context.self());
         return all;
@@ -159,10 +159,10 @@
     // ---- pre-vote ------------------------------------------------------------------------------------
 
     void startWithPreVote() {
-        enter(Step.PRE_VOTE);
+        enterStep(Step.PRE_VOTE);
         epoch = nextEpoch();
         replies.put(context.self(), ownReply(Kind.PRE_VOTE_REPLY));
-        requestFromSilent(Kind.PRE_VOTE);
+        requestMissingReplies(Kind.PRE_VOTE);
         countPreVotes();
     }
 
@@ -171,8 +171,8 @@
     }
 
     private void onPreVoteReply(String from, ReplicaMessage reply) {
-        voter.learn(reply.membership());
-        latest = voter.membership();
+        voter.adoptIfNewer(reply.membership());
+        latestMembership = voter.membership();
         replies.put(from, reply);
         if (!isVoter()) {
             listener.abandoned();
@@ -186,11 +186,11 @@
 
     /** Whether the latest membership has this replica among its voters; else it has been removed. */
     private boolean isVoter() {
-        return latest.voters().contains(context.self());
+        return latestMembership.voters().contains(context.self());
     }
 
     private void countPreVotes() {
-        if (step == Step.PRE_VOTE && latest.isQuorum(replies.granting())) {
+        if (step == Step.PRE_VOTE && latestMembership.isQuorum(replies.granting())) {
             startWithVote();
         }
     }
@@ -198,22 +198,22 @@
     // ---- vote ----------------------------------------------------------------------------------------
 
     void startWithVote() {
-        enter(Step.VOTE);
+        enterStep(Step.VOTE);
         epoch = nextEpoch();
         voter.promise(epoch);
-        persistVoter(Step.VOTE, () -> {
+        persistVoterState(Step.VOTE, () -> {
             replies.put(context.self(), ownReply(Kind.VOTE_REPLY));
-            requestFromSilent(Kind.VOTE);
+            requestMissingReplies(Kind.VOTE);
             countVotes();
         });
     }
 
     /** Persists what this replica promises and knows, and goes on if the election is still at the step. */
-    private void persistVoter(Step atStep, Runnable whenDurable) {
-        voter.persist(context.now(), continueAt(atStep, whenDurable));
+    private void persistVoterState(Step atStep, Runnable whenDurable) {
+        voter.persist(context.nowMs(), ifStillAt(atStep, whenDurable));
     }
 
-    private DiskQueue.Completion continueAt(Step atStep, Runnable whenDurable) {
+    private DiskQueue.Completion ifStillAt(Step atStep, Runnable whenDurable) {
         Epoch atEpoch = epoch;
         return durable -> {
             boolean current = context.isCurrent(this) && step == atStep && epoch.equals(atEpoch);
@@ -223,7 +223,7 @@
             if (durable) {
                 whenDurable.run();
             } else {
-                listener.diskRefused();
+                listener.diskFailed();
             }
         };
     }
@@ -248,10 +248,10 @@
         if (step == Step.VOTE) {
             replies.put(from, reply);
             countVotes();
-        } else if (reply.membership().supersedes(latest)
+        } else if (reply.membership().supersedes(latestMembership)
                 && !reply.membership().epoch().equals(epoch)) {
             // It was accepted before this vote: the state taken over may lack what it has acknowledged.
-            voter.learn(reply.membership());
+            voter.adoptIfNewer(reply.membership());
             listener.abandoned();
         }
     }
@@ -263,18 +263,18 @@
         Set<String> granting = replies.granting();
         adoptLatestMembership(granting);
         if (!isVoter()) {
-            voter.learn(latest);
+            voter.adoptIfNewer(latestMembership);
             listener.abandoned();
             return;
         }
-        if (!latest.isQuorum(granting)) {
+        if (!latestMembership.isQuorum(granting)) {
             return;
         }
-        String mostComplete = planner.mostCompleteReplica(latest, granting, replies.byReplica());
+        String mostComplete = planner.mostCompleteReplica(latestMembership, granting, replies.byReplica());
         if (mostComplete != null) {
             reportedPositions.clear();
             reportedPositions.putAll(replies.byReplica());
-            takeOver(mostComplete, granting);
+            startFetch(mostComplete, granting);
         }
     }
 
@@ -284,36 +284,36 @@
             Membership reported = replies.byReplica().get(name).membership();
             newest = reported.supersedes(newest) ? reported : newest;
         }
-        if (!newest.epoch().equals(latest.epoch())) {
+        if (!newest.epoch().equals(latestMembership.epoch())) {
             // The wanted voters were worked out from another membership.
-            wantedVoters = null;
+            targetVoters = null;
         }
-        latest = newest;
+        latestMembership = newest;
     }
 
     // ---- fetch ---------------------------------------------------------------------------------------
 
-    private void takeOver(String from, Set<String> granting) {
-        Membership planned = planner.next(epoch, latest, wantedVoters, granting);
-        if (planned == null) {
+    private void startFetch(String from, Set<String> granting) {
+        Membership plannedMembership = planner.nextMembership(epoch, latestMembership, targetVoters, granting);
+        if (plannedMembership == null) {
             return;
         }
-        next = planned;
-        source = from;
-        enter(Step.FETCH);
+        nextMembership = plannedMembership;
+        stateSource = from;
+        enterStep(Step.FETCH);
         fetch();
     }
 
     private void fetch() {
-        if (source.equals(context.self())) {
+        if (stateSource.equals(context.self())) {
             replicate(null);
             return;
         }
-        context.send(source, ReplicaMessage.of(Kind.FETCH, epoch).withLogPosition(log.epoch(), log.index()));
+        context.send(stateSource, ReplicaMessage.of(Kind.FETCH, epoch).withLogPosition(log.epoch(), log.index()));
     }
 
     private void onFetchReply(String from, ReplicaMessage reply) {
-        if (step != Step.FETCH || !from.equals(source) || reply.logEpoch().isBelow(latest.epoch())) {
+        if (step != Step.FETCH || !from.equals(stateSource) || reply.logEpoch().isBelow(latestMembership.epoch())) {
             return;
         }
         StateUpdate update = StateUpdate.parse(reply.body());
@@ -329,17 +329,17 @@
         if (log.isAppending()) {
             return;
         }
-        enter(Step.REPLICATE);
-        synced.clear();
-        StateUpdate update = inNewEpoch(fetched);
-        log.append(context.now(), update, log.stateAfter(update), continueAt(Step.REPLICATE, () -> {
-            synced.add(context.self());
+        enterStep(Step.REPLICATE);
+        syncedReplicas.clear();
+        StateUpdate update = withEpochEntry(fetched);
+        log.append(context.nowMs(), update, log.stateAfter(update), ifStillAt(Step.REPLICATE, () -> {
+            syncedReplicas.add(context.self());
             replicateToAll();
             countSynced();
         }));
     }
 
-    private StateUpdate inNewEpoch(StateUpdate fetched) {
+    private StateUpdate withEpochEntry(StateUpdate fetched) {
         if (fetched == null) {
             return log.nextEntry(epoch, null);
         }
@@ -352,7 +352,9 @@
     }
 
     private void replicateToAll() {
-        next.dataReplicas().stream().filter(name -> !synced.contains(name)).forEach(this::replicateTo);
+        nextMembership.dataReplicas().stream()
+                .filter(name -> !syncedReplicas.contains(name))
+                .forEach(this::replicateTo);
     }
 
     private void replicateTo(String to) {
@@ -366,23 +368,23 @@
             return;
         }
         if (reply.granted()) {
-            if (reply.logIndex() == log.index() && synced.contains(context.self())) {
-                synced.add(from);
+            if (reply.logIndex() == log.index() && syncedReplicas.contains(context.self())) {
+                syncedReplicas.add(from);
                 countSynced();
             }
         } else if (reply.promisedEpoch().isAbove(epoch)) {
             voter.promise(reply.promisedEpoch());
             listener.abandoned();
         } else if (reportedPositions.containsKey(from)) {
-            boolean changed = !reportedPositions.put(from, reply).hasSameLogPosition(reply);
-            if (changed && synced.contains(context.self())) {
+            boolean positionChanged = !reportedPositions.put(from, reply).hasSameLogPosition(reply);
+            if (positionChanged && syncedReplicas.contains(context.self())) {
                 replicateTo(from);
             }
         }
     }
 
     private void countSynced() {
-        if (step == Step.REPLICATE && synced.containsAll(next.dataReplicas())) {
+        if (step == Step.REPLICATE && syncedReplicas.containsAll(nextMembership.dataReplicas())) {
             accept();
         }
     }
@@ -390,9 +392,9 @@
     // ---- accept --------------------------------------------------------------------------------------
 
     private void accept() {
-        enter(Step.ACCEPT);
-        voter.learn(next);
-        persistVoter(Step.ACCEPT, () -> {
+        enterStep(Step.ACCEPT);
+        voter.adoptIfNewer(nextMembership);
+        persistVoterState(Step.ACCEPT, () -> {
             replies.put(context.self(), ownReply(Kind.ACCEPT_REPLY));
             sendAccept();
             countAcceptances();
@@ -400,9 +402,9 @@
     }
 
     private void sendAccept() {
-        for (String name : next.electorate()) {
+        for (String name : nextMembership.electorate()) {
             if (!replies.contains(name)) {
-                context.send(name, ReplicaMessage.of(Kind.ACCEPT, epoch).withMembership(next));
+                context.send(name, ReplicaMessage.of(Kind.ACCEPT, epoch).withMembership(nextMembership));
             }
         }
     }
@@ -421,8 +423,8 @@
     }
 
     private void countAcceptances() {
-        if (step == Step.ACCEPT && next.isQuorum(replies.granting())) {
-            listener.elected(next);
+        if (step == Step.ACCEPT && nextMembership.isQuorum(replies.granting())) {
+            listener.elected(nextMembership);
         }
     }
 
--- a/src/main/java/quartzspan/replication/Change.java
+++ b/src/main/java/quartzspan/replication/Change.java
@@ -7,10 +7,10 @@
 /**
  * A requested change of the control state.
  *
- * @param base the configuration version that it builds on; 0 where it builds on none
+ * @param baseVersion the configuration version that it builds on; 0 where it builds on none
  * @param body the request's body, as it was sent
  */
-public record Change(Kind kind, long base, byte[] body) {
+public record Change(Kind kind, long baseVersion, byte[] body) {
     /** What is changed: the complete configuration, some items of it, named weights, or the holder of the rollout lease. */
     public enum Kind {
         REPLACE,
@@ -19,15 +19,15 @@
         ROLLOUT_CLAIM
     }
 
-    private static final int HEAD_BYTES = 1 + 8 + 4;
+    private static final int HEADER_BYTES = 1 + 8 + 4;
 
     /** Number of bytes that {@link #writeTo} writes. */
     int size() {
-        return HEAD_BYTES + body.length;
+        return HEADER_BYTES + body.length;
     }
 
     void writeTo(ByteBuffer out) {
-        out.put((byte) kind.ordinal()).putLong(base).putInt(body.length).put(body);
+        out.put((byte) kind.ordinal()).putLong(baseVersion).putInt(body.length).put(body);
     }
 
     /** Binary form, used on disk and between processes. */
@@ -49,20 +49,20 @@
     static Change readFrom(ByteBuffer in) {
         try {
             int kind = in.get();
-            long base = in.getLong();
+            long baseVersion = in.getLong();
             int length = in.getInt();
             if (kind < 0 || kind >= Kind.values().length || length < 0 || length > in.remaining()) {
-                throw unreadable();
+                throw malformed();
             }
             byte[] body = new byte[length];
             in.get(body);
-            return new Change(Kind.values()[kind], base, body);
+            return new Change(Kind.values()[kind], baseVersion, body);
         } catch (BufferUnderflowException e) {
-            throw unreadable();
+            throw malformed();
         }
     }
 
-    private static FleetException unreadable() {
+    private static FleetException malformed() {
         return new FleetException(
                 FleetException.Code.MESSAGE_INVALID, "a change can't be read", "run the same version everywhere");
     }
--- a/src/main/java/quartzspan/replication/ControlState.java
+++ b/src/main/java/quartzspan/replication/ControlState.java
@@ -90,23 +90,23 @@
         long digest = Hashing.xxh3_64()
                 .hashStream()
                 .putLong(change.kind().ordinal())
-                .putLong(change.base())
+                .putLong(change.baseVersion())
                 .putBytes(change.body())
                 .getAsLong();
-        Long before = acceptedDigests.get(version);
-        if (before != null && before == digest) {
+        Long acceptedDigest = acceptedDigests.get(version);
+        if (acceptedDigest != null && acceptedDigest == digest) {
             return this;
         }
-        if (before == null && version <= highestDroppedVersion) {
+        if (acceptedDigest == null && version <= highestDroppedVersion) {
             throw new FleetException(
                     FleetException.Code.ORDER_FORGOTTEN,
                     "version " + version + " is older than the changes that are remembered",
                     "read the configuration in effect with Configuration.Describe");
         }
-        if (change.base() != configuration.version()) {
+        if (change.baseVersion() != configuration.version()) {
             throw new FleetException(
                     FleetException.Code.CONFIG_STALE,
-                    "version " + configuration.version() + " is in effect, not " + change.base(),
+                    "version " + configuration.version() + " is in effect, not " + change.baseVersion(),
                     "read it with Configuration.Describe and build on it");
         }
         if (version <= configuration.version()) {
@@ -153,18 +153,18 @@
     public byte[] bytes() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
-            byte[] document = configuration.bytes();
-            out.writeInt(document.length);
-            out.write(document);
+            byte[] configurationBytes = configuration.bytes();
+            out.writeInt(configurationBytes.length);
+            out.write(configurationBytes);
             out.writeInt(acceptedDigests.size());
-            for (Map.Entry<Long, Long> t : acceptedDigests.entrySet()) {
-                out.writeLong(t.getKey());
-                out.writeLong(t.getValue());
+            for (Map.Entry<Long, Long> digest : acceptedDigests.entrySet()) {
+                out.writeLong(digest.getKey());
+                out.writeLong(digest.getValue());
             }
             out.writeInt(weights.size());
-            for (Map.Entry<String, Long> w : weights.entrySet()) {
-                out.writeUTF(w.getKey());
-                out.writeLong(w.getValue());
+            for (Map.Entry<String, Long> weight : weights.entrySet()) {
+                out.writeUTF(weight.getKey());
+                out.writeLong(weight.getValue());
             }
             out.writeUTF(rolloutHolder);
             out.writeLong(fencingToken);
@@ -180,7 +180,7 @@
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             int length = in.readInt();
             if (length < 0 || length > bytes.length) {
-                throw unreadable(null);
+                throw malformed(null);
             }
             Configuration configuration = Configuration.read(in.readNBytes(length));
             TreeMap<Long, Long> acceptedDigests = new TreeMap<>();
@@ -196,14 +196,14 @@
             return new ControlState(
                     configuration, acceptedDigests, in.readLong(), weights, rolloutHolder, fencingToken);
         } catch (IOException e) {
-            throw unreadable(e);
+            throw malformed(e);
         }
     }
 
-    private static FleetException unreadable(IOException why) {
+    private static FleetException malformed(IOException cause) {
         return new FleetException(
                 FleetException.Code.STORE_DAMAGED,
-                "a control state can't be read" + (why == null ? "" : ": " + why),
+                "a control state can't be read" + (cause == null ? "" : ": " + cause),
                 "move the data directory aside and start again");
     }
 }
--- a/src/main/java/quartzspan/replication/DiskLossRecovery.java
+++ b/src/main/java/quartzspan/replication/DiskLossRecovery.java
@@ -40,17 +40,17 @@
         if (reply.nonce() != voter.incarnationNonce()) {
             return false;
         }
-        voter.learn(reply.membership());
-        long noted = reply.generations().getOrDefault(self, 0L);
+        voter.adoptIfNewer(reply.membership());
+        long recordedGeneration = reply.generations().getOrDefault(self, 0L);
         if (!reply.granted()) {
-            claimGenerationAbove(noted);
+            claimGenerationAbove(recordedGeneration);
             return false;
         }
-        if (noted != voter.generation()) {
+        if (recordedGeneration != voter.generation()) {
             return false;
         }
         replies.put(from, reply);
-        if (!enough(voter.membership())) {
+        if (!hasEnoughReplies(voter.membership())) {
             return false;
         }
         replies.values().forEach(received -> voter.promise(received.promisedEpoch()));
@@ -59,23 +59,23 @@
     }
 
     /** Another incarnation of this disk has used the generation: the count begins again with a higher one. */
-    private void claimGenerationAbove(long noted) {
-        if (noted >= voter.generation()) {
-            voter.beginIncarnation(new DiskIncarnation(noted + 1, voter.incarnationNonce()));
+    private void claimGenerationAbove(long recordedGeneration) {
+        if (recordedGeneration >= voter.generation()) {
+            voter.beginIncarnation(new DiskIncarnation(recordedGeneration + 1, voter.incarnationNonce()));
             replies.clear();
         }
     }
 
-    private boolean enough(Membership membership) {
+    private boolean hasEnoughReplies(Membership membership) {
         return !membership.voters().isEmpty()
-                && enough(membership.voters())
-                && (!membership.isJoint() || enough(membership.previousVoters()));
+                && hasEnoughReplies(membership.voters())
+                && (!membership.isJoint() || hasEnoughReplies(membership.previousVoters()));
     }
 
-    private boolean enough(List<String> voters) {
-        long replied = replies.keySet().stream().filter(voters::contains).count();
+    private boolean hasEnoughReplies(List<String> voters) {
+        long replyCount = replies.keySet().stream().filter(voters::contains).count();
         int majority = Membership.majority(voters);
-        int needed = voters.contains(self) ? voters.size() - majority + 1 : majority;
-        return replied >= needed;
+        int requiredReplies = voters.contains(self) ? voters.size() - majority + 1 : majority;
+        return replyCount >= requiredReplies;
     }
 }
--- a/src/main/java/quartzspan/replication/DiskQueue.java
+++ b/src/main/java/quartzspan/replication/DiskQueue.java
@@ -11,26 +11,26 @@
 
     private final Replica.Output output;
     private final TreeMap<Long, Completion> pending = new TreeMap<>();
-    private long lastNumber;
+    private long lastRecordNumber;
     /** Since when the oldest record has been waiting. */
-    private long oldestSinceMs;
+    private long oldestWaitingSinceMs;
 
     DiskQueue(Replica.Output output) {
         this.output = output;
     }
 
-    void write(long now, byte[] record, Completion completion) {
+    void write(long nowMs, byte[] record, Completion completion) {
         if (pending.isEmpty()) {
-            oldestSinceMs = now;
+            oldestWaitingSinceMs = nowMs;
         }
-        lastNumber++;
-        pending.put(lastNumber, completion);
-        output.persist(lastNumber, record);
+        lastRecordNumber++;
+        pending.put(lastRecordNumber, completion);
+        output.persist(lastRecordNumber, record);
     }
 
-    void onPersisted(long now, long number, boolean durable) {
-        Completion completion = pending.remove(number);
-        oldestSinceMs = now;
+    void onPersisted(long nowMs, long recordNumber, boolean durable) {
+        Completion completion = pending.remove(recordNumber);
+        oldestWaitingSinceMs = nowMs;
         if (completion != null) {
             completion.done(durable);
         }
@@ -41,7 +41,7 @@
     }
 
     /** How long the oldest record has been waiting; 0 if there is none. */
-    long waitingFor(long now) {
-        return pending.isEmpty() ? 0 : now - oldestSinceMs;
+    long oldestWriteAgeMs(long nowMs) {
+        return pending.isEmpty() ? 0 : nowMs - oldestWaitingSinceMs;
     }
 }
--- a/src/main/java/quartzspan/replication/ElectionPlan.java
+++ b/src/main/java/quartzspan/replication/ElectionPlan.java
@@ -13,7 +13,7 @@
  */
 record ElectionPlan(List<String> voters, Set<String> avoided, boolean handedOver) {
     /** The primary is not heard any more. */
-    static final ElectionPlan TAKE_OVER = new ElectionPlan(null, Set.of(), false);
+    static final ElectionPlan FAILOVER = new ElectionPlan(null, Set.of(), false);
 
     /** The primary asked this replica to take its place. */
     static final ElectionPlan HANDOVER = new ElectionPlan(null, Set.of(), true);
--- a/src/main/java/quartzspan/replication/Epoch.java
+++ b/src/main/java/quartzspan/replication/Epoch.java
@@ -6,13 +6,13 @@
  *
  * @param number rises with every election that its candidate knows of
  * @param candidate the replica that started the election
- * @param attempt drawn at random for each election
+ * @param nonce drawn at random for each election
  */
-public record Epoch(long number, String candidate, long attempt) implements Comparable<Epoch> {
+public record Epoch(long number, String candidate, long nonce) implements Comparable<Epoch> {
     /** Lower than any other; nothing is known. */
     public static final Epoch NONE = new Epoch(-1, "", 0);
     /** The epoch of the founding membership, which was not elected. */
-    public static final Epoch FOUNDING = new Epoch(0, "", 0);
+    public static final Epoch INITIAL = new Epoch(0, "", 0);
 
     private static final String SEPARATOR = "/";
     private static final int FIELDS = 3;
@@ -23,7 +23,7 @@
             return Long.compare(number, other.number);
         }
         int byCandidate = candidate.compareTo(other.candidate);
-        return byCandidate != 0 ? byCandidate : Long.compare(attempt, other.attempt);
+        return byCandidate != 0 ? byCandidate : Long.compare(nonce, other.nonce);
     }
 
     // Written out, as is the order: what a record brings, and composed comparators, are built by the JVM at their first
@@ -36,7 +36,7 @@
 
     @Override
     public int hashCode() {
-        return 31 * (31 * Long.hashCode(number) + candidate.hashCode()) + Long.hashCode(attempt);
+        return 31 * (31 * Long.hashCode(number) + candidate.hashCode()) + Long.hashCode(nonce);
     }
 
     /** Whether this epoch is higher than the other. */
@@ -56,7 +56,7 @@
 
     /** Text form, used on disk and between processes. */
     public String text() {
-        return number + SEPARATOR + candidate + SEPARATOR + attempt;
+        return number + SEPARATOR + candidate + SEPARATOR + nonce;
     }
 
     /**
--- a/src/main/java/quartzspan/replication/FollowerState.java
+++ b/src/main/java/quartzspan/replication/FollowerState.java
@@ -26,7 +26,7 @@
     private final ReplyFactory replies;
     private final Transitions transitions;
     /** When the primary, or a candidate in its stead, was last heard. */
-    private long primaryHeardAtMs;
+    private long lastPrimaryContactAtMs;
     /** The epoch of the membership that was last heard to be in effect. */
     private Epoch activeEpoch = Epoch.NONE;
     /** Whether the primary can do without this replica's vote. */
@@ -48,17 +48,17 @@
         // A primary that is alive is heard within a heartbeat or two; after a loss of power of all replicas none has to
         // be
         // waited for.
-        this.primaryHeardAtMs = context.now() - Timing.ELECTION_TIMEOUT_MS + 2 * Timing.HEARTBEAT_MS;
+        this.lastPrimaryContactAtMs = context.nowMs() - Timing.ELECTION_TIMEOUT_MS + 2 * Timing.HEARTBEAT_MS;
     }
 
     /** Whether the primary was heard within a time, this replica not counted. */
-    boolean isPrimaryHeardWithin(long ms) {
-        return context.now() - primaryHeardAtMs < ms;
+    boolean hasPrimaryContactWithin(long windowMs) {
+        return context.nowMs() - lastPrimaryContactAtMs < windowMs;
     }
 
     /** The primary counts as heard just now. */
     void restartElectionTimeout() {
-        primaryHeardAtMs = context.now();
+        lastPrimaryContactAtMs = context.nowMs();
     }
 
     /** Whether the primary said of late that the membership known here is in effect. */
@@ -74,49 +74,50 @@
     // ---- elections -----------------------------------------------------------------------------------
 
     void onPreVote(String from, ReplicaMessage request) {
-        boolean granted = !voter.isRecovering() && request.epoch().isAbove(voter.promisedEpoch()) && mayGrant(request);
+        boolean granted =
+                !voter.isRecovering() && request.epoch().isAbove(voter.promisedEpoch()) && mayGrantVote(request);
         context.send(
                 from,
-                replies.refusal(Kind.PRE_VOTE_REPLY, request.epoch())
+                replies.rejection(Kind.PRE_VOTE_REPLY, request.epoch())
                         .withGranted(granted)
                         .withMembership(voter.durableMembership()));
     }
 
     /** Whether a vote may be granted: not while another primary is confirmed, unless that one has asked for the election. */
-    private boolean mayGrant(ReplicaMessage request) {
+    private boolean mayGrantVote(ReplicaMessage request) {
         boolean handedOver = request.granted() && !voter.membership().supersedes(request.membership());
-        return handedOver || !transitions.isConfirmedPrimary() && !isPrimaryHeardWithin(Timing.VOTE_STICKINESS_MS);
+        return handedOver || !transitions.isConfirmedPrimary() && !hasPrimaryContactWithin(Timing.VOTE_STICKINESS_MS);
     }
 
     void onVote(String from, ReplicaMessage request) {
         Epoch epoch = request.epoch();
-        boolean grantedBefore = epoch.equals(voter.promisedEpoch());
-        if (voter.isRecovering() || epoch.isBelow(voter.promisedEpoch()) || !grantedBefore && !mayGrant(request)) {
-            context.send(from, replies.refusal(Kind.VOTE_REPLY, epoch));
+        boolean alreadyGranted = epoch.equals(voter.promisedEpoch());
+        if (voter.isRecovering() || epoch.isBelow(voter.promisedEpoch()) || !alreadyGranted && !mayGrantVote(request)) {
+            context.send(from, replies.rejection(Kind.VOTE_REPLY, epoch));
             return;
         }
         deferElection();
-        if (!grantedBefore) {
+        if (!alreadyGranted) {
             transitions.becomeFollower();
             voter.promise(epoch);
         }
         if (epoch.equals(voter.durablePromisedEpoch())) {
-            context.send(from, vote(epoch));
+            context.send(from, voteReply(epoch));
             return;
         }
-        voter.persist(context.now(), durable -> {
-            boolean holds = durable && epoch.equals(voter.promisedEpoch());
-            context.send(from, holds ? vote(epoch) : replies.refusal(Kind.VOTE_REPLY, epoch));
+        voter.persist(context.nowMs(), durable -> {
+            boolean promiseHolds = durable && epoch.equals(voter.promisedEpoch());
+            context.send(from, promiseHolds ? voteReply(epoch) : replies.rejection(Kind.VOTE_REPLY, epoch));
         });
     }
 
-    private ReplicaMessage vote(Epoch epoch) {
+    private ReplicaMessage voteReply(Epoch epoch) {
         return replies.reply(Kind.VOTE_REPLY, epoch, true).withMembership(voter.durableMembership());
     }
 
     /** A candidate has time for its steps before another election is started. */
     private void deferElection() {
-        primaryHeardAtMs = Math.max(primaryHeardAtMs, context.now() - Timing.ELECTION_DEFERRAL_AGE_MS);
+        lastPrimaryContactAtMs = Math.max(lastPrimaryContactAtMs, context.nowMs() - Timing.ELECTION_DEFERRAL_AGE_MS);
     }
 
     void onFetch(String from, ReplicaMessage request) {
@@ -134,14 +135,14 @@
             return;
         }
         if (epoch.isBelow(voter.promisedEpoch())) {
-            context.send(from, replies.refusal(Kind.ACCEPT_REPLY, epoch));
+            context.send(from, replies.rejection(Kind.ACCEPT_REPLY, epoch));
             return;
         }
         stepDownIfNeeded();
         restartElectionTimeout();
         voter.promise(epoch);
-        voter.learn(request.membership());
-        voter.persist(context.now(), durable -> {
+        voter.adoptIfNewer(request.membership());
+        voter.persist(context.nowMs(), durable -> {
             if (durable) {
                 context.send(from, replies.reply(Kind.ACCEPT_REPLY, epoch, true));
             }
@@ -159,7 +160,7 @@
     void onHeartbeat(String from, ReplicaMessage heartbeat) {
         Epoch epoch = heartbeat.epoch();
         if (epoch.isBelow(voter.promisedEpoch()) && !voter.isRecovering()) {
-            context.send(from, replies.refusal(Kind.HEARTBEAT_REPLY, epoch).withNonce(heartbeat.nonce()));
+            context.send(from, replies.rejection(Kind.HEARTBEAT_REPLY, epoch).withNonce(heartbeat.nonce()));
             return;
         }
         Membership membership = heartbeat.membership();
@@ -169,10 +170,10 @@
         restartElectionTimeout();
         activeEpoch = epoch;
         replaceable = heartbeat.granted();
-        peers.learnSinceHeard(context.now(), heartbeat.sinceHeardMs());
+        peers.mergeReportedContacts(context.nowMs(), heartbeat.sinceLastContactMs());
         if (voter.isRecovering()) {
             // The membership names the replicas to ask; a reply would vouch for an epoch.
-            voter.learn(membership);
+            voter.adoptIfNewer(membership);
             return;
         }
         stepDownIfNeeded();
@@ -182,8 +183,8 @@
             return;
         }
         voter.promise(epoch);
-        voter.learn(membership);
-        voter.persist(context.now(), durable -> {
+        voter.adoptIfNewer(membership);
+        voter.persist(context.nowMs(), durable -> {
             if (durable) {
                 acknowledge(from, heartbeat);
             }
@@ -191,10 +192,10 @@
     }
 
     private void acknowledge(String from, ReplicaMessage heartbeat) {
-        boolean holds = !voter.promisedEpoch().isAbove(heartbeat.epoch());
-        ReplicaMessage reply = holds
+        boolean promiseHolds = !voter.promisedEpoch().isAbove(heartbeat.epoch());
+        ReplicaMessage reply = promiseHolds
                 ? replies.reply(Kind.HEARTBEAT_REPLY, heartbeat.epoch(), true)
-                : replies.refusal(Kind.HEARTBEAT_REPLY, heartbeat.epoch());
+                : replies.rejection(Kind.HEARTBEAT_REPLY, heartbeat.epoch());
         context.send(from, reply.withNonce(heartbeat.nonce()));
     }
 
@@ -204,11 +205,11 @@
             return;
         }
         if (epoch.isBelow(voter.promisedEpoch()) || request.generation() != voter.generation()) {
-            context.send(from, replies.refusal(Kind.REPLICATE_REPLY, epoch));
+            context.send(from, replies.rejection(Kind.REPLICATE_REPLY, epoch));
             return;
         }
         if (epoch.equals(log.epoch()) && request.logIndex() <= log.index()) {
-            context.send(from, replicated(request));
+            context.send(from, replicateAck(request));
             return;
         }
         stepDownIfNeeded();
@@ -218,21 +219,21 @@
         }
         StateUpdate update = StateUpdate.parse(request.body());
         if (!log.isApplicable(update)) {
-            context.send(from, replies.refusal(Kind.REPLICATE_REPLY, epoch));
+            context.send(from, replies.rejection(Kind.REPLICATE_REPLY, epoch));
             return;
         }
         if (epoch.isAbove(voter.promisedEpoch())) {
             voter.promise(epoch);
-            voter.persist(context.now(), durable -> {});
+            voter.persist(context.nowMs(), durable -> {});
         }
-        log.append(context.now(), update, log.stateAfter(update), durable -> {
+        log.append(context.nowMs(), update, log.stateAfter(update), durable -> {
             if (durable) {
-                context.send(from, replicated(request));
+                context.send(from, replicateAck(request));
             }
         });
     }
 
-    private ReplicaMessage replicated(ReplicaMessage request) {
+    private ReplicaMessage replicateAck(ReplicaMessage request) {
         return replies.reply(Kind.REPLICATE_REPLY, request.epoch(), true)
                 .withLogPosition(request.epoch(), request.logIndex());
     }
--- a/src/main/java/quartzspan/replication/HeartbeatQuorum.java
+++ b/src/main/java/quartzspan/replication/HeartbeatQuorum.java
@@ -11,13 +11,13 @@
  * confirmed heartbeat was sent by the only primary.
  */
 final class HeartbeatQuorum {
-    private static final int MAX_HEARTBEATS_KEPT = 64;
+    private static final int MAX_TRACKED_HEARTBEATS = 64;
 
     private final String self;
-    private long nonce;
+    private long lastSequence;
     private final TreeMap<Long, Long> sentAtMs = new TreeMap<>();
-    private final Map<String, Long> acknowledgedNonces = new HashMap<>();
-    private long confirmedNonce;
+    private final Map<String, Long> acknowledgedSequences = new HashMap<>();
+    private long confirmedSequence;
     private long confirmedAtMs = Long.MIN_VALUE / 2;
 
     HeartbeatQuorum(String self) {
@@ -25,13 +25,13 @@
     }
 
     /** Number of the last heartbeat that was sent. */
-    long nonce() {
-        return nonce;
+    long lastSequence() {
+        return lastSequence;
     }
 
     /** Number of the last heartbeat that a quorum has acknowledged. */
-    long confirmedNonce() {
-        return confirmedNonce;
+    long confirmedSequence() {
+        return confirmedSequence;
     }
 
     /** When the last heartbeat that a quorum has acknowledged was sent; far in the past if there is none. */
@@ -40,38 +40,38 @@
     }
 
     /** The next heartbeat is being sent; returns its number. */
-    long send(long nowMs) {
-        nonce++;
-        sentAtMs.put(nonce, nowMs);
-        while (sentAtMs.size() > MAX_HEARTBEATS_KEPT) {
+    long nextSequence(long nowMs) {
+        lastSequence++;
+        sentAtMs.put(lastSequence, nowMs);
+        while (sentAtMs.size() > MAX_TRACKED_HEARTBEATS) {
             sentAtMs.pollFirstEntry();
         }
-        return nonce;
+        return lastSequence;
     }
 
-    void acknowledge(String from, long acknowledgedNonce) {
-        acknowledgedNonces.merge(from, acknowledgedNonce, Math::max);
+    void acknowledge(String from, long sequence) {
+        acknowledgedSequences.merge(from, sequence, Math::max);
     }
 
     /** Counts whose acknowledgements make a quorum. */
     void update(Membership membership) {
-        long confirmed = confirmedNonce;
-        for (long candidate : acknowledgedNonces.values()) {
-            confirmed = candidate > confirmed && isConfirmed(candidate, membership) ? candidate : confirmed;
+        long confirmed = confirmedSequence;
+        for (long sequence : acknowledgedSequences.values()) {
+            confirmed = sequence > confirmed && isConfirmed(sequence, membership) ? sequence : confirmed;
         }
-        confirmed = isConfirmed(nonce, membership) ? nonce : confirmed;
-        if (confirmed > confirmedNonce) {
-            confirmedNonce = confirmed;
-            Map.Entry<Long, Long> sent = sentAtMs.floorEntry(confirmed);
-            confirmedAtMs = sent == null ? confirmedAtMs : Math.max(confirmedAtMs, sent.getValue());
+        confirmed = isConfirmed(lastSequence, membership) ? lastSequence : confirmed;
+        if (confirmed > confirmedSequence) {
+            confirmedSequence = confirmed;
+            Map.Entry<Long, Long> sentHeartbeat = sentAtMs.floorEntry(confirmed);
+            confirmedAtMs = sentHeartbeat == null ? confirmedAtMs : Math.max(confirmedAtMs, sentHeartbeat.getValue());
         }
     }
 
-    private boolean isConfirmed(long atNonce, Membership membership) {
+    private boolean isConfirmed(long sequence, Membership membership) {
         Set<String> replicas = new HashSet<>();
         replicas.add(self);
-        acknowledgedNonces.forEach((name, acknowledged) -> {
-            if (acknowledged >= atNonce) {
+        acknowledgedSequences.forEach((name, acknowledged) -> {
+            if (acknowledged >= sequence) {
                 replicas.add(name);
             }
         });
--- a/src/main/java/quartzspan/replication/Membership.java
+++ b/src/main/java/quartzspan/replication/Membership.java
@@ -26,7 +26,7 @@
 
     private static final String FIELD_SEPARATOR = ";";
     private static final String NAME_SEPARATOR = ",";
-    private static final int FIELDS = 5;
+    private static final int FIELD_COUNT = 5;
 
     /** Copies the lists. */
     public Membership {
@@ -90,16 +90,16 @@
      */
     public static Membership parse(String text) {
         String[] fields = text.split(FIELD_SEPARATOR, -1);
-        if (fields.length != FIELDS) {
+        if (fields.length != FIELD_COUNT) {
             return null;
         }
         Epoch epoch = Epoch.parse(fields[0]);
         return epoch == null
                 ? null
-                : new Membership(epoch, fields[1], names(fields[2]), names(fields[3]), names(fields[4]));
+                : new Membership(epoch, fields[1], parseNames(fields[2]), parseNames(fields[3]), parseNames(fields[4]));
     }
 
-    private static List<String> names(String text) {
+    private static List<String> parseNames(String text) {
         List<String> all = new ArrayList<>(List.of(text.split(NAME_SEPARATOR)));
         all.removeIf(String::isEmpty);
         return all;
--- a/src/main/java/quartzspan/replication/MembershipPlanner.java
+++ b/src/main/java/quartzspan/replication/MembershipPlanner.java
@@ -9,25 +9,25 @@
 /** Works out the membership that a candidate is to form. */
 final class MembershipPlanner {
     private final String self;
-    private final int losses;
+    private final int toleratedFailures;
     private final ElectionPlan plan;
 
-    /** @param losses number of replicas that may be lost at once */
-    MembershipPlanner(String self, int losses, ElectionPlan plan) {
+    /** @param toleratedFailures number of replicas that may be lost at once */
+    MembershipPlanner(String self, int toleratedFailures, ElectionPlan plan) {
         this.self = self;
-        this.losses = losses;
+        this.toleratedFailures = toleratedFailures;
         this.plan = plan;
     }
 
     /**
      * The membership that follows the latest one.
      *
-     * @param wantedVoters the voters wanted; null to leave them as they are
+     * @param targetVoters the voters wanted; null to leave them as they are
      * @param granting the replicas that have granted their vote
      * @return null if too few of the voters have granted it to hold the data
      */
-    Membership next(Epoch epoch, Membership latest, List<String> wantedVoters, Set<String> granting) {
-        List<String> voters = wantedVoters == null || latest.isJoint() ? latest.voters() : wantedVoters;
+    Membership nextMembership(Epoch epoch, Membership latest, List<String> targetVoters, Set<String> granting) {
+        List<String> voters = targetVoters == null || latest.isJoint() ? latest.voters() : targetVoters;
         List<String> dataReplicas = chooseDataReplicas(latest, voters, granting);
         if (dataReplicas == null) {
             return null;
@@ -42,31 +42,31 @@
 
     /** Replicas that granted their vote, are not to be avoided, and hold data already go first. */
     private List<String> chooseDataReplicas(Membership latest, List<String> voters, Set<String> granting) {
-        List<String> able = new ArrayList<>(voters);
-        able.retainAll(granting);
-        able.remove(self);
-        able.sort(Comparator.<String, Boolean>comparing(plan.avoided()::contains)
+        List<String> eligible = new ArrayList<>(voters);
+        eligible.retainAll(granting);
+        eligible.remove(self);
+        eligible.sort(Comparator.<String, Boolean>comparing(plan.avoided()::contains)
                 .thenComparing(name -> !latest.dataReplicas().contains(name)));
-        int needed = Math.min(losses + 1, voters.size());
-        if (able.size() + 1 < needed) {
+        int minCount = Math.min(toleratedFailures + 1, voters.size());
+        if (eligible.size() + 1 < minCount) {
             return null;
         }
-        int count = Math.min(wantedDataReplicas(voters, losses), able.size() + 1);
+        int count = Math.min(targetDataReplicaCount(voters, toleratedFailures), eligible.size() + 1);
         List<String> dataReplicas = new ArrayList<>();
         dataReplicas.add(self);
-        dataReplicas.addAll(able.subList(0, count - 1));
+        dataReplicas.addAll(eligible.subList(0, count - 1));
         return dataReplicas;
     }
 
     /** One data replica more than may be lost at once, and one for each voter more than that needs. */
-    static int wantedDataReplicas(List<String> voters, int losses) {
-        int spareVoters = Math.max(0, voters.size() - neededVoters(losses));
-        return Math.min(losses + 1 + spareVoters, voters.size());
+    static int targetDataReplicaCount(List<String> voters, int toleratedFailures) {
+        int spareVoters = Math.max(0, voters.size() - minVoterCount(toleratedFailures));
+        return Math.min(toleratedFailures + 1 + spareVoters, voters.size());
     }
 
     /** Number of voters of which a majority is left after the losses. */
-    static int neededVoters(int losses) {
-        return 2 * losses + 1;
+    static int minVoterCount(int toleratedFailures) {
+        return 2 * toleratedFailures + 1;
     }
 
     /**
--- a/src/main/java/quartzspan/replication/MembershipRequests.java
+++ b/src/main/java/quartzspan/replication/MembershipRequests.java
@@ -9,31 +9,31 @@
 final class MembershipRequests {
     private final ReplicaContext context;
     private final VoterState voter;
-    private final List<String> seeds;
+    private final List<String> seedNodes;
 
-    MembershipRequests(ReplicaContext context, VoterState voter, List<String> seeds) {
+    MembershipRequests(ReplicaContext context, VoterState voter, List<String> seedNodes) {
         this.context = context;
         this.voter = voter;
-        this.seeds = seeds;
+        this.seedNodes = seedNodes;
     }
 
     /** The disk was lost: asks what this replica had promised. */
     void requestRecovery(DiskLossRecovery recovery) {
-        others().forEach(name -> context.send(name, recovery.request()));
+        knownPeers().forEach(name -> context.send(name, recovery.request()));
     }
 
     /** This replica has no vote: it makes itself known as a standby. */
-    void requestVote() {
+    void requestJoin() {
         ReplicaMessage request = ReplicaMessage.of(Kind.RECOVERY, Epoch.NONE)
                 .withNonce(voter.incarnationNonce())
                 .withGeneration(voter.generation());
-        others().forEach(name -> context.send(name, request));
+        knownPeers().forEach(name -> context.send(name, request));
     }
 
     /** This replica is about to end: the primary had better do without it. */
-    void requestRelease() {
+    void requestRemoval() {
         Epoch epoch = voter.membership().epoch();
-        others().forEach(name -> context.send(name, ReplicaMessage.of(Kind.LEAVING, epoch)));
+        knownPeers().forEach(name -> context.send(name, ReplicaMessage.of(Kind.LEAVING, epoch)));
     }
 
     /** This primary is about to end: a backup is to start an election at once. */
@@ -42,10 +42,10 @@
                 successor, ReplicaMessage.of(Kind.HANDOVER, voter.membership().epoch()));
     }
 
-    private Set<String> others() {
+    private Set<String> knownPeers() {
         Set<String> all = new LinkedHashSet<>(voter.membership().electorate());
         all.add(voter.membership().primary());
-        all.addAll(seeds);
+        all.addAll(seedNodes);
         all.remove(context.self());
         all.remove("");
         return all;
--- a/src/main/java/quartzspan/replication/PeerLiveness.java
+++ b/src/main/java/quartzspan/replication/PeerLiveness.java
@@ -15,67 +15,68 @@
     private static final long LEAVING_TIMEOUT_MS = 1_000;
 
     /** Since when a replica has been a standby, and when it last said so. */
-    private record Standby(long since, long heardAt) {}
+    private record Standby(long sinceMs, long lastContactAtMs) {}
 
     private final String self;
-    private final long startedAt;
-    private final Map<String, Long> heardAt = new TreeMap<>();
+    private final long startedAtMs;
+    private final Map<String, Long> lastContactAtMs = new TreeMap<>();
     private final Map<String, Standby> standbys = new TreeMap<>();
     private final Map<String, Long> leaving = new TreeMap<>();
 
-    PeerLiveness(String self, long startedAt) {
+    PeerLiveness(String self, long startedAtMs) {
         this.self = self;
-        this.startedAt = startedAt;
+        this.startedAtMs = startedAtMs;
     }
 
-    void onMessageFrom(long now, String name) {
-        heardAt.put(name, now);
+    void onMessageFrom(long nowMs, String name) {
+        lastContactAtMs.put(name, nowMs);
     }
 
     /** Time since a replica was heard, by this one or by a primary that reported it. */
-    long sinceHeardMs(long now, String name) {
-        return name.equals(self) ? 0 : now - heardAt.getOrDefault(name, startedAt);
+    long sinceLastContactMs(long nowMs, String name) {
+        return name.equals(self) ? 0 : nowMs - lastContactAtMs.getOrDefault(name, startedAtMs);
     }
 
     /** Learns how long ago another replica heard the others. */
-    void learnSinceHeard(long now, Map<String, Long> sinceHeard) {
-        sinceHeard.forEach((name, elapsedMs) -> heardAt.merge(name, now - elapsedMs, Math::max));
+    void mergeReportedContacts(long nowMs, Map<String, Long> sinceLastContact) {
+        sinceLastContact.forEach(
+                (name, sinceContactMs) -> lastContactAtMs.merge(name, nowMs - sinceContactMs, Math::max));
     }
 
-    Map<String, Long> allSinceHeardMs(long now, Collection<String> names) {
+    Map<String, Long> allSinceLastContactMs(long nowMs, Collection<String> names) {
         Map<String, Long> all = new TreeMap<>();
-        names.forEach(name -> all.put(name, sinceHeardMs(now, name)));
+        names.forEach(name -> all.put(name, sinceLastContactMs(nowMs, name)));
         return all;
     }
 
-    void onStandby(long now, String name) {
+    void onStandby(long nowMs, String name) {
         Standby known = standbys.get(name);
-        boolean steady = known != null && now - known.heardAt() <= STANDBY_TIMEOUT_MS;
-        standbys.put(name, new Standby(steady ? known.since() : now, now));
+        boolean stillStandby = known != null && nowMs - known.lastContactAtMs() <= STANDBY_TIMEOUT_MS;
+        standbys.put(name, new Standby(stillStandby ? known.sinceMs() : nowMs, nowMs));
     }
 
     /** Replicas that ask to be taken in and have no vote. */
-    List<String> standbys(long now, Membership membership) {
-        standbys.values().removeIf(standby -> now - standby.heardAt() > STANDBY_TIMEOUT_MS);
+    List<String> standbys(long nowMs, Membership membership) {
+        standbys.values().removeIf(standby -> nowMs - standby.lastContactAtMs() > STANDBY_TIMEOUT_MS);
         return standbys.keySet().stream()
-                .filter(name ->
-                        !membership.electorate().contains(name) && !leaving(now).contains(name))
+                .filter(name -> !membership.electorate().contains(name)
+                        && !leaving(nowMs).contains(name))
                 .toList();
     }
 
     /** How long a replica has been a standby without a break. */
-    long standbyForMs(long now, String name) {
+    long standbyDurationMs(long nowMs, String name) {
         Standby standby = standbys.get(name);
-        return standby == null ? 0 : now - standby.since();
+        return standby == null ? 0 : nowMs - standby.sinceMs();
     }
 
-    void onLeaving(long now, String name) {
-        leaving.put(name, now);
+    void onLeaving(long nowMs, String name) {
+        leaving.put(name, nowMs);
     }
 
     /** Replicas that are about to end. */
-    Set<String> leaving(long now) {
-        leaving.values().removeIf(at -> now - at > LEAVING_TIMEOUT_MS);
+    Set<String> leaving(long nowMs) {
+        leaving.values().removeIf(at -> nowMs - at > LEAVING_TIMEOUT_MS);
         return new TreeSet<>(leaving.keySet());
     }
 }
--- a/src/main/java/quartzspan/replication/PrimaryState.java
+++ b/src/main/java/quartzspan/replication/PrimaryState.java
@@ -26,44 +26,44 @@
         void stepDown();
 
         /** The disk refused a record, or is too slow. */
-        void diskRefused();
+        void diskFailed();
 
         void committed(long index, ControlState state);
 
-        /** The answer to a request; {@code refusal} is null if it is granted. */
-        void completed(long requestId, FleetException refusal, ControlState state);
+        /** The answer to a request; {@code rejection} is null if it is granted. */
+        void completed(long requestId, FleetException rejection, ControlState state);
     }
 
     private record PendingChange(long requestId, Change change) {}
 
-    /** A request whose answer waits for a quorum; {@code refusal} is the answer, null for a read. */
-    private record PendingAnswer(long requestId, long nonce, FleetException refusal) {}
+    /** A request whose answer waits for a quorum; {@code rejection} is the answer, null for a read. */
+    private record PendingConfirmation(long requestId, long heartbeatSequence, FleetException rejection) {}
 
     /** The change in flight. */
-    private record InFlight(long requestId, StateUpdate update, long sinceMs) {}
+    private record InFlightChange(long requestId, StateUpdate update, long startedAtMs) {}
 
     private final ReplicaContext context;
     private final VoterState voter;
     private final ReplicaLog log;
     private final PeerLiveness peers;
-    private final MembershipReview review;
-    private final HeartbeatQuorum heartbeats;
+    private final ReconfigurationPolicy reconfigurationPolicy;
+    private final HeartbeatQuorum heartbeatQuorum;
     private final Listener listener;
-    private final long sinceMs;
+    private final long startedAtMs;
     private Membership membership;
     /** The state as last acknowledged: the log may end with a change that other data replicas lack. */
     private ControlState committedState;
 
     private long nextHeartbeatAtMs;
     private final ArrayDeque<PendingChange> pendingChanges = new ArrayDeque<>();
-    private final List<PendingAnswer> pendingAnswers = new ArrayList<>();
-    private InFlight inFlight;
-    private final Set<String> synced = new HashSet<>();
+    private final List<PendingConfirmation> pendingConfirmations = new ArrayList<>();
+    private InFlightChange inFlightChange;
+    private final Set<String> syncedReplicas = new HashSet<>();
     /** The ends of other replicas' logs, as last reported. */
     private final Map<String, ReplicaMessage> reportedPositions = new HashMap<>();
 
-    private final Map<String, Long> replicatedAtMs = new HashMap<>();
-    private boolean ended;
+    private final Map<String, Long> lastReplicatedAtMs = new HashMap<>();
+    private boolean stopped;
 
     PrimaryState(
             ReplicaContext context,
@@ -76,11 +76,11 @@
         this.voter = voter;
         this.log = log;
         this.peers = peers;
-        this.review = new MembershipReview(context, peers);
-        this.heartbeats = new HeartbeatQuorum(context.self());
+        this.reconfigurationPolicy = new ReconfigurationPolicy(context, peers);
+        this.heartbeatQuorum = new HeartbeatQuorum(context.self());
         this.membership = membership;
         this.listener = listener;
-        this.sinceMs = context.now();
+        this.startedAtMs = context.nowMs();
         this.committedState = log.state();
     }
 
@@ -88,9 +88,9 @@
     void begin() {
         listener.committed(log.index(), committedState);
         if (membership.isJoint()) {
-            voter.learn(membership.committed());
-            voter.persist(context.now(), durable -> {
-                if (durable && !ended) {
+            voter.adoptIfNewer(membership.committed());
+            voter.persist(context.nowMs(), durable -> {
+                if (durable && !stopped) {
                     membership = membership.committed();
                     sendHeartbeat();
                 }
@@ -105,86 +105,89 @@
 
     /** The latest time at which the state here was surely the newest; far in the past if it never was. */
     long confirmedAtMs() {
-        return heartbeats.confirmedAtMs();
+        return heartbeatQuorum.confirmedAtMs();
     }
 
     /** Since when no quorum has confirmed that this replica is primary. */
     long unconfirmedSinceMs() {
-        return Math.max(heartbeats.confirmedAtMs(), sinceMs);
+        return Math.max(heartbeatQuorum.confirmedAtMs(), startedAtMs);
     }
 
     /** The backup that can take over at once; null if there is none. */
     String successor() {
-        return review.successor(membership);
+        return reconfigurationPolicy.successor(membership);
     }
 
     // ---- time ----------------------------------------------------------------------------------------
 
     void onTick() {
-        long now = context.now();
-        if (now - unconfirmedSinceMs() > Timing.QUORUM_TIMEOUT_MS) {
+        long nowMs = context.nowMs();
+        if (nowMs - unconfirmedSinceMs() > Timing.QUORUM_TIMEOUT_MS) {
             listener.stepDown();
             return;
         }
-        if (now >= nextHeartbeatAtMs) {
+        if (nowMs >= nextHeartbeatAtMs) {
             sendHeartbeat();
-            resendInFlight();
+            resendInFlightChange();
         }
-        if (!ended && isOwnDiskSlow(now)) {
-            listener.diskRefused();
+        if (!stopped && isOwnDiskSlow(nowMs)) {
+            listener.diskFailed();
             return;
         }
         startChanges();
-        if (!ended) {
-            review.neededElection(membership, slowReplicas(now)).ifPresent(listener::changeMembership);
+        if (!stopped) {
+            reconfigurationPolicy
+                    .requiredElection(membership, slowReplicas(nowMs))
+                    .ifPresent(listener::changeMembership);
         }
     }
 
-    private boolean isOwnDiskSlow(long now) {
-        return inFlight != null
-                && !synced.contains(context.self())
-                && now - inFlight.sinceMs() > scaledToState(Timing.DISK_TIMEOUT_MS);
+    private boolean isOwnDiskSlow(long nowMs) {
+        return inFlightChange != null
+                && !syncedReplicas.contains(context.self())
+                && nowMs - inFlightChange.startedAtMs() > scaledToStateSize(Timing.DISK_TIMEOUT_MS);
     }
 
-    private Set<String> slowReplicas(long now) {
+    private Set<String> slowReplicas(long nowMs) {
         Set<String> slow = new HashSet<>();
-        if (inFlight != null && now - inFlight.sinceMs() > scaledToState(Timing.BACKUP_TIMEOUT_MS)) {
+        if (inFlightChange != null
+                && nowMs - inFlightChange.startedAtMs() > scaledToStateSize(Timing.BACKUP_TIMEOUT_MS)) {
             slow.addAll(membership.dataReplicas());
-            slow.removeAll(synced);
+            slow.removeAll(syncedReplicas);
         }
         return slow;
     }
 
     /** Large states are allowed more time. */
-    private long scaledToState(long timeoutMs) {
+    private long scaledToStateSize(long timeoutMs) {
         return timeoutMs + log.state().size() / Timing.STATE_BYTES_PER_MS;
     }
 
     // ---- heartbeats and reads ------------------------------------------------------------------------
 
     private void sendHeartbeat() {
-        long now = context.now();
-        nextHeartbeatAtMs = now + Timing.HEARTBEAT_MS;
-        List<String> standbys = peers.standbys(now, membership);
+        long nowMs = context.nowMs();
+        nextHeartbeatAtMs = nowMs + Timing.HEARTBEAT_MS;
+        List<String> standbys = peers.standbys(nowMs, membership);
         ReplicaMessage heartbeat = ReplicaMessage.of(Kind.HEARTBEAT, membership.epoch())
                 .withMembership(membership)
-                .withNonce(heartbeats.send(now))
-                .withGranted(review.hasSpareVoter(membership))
+                .withNonce(heartbeatQuorum.nextSequence(nowMs))
+                .withGranted(reconfigurationPolicy.hasSpareVoter(membership))
                 .withLogPosition(log.epoch(), log.index())
-                .withSinceHeardMs(peers.allSinceHeardMs(now, membership.voters()));
+                .withSinceLastContactMs(peers.allSinceLastContactMs(nowMs, membership.voters()));
         Set<String> receivers = membership.electorate();
         receivers.remove(context.self());
         receivers.addAll(standbys);
         receivers.forEach(name -> context.send(name, heartbeat));
-        answerConfirmed();
+        completeConfirmed();
     }
 
     void read(long requestId) {
-        answerWhenConfirmed(requestId, null);
+        completeWhenConfirmed(requestId, null);
     }
 
-    private void answerWhenConfirmed(long requestId, FleetException refusal) {
-        pendingAnswers.add(new PendingAnswer(requestId, heartbeats.nonce() + 1, refusal));
+    private void completeWhenConfirmed(long requestId, FleetException rejection) {
+        pendingConfirmations.add(new PendingConfirmation(requestId, heartbeatQuorum.lastSequence() + 1, rejection));
         sendHeartbeat();
     }
 
@@ -196,23 +199,24 @@
             // A higher epoch was granted without taking effect: only a still higher one has this voter's support again.
             if (reply.promisedEpoch().isAbove(voter.promisedEpoch())) {
                 voter.promise(reply.promisedEpoch());
-                listener.changeMembership(review.election(null, Set.of()));
+                listener.changeMembership(reconfigurationPolicy.election(null, Set.of()));
             }
             return;
         }
-        heartbeats.acknowledge(from, reply.nonce());
+        heartbeatQuorum.acknowledge(from, reply.nonce());
         reportedPositions.put(from, reply);
-        answerConfirmed();
-        if (!ended && inFlight == null) {
+        completeConfirmed();
+        if (!stopped && inFlightChange == null) {
             catchUp(from, reply);
         }
     }
 
-    private void answerConfirmed() {
-        heartbeats.update(membership);
-        for (PendingAnswer pending : List.copyOf(pendingAnswers)) {
-            if (pending.nonce() <= heartbeats.confirmedNonce() && pendingAnswers.remove(pending)) {
-                listener.completed(pending.requestId(), pending.refusal(), committedState);
+    private void completeConfirmed() {
+        heartbeatQuorum.update(membership);
+        for (PendingConfirmation pending : List.copyOf(pendingConfirmations)) {
+            if (pending.heartbeatSequence() <= heartbeatQuorum.confirmedSequence()
+                    && pendingConfirmations.remove(pending)) {
+                listener.completed(pending.requestId(), pending.rejection(), committedState);
             }
         }
     }
@@ -227,38 +231,38 @@
     /** One change at a time: the next is judged by the state after the one before. */
     @SuppressWarnings("ReferenceEquality") // ControlState.with returns the same object where nothing changes.
     private void startChanges() {
-        while (!ended && inFlight == null && !log.isAppending() && !pendingChanges.isEmpty()) {
+        while (!stopped && inFlightChange == null && !log.isAppending() && !pendingChanges.isEmpty()) {
             PendingChange pending = pendingChanges.poll();
-            ControlState changed;
+            ControlState changedState;
             try {
-                changed = log.state().with(pending.change());
-            } catch (FleetException refusal) {
-                answerWhenConfirmed(pending.requestId(), refusal);
+                changedState = log.state().with(pending.change());
+            } catch (FleetException rejection) {
+                completeWhenConfirmed(pending.requestId(), rejection);
                 continue;
             }
-            if (changed == log.state()) {
-                answerWhenConfirmed(pending.requestId(), null);
+            if (changedState == log.state()) {
+                completeWhenConfirmed(pending.requestId(), null);
             } else {
-                startChange(pending, changed);
+                startChange(pending, changedState);
             }
         }
     }
 
     @SuppressWarnings("ReferenceEquality") // The very change that was started, not an equal one.
-    private void startChange(PendingChange pending, ControlState changed) {
+    private void startChange(PendingChange pending, ControlState changedState) {
         StateUpdate update = log.nextEntry(membership.epoch(), pending.change());
-        InFlight started = new InFlight(pending.requestId(), update, context.now());
-        inFlight = started;
-        synced.clear();
-        log.append(context.now(), update, changed, durable -> {
-            if (ended || inFlight != started) {
+        InFlightChange started = new InFlightChange(pending.requestId(), update, context.nowMs());
+        inFlightChange = started;
+        syncedReplicas.clear();
+        log.append(context.nowMs(), update, changedState, durable -> {
+            if (stopped || inFlightChange != started) {
                 return;
             }
             if (durable) {
-                synced.add(context.self());
+                syncedReplicas.add(context.self());
                 commitIfSynced();
             } else {
-                listener.diskRefused();
+                listener.diskFailed();
             }
         });
         for (String name : membership.dataReplicas()) {
@@ -269,12 +273,12 @@
     }
 
     /** Sends the change in flight again to the data replicas that have not synced it. */
-    private void resendInFlight() {
-        if (inFlight == null || context.now() - inFlight.sinceMs() < Timing.HEARTBEAT_MS) {
+    private void resendInFlightChange() {
+        if (inFlightChange == null || context.nowMs() - inFlightChange.startedAtMs() < Timing.HEARTBEAT_MS) {
             return;
         }
         for (String name : membership.dataReplicas()) {
-            if (!synced.contains(name) && !name.equals(context.self())) {
+            if (!syncedReplicas.contains(name) && !name.equals(context.self())) {
                 replicateTo(name, updateFor(name));
             }
         }
@@ -282,8 +286,8 @@
 
     /** What leads a replica from the state that it last reported to the one that is wanted of it. */
     private StateUpdate updateFor(String name) {
-        if (inFlight != null && !synced.contains(context.self())) {
-            return inFlight.update();
+        if (inFlightChange != null && !syncedReplicas.contains(context.self())) {
+            return inFlightChange.update();
         }
         ReplicaMessage reported = reportedPositions.get(name);
         return reported == null
@@ -293,14 +297,14 @@
 
     private void replicateTo(String to, StateUpdate update) {
         ReplicaMessage reported = reportedPositions.get(to);
-        replicatedAtMs.put(to, context.now());
+        lastReplicatedAtMs.put(to, context.nowMs());
         context.send(to, ReplicaMessage.replicate(update, reported == null ? 0 : reported.generation()));
     }
 
     /** A backup that is behind has lost its disk, or a message. Between changes it is brought up to date. */
     private void catchUp(String name, ReplicaMessage reported) {
         boolean behind = !log.isAt(reported.logEpoch(), reported.logIndex());
-        long sinceReplicatedMs = context.now() - replicatedAtMs.getOrDefault(name, Long.MIN_VALUE / 2);
+        long sinceReplicatedMs = context.nowMs() - lastReplicatedAtMs.getOrDefault(name, Long.MIN_VALUE / 2);
         boolean sentRecently = sinceReplicatedMs < Timing.RETRY_MS;
         if (membership.dataReplicas().contains(name) && behind && !sentRecently && !log.isAppending()) {
             replicateTo(name, log.updateFrom(reported.logEpoch(), reported.logIndex()));
@@ -312,16 +316,17 @@
             return;
         }
         if (!reply.granted()) {
-            onReplicationRefused(from, reply);
+            onReplicationRejected(from, reply);
             return;
         }
-        if (inFlight != null && reply.logIndex() == inFlight.update().index()) {
-            synced.add(from);
+        if (inFlightChange != null
+                && reply.logIndex() == inFlightChange.update().index()) {
+            syncedReplicas.add(from);
             commitIfSynced();
         }
     }
 
-    private void onReplicationRefused(String from, ReplicaMessage reply) {
+    private void onReplicationRejected(String from, ReplicaMessage reply) {
         if (reply.promisedEpoch().isAbove(membership.epoch())) {
             if (reply.promisedEpoch().isAbove(voter.promisedEpoch())) {
                 voter.promise(reply.promisedEpoch());
@@ -329,19 +334,19 @@
             listener.stepDown();
             return;
         }
-        ReplicaMessage before = reportedPositions.put(from, reply);
-        boolean changed = before == null || !before.hasSameLogPosition(reply);
-        if (changed && membership.dataReplicas().contains(from) && !log.isAppending()) {
+        ReplicaMessage previous = reportedPositions.put(from, reply);
+        boolean positionChanged = previous == null || !previous.hasSameLogPosition(reply);
+        if (positionChanged && membership.dataReplicas().contains(from) && !log.isAppending()) {
             replicateTo(from, log.updateFrom(reply.logEpoch(), reply.logIndex()));
         }
     }
 
     private void commitIfSynced() {
-        if (inFlight == null || !synced.containsAll(membership.dataReplicas())) {
+        if (inFlightChange == null || !syncedReplicas.containsAll(membership.dataReplicas())) {
             return;
         }
-        long requestId = inFlight.requestId();
-        inFlight = null;
+        long requestId = inFlightChange.requestId();
+        inFlightChange = null;
         committedState = log.state();
         listener.committed(log.index(), committedState);
         listener.completed(requestId, null, committedState);
@@ -349,17 +354,17 @@
     }
 
     /** This replica is primary no more: nothing that waits here can be answered. */
-    void end(FleetException refusal) {
-        ended = true;
+    void stop(FleetException rejection) {
+        stopped = true;
         List<Long> requestIds = new ArrayList<>();
-        if (inFlight != null) {
-            requestIds.add(inFlight.requestId());
+        if (inFlightChange != null) {
+            requestIds.add(inFlightChange.requestId());
         }
         pendingChanges.forEach(pending -> requestIds.add(pending.requestId()));
-        pendingAnswers.forEach(pending -> requestIds.add(pending.requestId()));
-        inFlight = null;
+        pendingConfirmations.forEach(pending -> requestIds.add(pending.requestId()));
+        inFlightChange = null;
         pendingChanges.clear();
-        pendingAnswers.clear();
-        requestIds.forEach(requestId -> listener.completed(requestId, refusal, null));
+        pendingConfirmations.clear();
+        requestIds.forEach(requestId -> listener.completed(requestId, rejection, null));
     }
 }
--- a/src/main/java/quartzspan/replication/MembershipReview.java
+++ b/src/main/java/quartzspan/replication/ReconfigurationPolicy.java
@@ -10,11 +10,11 @@
  * Judges, for a primary, whether its membership has to change: data replicas that are silent, slow or about to end are
  * replaced, and so are voters that are gone.
  */
-final class MembershipReview {
+final class ReconfigurationPolicy {
     private final ReplicaContext context;
     private final PeerLiveness peers;
 
-    MembershipReview(ReplicaContext context, PeerLiveness peers) {
+    ReconfigurationPolicy(ReplicaContext context, PeerLiveness peers) {
         this.context = context;
         this.peers = peers;
     }
@@ -24,27 +24,27 @@
      *
      * @param slow data replicas that are late with the change in flight
      */
-    Optional<ElectionPlan> neededElection(Membership membership, Set<String> slow) {
-        long now = context.now();
-        Set<String> failing = failingReplicas(now, membership, slow);
-        List<String> voters = wantedVoters(now, membership);
-        long healthy = healthyOthers(now, membership, failing);
-        int wanted = MembershipPlanner.wantedDataReplicas(membership.voters(), context.losses());
-        boolean canReplace = !failing.isEmpty() && healthy >= context.losses();
-        boolean canAdd = membership.dataReplicas().size() < wanted && healthy >= wanted - 1;
+    Optional<ElectionPlan> requiredElection(Membership membership, Set<String> slow) {
+        long nowMs = context.nowMs();
+        Set<String> failing = failingReplicas(nowMs, membership, slow);
+        List<String> voters = targetVoters(nowMs, membership);
+        long healthy = countHealthyPeers(nowMs, membership, failing);
+        int targetCount = MembershipPlanner.targetDataReplicaCount(membership.voters(), context.toleratedFailures());
+        boolean canReplace = !failing.isEmpty() && healthy >= context.toleratedFailures();
+        boolean canAdd = membership.dataReplicas().size() < targetCount && healthy >= targetCount - 1;
         return canReplace || canAdd || voters != null ? Optional.of(election(voters, failing)) : Optional.empty();
     }
 
     /** An election that this primary starts itself: it avoids replicas that fail or are about to end. */
     ElectionPlan election(List<String> voters, Set<String> failing) {
-        return new ElectionPlan(voters, failing, true).avoiding(peers.leaving(context.now()));
+        return new ElectionPlan(voters, failing, true).avoiding(peers.leaving(context.nowMs()));
     }
 
-    private Set<String> failingReplicas(long now, Membership membership, Set<String> slow) {
-        Set<String> leaving = peers.leaving(now);
+    private Set<String> failingReplicas(long nowMs, Membership membership, Set<String> slow) {
+        Set<String> leaving = peers.leaving(nowMs);
         Set<String> failing = new TreeSet<>();
         for (String name : membership.dataReplicas()) {
-            boolean failed = slow.contains(name) || leaving.contains(name) || isSilent(now, name);
+            boolean failed = slow.contains(name) || leaving.contains(name) || isUnresponsive(nowMs, name);
             if (!name.equals(context.self()) && failed) {
                 failing.add(name);
             }
@@ -52,15 +52,15 @@
         return failing;
     }
 
-    private boolean isSilent(long now, String name) {
-        return peers.sinceHeardMs(now, name) > Timing.BACKUP_TIMEOUT_MS;
+    private boolean isUnresponsive(long nowMs, String name) {
+        return peers.sinceLastContactMs(nowMs, name) > Timing.BACKUP_TIMEOUT_MS;
     }
 
-    private long healthyOthers(long now, Membership membership, Set<String> failing) {
-        Set<String> leaving = peers.leaving(now);
+    private long countHealthyPeers(long nowMs, Membership membership, Set<String> failing) {
+        Set<String> leaving = peers.leaving(nowMs);
         return membership.voters().stream()
                 .filter(name -> !name.equals(context.self()))
-                .filter(name -> !isSilent(now, name))
+                .filter(name -> !isUnresponsive(nowMs, name))
                 .filter(name -> !failing.contains(name) && !leaving.contains(name))
                 .count();
     }
@@ -70,18 +70,18 @@
      *
      * <p>One standby is taken in beside all others, as voter and data replica, so that whoever ends next is not missed.
      */
-    private List<String> wantedVoters(long now, Membership membership) {
+    private List<String> targetVoters(long nowMs, Membership membership) {
         if (membership.isJoint()) {
             return null;
         }
-        List<String> standbys = peers.standbys(now, membership);
+        List<String> standbys = peers.standbys(nowMs, membership);
         List<String> voters = new ArrayList<>(membership.voters());
-        String replaced = voterToReplace(now, membership);
+        String replaced = voterToReplace(nowMs, membership);
         if (replaced != null && !standbys.isEmpty()) {
             voters.set(voters.indexOf(replaced), standbys.get(0));
-        } else if (replaced != null && voters.size() > neededVoters()) {
+        } else if (replaced != null && voters.size() > minVoterCount()) {
             voters.remove(replaced);
-        } else if (replaced == null && !standbys.isEmpty() && mayAdd(now, membership, standbys.get(0))) {
+        } else if (replaced == null && !standbys.isEmpty() && mayAddVoter(nowMs, membership, standbys.get(0))) {
             voters.add(standbys.get(0));
         } else {
             return null;
@@ -89,46 +89,47 @@
         return voters;
     }
 
-    private int neededVoters() {
-        return MembershipPlanner.neededVoters(context.losses());
+    private int minVoterCount() {
+        return MembershipPlanner.minVoterCount(context.toleratedFailures());
     }
 
     /**
      * Whether a standby may be taken in beside all voters: where there are too few, or as the spare one. Beside a voter that
      * is silent it would make a set in which that one is missed twice.
      */
-    private boolean mayAdd(long now, Membership membership, String standby) {
-        if (membership.voters().size() < neededVoters()) {
+    private boolean mayAddVoter(long nowMs, Membership membership, String standby) {
+        if (membership.voters().size() < minVoterCount()) {
             return true;
         }
-        boolean allHeard = membership.voters().stream().noneMatch(name -> isSilent(now, name));
-        return membership.voters().size() == neededVoters()
-                && allHeard
-                && peers.standbyForMs(now, standby) >= Timing.STANDBY_PROMOTION_DELAY_MS;
+        boolean allResponsive = membership.voters().stream().noneMatch(name -> isUnresponsive(nowMs, name));
+        return membership.voters().size() == minVoterCount()
+                && allResponsive
+                && peers.standbyDurationMs(nowMs, standby) >= Timing.STANDBY_PROMOTION_DELAY_MS;
     }
 
     /** Whether the membership can do without a voter that ends. */
     boolean hasSpareVoter(Membership membership) {
-        return !peers.standbys(context.now(), membership).isEmpty()
-                || membership.voters().size() > neededVoters();
+        return !peers.standbys(context.nowMs(), membership).isEmpty()
+                || membership.voters().size() > minVoterCount();
     }
 
     /** The voter that has been silent for longest, or else one that is about to end; null if there is none. */
-    private String voterToReplace(long now, Membership membership) {
-        boolean hasSpare = membership.voters().size() > neededVoters();
+    private String voterToReplace(long nowMs, Membership membership) {
+        boolean hasSpare = membership.voters().size() > minVoterCount();
         long timeoutMs = hasSpare ? Timing.SPARE_VOTER_TIMEOUT_MS : Timing.VOTER_TIMEOUT_MS;
-        String longestSilent = null;
+        String longestUnresponsive = null;
         for (String name : membership.voters()) {
-            long elapsedMs = peers.sinceHeardMs(now, name);
-            boolean longer = longestSilent == null || elapsedMs > peers.sinceHeardMs(now, longestSilent);
-            if (elapsedMs > timeoutMs && longer) {
-                longestSilent = name;
+            long sinceContactMs = peers.sinceLastContactMs(nowMs, name);
+            boolean isLonger = longestUnresponsive == null
+                    || sinceContactMs > peers.sinceLastContactMs(nowMs, longestUnresponsive);
+            if (sinceContactMs > timeoutMs && isLonger) {
+                longestUnresponsive = name;
             }
         }
-        if (longestSilent != null) {
-            return longestSilent;
+        if (longestUnresponsive != null) {
+            return longestUnresponsive;
         }
-        Set<String> leaving = peers.leaving(now);
+        Set<String> leaving = peers.leaving(nowMs);
         return membership.voters().stream()
                 .filter(leaving::contains)
                 .findFirst()
@@ -137,11 +138,11 @@
 
     /** The backup that can take over at once; null if there is none. */
     String successor(Membership membership) {
-        long now = context.now();
-        Set<String> leaving = peers.leaving(now);
+        long nowMs = context.nowMs();
+        Set<String> leaving = peers.leaving(nowMs);
         return membership.dataReplicas().stream()
                 .filter(name -> !name.equals(context.self()) && !leaving.contains(name))
-                .filter(name -> !isSilent(now, name))
+                .filter(name -> !isUnresponsive(nowMs, name))
                 .findFirst()
                 .orElse(null);
     }
--- a/src/main/java/quartzspan/replication/RecoveryResponder.java
+++ b/src/main/java/quartzspan/replication/RecoveryResponder.java
@@ -22,7 +22,7 @@
             return;
         }
         if (!request.recovering()) {
-            peers.onStandby(context.now(), from);
+            peers.onStandby(context.nowMs(), from);
             context.send(
                     from,
                     replies.reply(Kind.RECOVERY_REPLY, Epoch.NONE, true).withMembership(voter.durableMembership()));
@@ -30,7 +30,7 @@
         }
         DiskIncarnation claimed = new DiskIncarnation(request.generation(), request.nonce());
         boolean recorded = voter.recordIncarnation(from, claimed);
-        voter.persist(context.now(), durable -> {
+        voter.persist(context.nowMs(), durable -> {
             if (durable) {
                 context.send(
                         from,
--- a/src/main/java/quartzspan/replication/Replica.java
+++ b/src/main/java/quartzspan/replication/Replica.java
@@ -31,10 +31,10 @@
         void send(String to, ReplicaMessage message);
 
         /** Makes a record durable, in the order of the calls; {@link Replica#onPersisted} reports each. */
-        void persist(long number, byte[] record);
+        void persist(long recordNumber, byte[] record);
 
         /** The answer to {@link Replica#submit} or {@link Replica#read}; the refusal is null if it is granted. */
-        void completed(long requestId, FleetException refusal, ControlState state);
+        void completed(long requestId, FleetException rejection, ControlState state);
 
         /**
          * A state is committed; only a primary says so. Committed indexes only rise, and each identifies one state: they form
@@ -49,50 +49,50 @@
     private final VoterState voter;
     private final ReplicaLog log;
     private final PeerLiveness peers;
-    private final List<String> seeds;
+    private final List<String> seedNodes;
     private final FollowerState follower;
     private final RecoveryResponder recoveryResponder;
-    private final MembershipRequests requests;
+    private final MembershipRequests membershipRequests;
     private DiskLossRecovery recovery;
     private PrimaryState primary;
-    private long nextElectionAtMs;
-    private long nextRequestAtMs;
+    private long earliestElectionAtMs;
+    private long nextMembershipRequestAtMs;
     private boolean handingOver;
 
     /**
      * Starts a replica.
      *
      * @param self own name, as other replicas send to it
-     * @param seeds names of the replicas that found the system, the same everywhere; later only whom to ask first
-     * @param losses number of replicas that may be lost at once
-     * @param found whether to found the system if the disk is empty
+     * @param seedNodes names of the replicas that found the system, the same everywhere; later only whom to ask first
+     * @param toleratedFailures number of replicas that may be lost at once
+     * @param bootstrap whether to found the system if the disk is empty
      * @param records the records found on disk, oldest first; empty for none
-     * @param seed seed of the replica's random numbers
-     * @param now the present time
+     * @param randomSeed seed of the replica's random numbers
+     * @param nowMs the present time
      */
     public Replica(
             String self,
-            List<String> seeds,
-            int losses,
-            boolean found,
+            List<String> seedNodes,
+            int toleratedFailures,
+            boolean bootstrap,
             List<byte[]> records,
-            long seed,
-            long now,
+            long randomSeed,
+            long nowMs,
             Output output) {
         this.output = output;
-        this.seeds = seeds.stream().distinct().toList();
-        this.context = new ReplicaContext(self, losses, seed, now, output);
+        this.seedNodes = seedNodes.stream().distinct().toList();
+        this.context = new ReplicaContext(self, toleratedFailures, randomSeed, nowMs, output);
         this.disk = new DiskQueue(output);
         this.voter = new VoterState(disk);
         this.log = new ReplicaLog(disk);
-        this.peers = new PeerLiveness(self, now);
+        this.peers = new PeerLiveness(self, nowMs);
         ReplyFactory replies = new ReplyFactory(voter, log);
         this.follower = new FollowerState(context, voter, log, peers, replies, new FollowerTransitions());
         this.recoveryResponder = new RecoveryResponder(context, voter, peers, replies);
-        this.requests = new MembershipRequests(context, voter, this.seeds);
-        boolean damaged = !restore(records);
-        if (damaged || voter.membership().epoch().equals(Epoch.NONE)) {
-            begin(found && !damaged);
+        this.membershipRequests = new MembershipRequests(context, voter, this.seedNodes);
+        boolean storeDamaged = !restore(records);
+        if (storeDamaged || voter.membership().epoch().equals(Epoch.NONE)) {
+            initialize(bootstrap && !storeDamaged);
         }
         becomeFollower();
     }
@@ -108,7 +108,7 @@
                 }
             }
             return true;
-        } catch (RuntimeException unreadable) {
+        } catch (RuntimeException malformedRecord) {
             // Whatever a parser throws at damaged bytes: none of the records can be used then.
             voter.clear();
             log.clear();
@@ -117,19 +117,20 @@
     }
 
     /** The founding membership is a function of the settings alone: whoever founds, and however often, founds the same. */
-    private void begin(boolean found) {
-        List<String> founders = seeds.stream().sorted().toList();
-        if (!found || !founders.contains(context.self())) {
+    private void initialize(boolean bootstrap) {
+        List<String> initialVoters = seedNodes.stream().sorted().toList();
+        if (!bootstrap || !initialVoters.contains(context.self())) {
             beginRecovery();
             return;
         }
-        List<String> dataReplicas = founders.subList(0, Math.min(context.losses() + 1, founders.size()));
-        voter.promise(Epoch.FOUNDING);
-        voter.learn(new Membership(Epoch.FOUNDING, founders.get(0), dataReplicas, founders, List.of()));
+        List<String> dataReplicas =
+                initialVoters.subList(0, Math.min(context.toleratedFailures() + 1, initialVoters.size()));
+        voter.promise(Epoch.INITIAL);
+        voter.adoptIfNewer(new Membership(Epoch.INITIAL, initialVoters.get(0), dataReplicas, initialVoters, List.of()));
         if (dataReplicas.contains(context.self())) {
-            log.found(context.now(), durable -> {});
+            log.initialize(context.nowMs(), durable -> {});
         }
-        voter.persist(context.now(), durable -> {});
+        voter.persist(context.nowMs(), durable -> {});
     }
 
     private void beginRecovery() {
@@ -183,14 +184,14 @@
     }
 
     /** The primary, as far as heard of late; null if unknown. */
-    public String knownPrimary(long now) {
+    public String knownPrimary(long nowMs) {
         if (isPrimary()) {
             return context.self();
         }
-        context.advance(now);
-        String named = membership().primary();
-        boolean heard = follower.isPrimaryHeardWithin(Timing.QUORUM_TIMEOUT_MS);
-        return heard && !named.isEmpty() && !named.equals(context.self()) ? named : null;
+        context.advance(nowMs);
+        String primaryName = membership().primary();
+        boolean hasPrimaryContact = follower.hasPrimaryContactWithin(Timing.QUORUM_TIMEOUT_MS);
+        return hasPrimaryContact && !primaryName.isEmpty() && !primaryName.equals(context.self()) ? primaryName : null;
     }
 
     /** The latest time at which this primary's state was surely the newest; far in the past if it is not primary. */
@@ -214,8 +215,8 @@
     // ---- requests ------------------------------------------------------------------------------------
 
     /** Asks for a change of the control state; {@link Output#completed} answers. */
-    public void submit(long now, long requestId, Change change) {
-        context.advance(now);
+    public void submit(long nowMs, long requestId, Change change) {
+        context.advance(nowMs);
         if (isPrimary()) {
             primary.submit(requestId, change);
         } else {
@@ -224,8 +225,8 @@
     }
 
     /** Asks for the newest state; {@link Output#completed} answers once a quorum has confirmed that it is the newest. */
-    public void read(long now, long requestId) {
-        context.advance(now);
+    public void read(long nowMs, long requestId) {
+        context.advance(nowMs);
         if (isPrimary()) {
             primary.read(requestId);
         } else {
@@ -241,16 +242,16 @@
     }
 
     /** Begins to hand over what others need of this replica: the lead, its data, and its vote where a standby can take it. */
-    public void beginHandover(long now) {
-        context.advance(now);
+    public void beginHandover(long nowMs) {
+        context.advance(nowMs);
         handingOver = true;
-        nextRequestAtMs = now;
-        onTick(now);
+        nextMembershipRequestAtMs = nowMs;
+        onTick(nowMs);
     }
 
     /** Whether nothing is lost when a replica that hands over ends now. */
-    public boolean isHandoverComplete(long now) {
-        context.advance(now);
+    public boolean isHandoverComplete(long nowMs) {
+        context.advance(nowMs);
         if (voter.isRecovering()) {
             // It vouches for nothing, so nobody counts on it.
             return handingOver;
@@ -258,39 +259,39 @@
         if (!handingOver || isPrimary() || !follower.isMembershipActive()) {
             return false;
         }
-        boolean heard = follower.isPrimaryHeardWithin(Timing.QUORUM_TIMEOUT_MS);
-        boolean needed = holdsData() || follower.isReplaceable();
-        return !isVoter() || heard && !needed;
+        boolean hasPrimaryContact = follower.hasPrimaryContactWithin(Timing.QUORUM_TIMEOUT_MS);
+        boolean voteOrDataNeeded = holdsData() || follower.isReplaceable();
+        return !isVoter() || hasPrimaryContact && !voteOrDataNeeded;
     }
 
     // ---- time ----------------------------------------------------------------------------------------
 
     /** To be called every 50 ms or so. */
-    public void onTick(long now) {
-        context.advance(now);
-        if (now >= nextRequestAtMs) {
-            nextRequestAtMs = now + Timing.RETRY_MS;
+    public void onTick(long nowMs) {
+        context.advance(nowMs);
+        if (nowMs >= nextMembershipRequestAtMs) {
+            nextMembershipRequestAtMs = nowMs + Timing.RETRY_MS;
             requestMembershipChange();
         }
         if (voter.isRecovering()) {
             return;
         }
-        if (disk.waitingFor(now) > Timing.DISK_TIMEOUT_MS && context.candidate() != null) {
+        if (disk.oldestWriteAgeMs(nowMs) > Timing.DISK_TIMEOUT_MS && context.candidate() != null) {
             pauseElections();
         }
         if (primary != null) {
             primary.onTick();
         } else if (context.candidate() != null) {
             context.candidate().onTick();
-        } else if (mayStartElection(now)) {
-            startElection(ElectionPlan.TAKE_OVER).startWithPreVote();
+        } else if (mayStartElection(nowMs)) {
+            startElection(ElectionPlan.FAILOVER).startWithPreVote();
         }
     }
 
-    private boolean mayStartElection(long now) {
+    private boolean mayStartElection(long nowMs) {
         return !handingOver
-                && now >= nextElectionAtMs
-                && !follower.isPrimaryHeardWithin(Timing.ELECTION_TIMEOUT_MS)
+                && nowMs >= earliestElectionAtMs
+                && !follower.hasPrimaryContactWithin(Timing.ELECTION_TIMEOUT_MS)
                 && isVoter()
                 && disk.isIdle();
     }
@@ -298,17 +299,17 @@
     /** A replica that recovers or has no vote asks to be taken in; one that hands over asks to be released. */
     private void requestMembershipChange() {
         if (voter.isRecovering()) {
-            requests.requestRecovery(recovery);
+            membershipRequests.requestRecovery(recovery);
         } else if (handingOver && primary == null) {
-            requests.requestRelease();
+            membershipRequests.requestRemoval();
         } else if (handingOver) {
             String successor = primary.successor();
             if (successor != null) {
-                requests.requestElection(successor);
+                membershipRequests.requestElection(successor);
             }
         } else if (!isVoter()) {
             // Also one of the previous voters of a joint membership: nobody notifies it when that is committed.
-            requests.requestVote();
+            membershipRequests.requestJoin();
         }
     }
 
@@ -317,36 +318,37 @@
     /** Stops being primary or candidate. */
     private void becomeFollower() {
         long jitterMs = Timing.ELECTION_TIMEOUT_JITTER_MS / (holdsData() ? 2 : 1);
-        nextElectionAtMs = context.now() + context.randomBelow(jitterMs);
+        earliestElectionAtMs = context.nowMs() + context.randomBelow(jitterMs);
         context.setCandidate(null);
-        endPrimary();
+        stopPrimary();
     }
 
-    private void endPrimary() {
-        PrimaryState ended = primary;
+    private void stopPrimary() {
+        PrimaryState stopped = primary;
         primary = null;
-        if (ended != null) {
-            ended.end(notPrimary());
+        if (stopped != null) {
+            stopped.stop(notPrimary());
         }
     }
 
     /** The disk does not keep up, or refuses: another replica had better be primary. */
     private void pauseElections() {
         becomeFollower();
-        nextElectionAtMs = context.now() + Timing.ELECTION_PAUSE_MS;
+        earliestElectionAtMs = context.nowMs() + Timing.ELECTION_PAUSE_MS;
     }
 
     private CandidateState startElection(ElectionPlan plan) {
-        endPrimary();
-        ElectionPlan avoidingLeaving = plan.avoiding(peers.leaving(context.now()));
-        CandidateState candidate = new CandidateState(context, voter, log, avoidingLeaving, new ElectionOutcome());
+        stopPrimary();
+        ElectionPlan planAvoidingLeaving = plan.avoiding(peers.leaving(context.nowMs()));
+        CandidateState candidate =
+                new CandidateState(context, voter, log, planAvoidingLeaving, new CandidateListener());
         context.setCandidate(candidate);
         return candidate;
     }
 
     private void becomePrimary(Membership membership) {
         context.setCandidate(null);
-        primary = new PrimaryState(context, voter, log, peers, membership, new PrimaryDecisions());
+        primary = new PrimaryState(context, voter, log, peers, membership, new PrimaryListener());
         primary.begin();
     }
 
@@ -363,11 +365,11 @@
 
         @Override
         public boolean isConfirmedPrimary() {
-            return primary != null && context.now() - primary.unconfirmedSinceMs() < Timing.VOTE_STICKINESS_MS;
+            return primary != null && context.nowMs() - primary.unconfirmedSinceMs() < Timing.VOTE_STICKINESS_MS;
         }
     }
 
-    private final class ElectionOutcome implements CandidateState.Listener {
+    private final class CandidateListener implements CandidateState.Listener {
         @Override
         public void elected(Membership membership) {
             becomePrimary(membership);
@@ -379,12 +381,12 @@
         }
 
         @Override
-        public void diskRefused() {
+        public void diskFailed() {
             pauseElections();
         }
     }
 
-    private final class PrimaryDecisions implements PrimaryState.Listener {
+    private final class PrimaryListener implements PrimaryState.Listener {
         @Override
         public void changeMembership(ElectionPlan plan) {
             startElection(plan).startWithVote();
@@ -396,7 +398,7 @@
         }
 
         @Override
-        public void diskRefused() {
+        public void diskFailed() {
             pauseElections();
         }
 
@@ -406,17 +408,17 @@
         }
 
         @Override
-        public void completed(long requestId, FleetException refusal, ControlState state) {
-            output.completed(requestId, refusal, state);
+        public void completed(long requestId, FleetException rejection, ControlState state) {
+            output.completed(requestId, rejection, state);
         }
     }
 
     // ---- messages ------------------------------------------------------------------------------------
 
     /** A message came from another replica. */
-    public void onMessage(long now, String from, ReplicaMessage message) {
-        context.advance(now);
-        peers.onMessageFrom(now, from);
+    public void onMessage(long nowMs, String from, ReplicaMessage message) {
+        context.advance(nowMs);
+        peers.onMessageFrom(nowMs, from);
         switch (message.kind()) {
             case HEARTBEAT -> follower.onHeartbeat(from, message);
             case PRE_VOTE -> follower.onPreVote(from, message);
@@ -433,19 +435,19 @@
                 if (primary != null) {
                     primary.onReplicateReply(from, message);
                 } else {
-                    toCandidate(from, message);
+                    forwardToCandidate(from, message);
                 }
             }
-            case PRE_VOTE_REPLY, VOTE_REPLY, FETCH_REPLY, ACCEPT_REPLY -> toCandidate(from, message);
+            case PRE_VOTE_REPLY, VOTE_REPLY, FETCH_REPLY, ACCEPT_REPLY -> forwardToCandidate(from, message);
             case RECOVERY -> recoveryResponder.onRequest(from, message);
             case RECOVERY_REPLY -> onRecoveryReply(from, message);
-            case LEAVING -> peers.onLeaving(now, from);
+            case LEAVING -> peers.onLeaving(nowMs, from);
             case HANDOVER -> onHandover(from, message);
             default -> throw new IllegalStateException("unknown message " + message.kind());
         }
     }
 
-    private void toCandidate(String from, ReplicaMessage message) {
+    private void forwardToCandidate(String from, ReplicaMessage message) {
         if (context.candidate() != null) {
             context.candidate().onReply(from, message);
         }
@@ -454,7 +456,7 @@
     private void onRecoveryReply(String from, ReplicaMessage reply) {
         if (!voter.isRecovering()) {
             if (!isVoter()) {
-                voter.learn(reply.membership());
+                voter.adoptIfNewer(reply.membership());
             }
             return;
         }
@@ -464,7 +466,7 @@
         recovery = null;
         voter.setRecovering(false);
         follower.restartElectionTimeout();
-        voter.persist(context.now(), durable -> {
+        voter.persist(context.nowMs(), durable -> {
             if (!durable) {
                 becomeFollower();
                 beginRecovery();
@@ -473,11 +475,11 @@
     }
 
     private void onHandover(String from, ReplicaMessage message) {
-        peers.onLeaving(context.now(), from);
-        boolean current = message.epoch().equals(membership().epoch())
+        peers.onLeaving(context.nowMs(), from);
+        boolean fromCurrentPrimary = message.epoch().equals(membership().epoch())
                 && membership().primary().equals(from);
-        boolean able = !voter.isRecovering() && !handingOver && disk.isIdle() && holdsData();
-        if (current && able && context.candidate() == null && primary == null) {
+        boolean canTakeOver = !voter.isRecovering() && !handingOver && disk.isIdle() && holdsData();
+        if (fromCurrentPrimary && canTakeOver && context.candidate() == null && primary == null) {
             startElection(ElectionPlan.HANDOVER).startWithVote();
         }
     }
@@ -485,8 +487,8 @@
     // ---- the disk ------------------------------------------------------------------------------------
 
     /** A record is durable, or was refused. Records are reported in their order. */
-    public void onPersisted(long now, long number, boolean durable) {
-        context.advance(now);
-        disk.onPersisted(now, number, durable);
+    public void onPersisted(long nowMs, long recordNumber, boolean durable) {
+        context.advance(nowMs);
+        disk.onPersisted(nowMs, recordNumber, durable);
     }
 }
--- a/src/main/java/quartzspan/replication/ReplicaContext.java
+++ b/src/main/java/quartzspan/replication/ReplicaContext.java
@@ -5,17 +5,17 @@
 /** What the role objects of a replica share: its name, the time of the current event, random numbers, and the output. */
 final class ReplicaContext {
     private final String self;
-    private final int losses;
+    private final int toleratedFailures;
     private final SplittableRandom random;
     private final Replica.Output output;
-    private long now;
+    private long nowMs;
     private CandidateState candidate;
 
-    ReplicaContext(String self, int losses, long seed, long now, Replica.Output output) {
+    ReplicaContext(String self, int toleratedFailures, long randomSeed, long nowMs, Replica.Output output) {
         this.self = self;
-        this.losses = losses;
-        this.random = new SplittableRandom(seed);
-        this.now = now;
+        this.toleratedFailures = toleratedFailures;
+        this.random = new SplittableRandom(randomSeed);
+        this.nowMs = nowMs;
         this.output = output;
     }
 
@@ -24,16 +24,16 @@
     }
 
     /** How many replicas may be lost at once. */
-    int losses() {
-        return losses;
+    int toleratedFailures() {
+        return toleratedFailures;
     }
 
-    long now() {
-        return now;
+    long nowMs() {
+        return nowMs;
     }
 
-    void advance(long to) {
-        now = to;
+    void advance(long toMs) {
+        nowMs = toMs;
     }
 
     long randomLong() {
--- a/src/main/java/quartzspan/replication/ReplicaLog.java
+++ b/src/main/java/quartzspan/replication/ReplicaLog.java
@@ -67,8 +67,8 @@
     }
 
     /** The update by one entry from the end of the log. */
-    StateUpdate nextEntry(Epoch under, Change change) {
-        return StateUpdate.ofEntries(epoch, index, List.of(new Entry(index + 1, under, change)));
+    StateUpdate nextEntry(Epoch entryEpoch, Change change) {
+        return StateUpdate.ofEntries(epoch, index, List.of(new Entry(index + 1, entryEpoch, change)));
     }
 
     /** Whether an update can be applied at the end of the log. */
@@ -89,31 +89,31 @@
     }
 
     /** Makes an update durable; the log changes when it is. */
-    void append(long now, StateUpdate update, ControlState result, DiskQueue.Completion completion) {
+    void append(long nowMs, StateUpdate update, ControlState result, DiskQueue.Completion completion) {
         if (appending || !isApplicable(update)) {
             throw new IllegalStateException("an update that does not follow " + epoch.text() + " at " + index);
         }
         appending = true;
-        StateUpdate stored = toStore(update, result);
-        byte[] record = record(stored);
-        disk.write(now, record, durable -> {
+        StateUpdate stored = toStoredUpdate(update, result);
+        byte[] record = encodeRecord(stored);
+        disk.write(nowMs, record, durable -> {
             appending = false;
             if (durable) {
-                install(update, result);
-                count(stored, record.length);
+                apply(update, result);
+                trackStoredSize(stored, record.length);
             }
             completion.done(durable);
         });
     }
 
-    private StateUpdate toStore(StateUpdate update, ControlState result) {
+    private StateUpdate toStoredUpdate(StateUpdate update, ControlState result) {
         boolean outgrown = entriesBytes > Math.max(MIN_ENTRIES_BYTES, snapshotBytes) || entryCount > MAX_ENTRIES;
         return !update.isSnapshot() && (outgrown || index < 0)
                 ? StateUpdate.ofSnapshot(update.epoch(), update.index(), result)
                 : update;
     }
 
-    private static byte[] record(StateUpdate update) {
+    private static byte[] encodeRecord(StateUpdate update) {
         byte[] body = update.bytes();
         byte[] record = new byte[1 + body.length];
         record[0] = update.isSnapshot() ? SNAPSHOT_RECORD : ENTRIES_RECORD;
@@ -121,7 +121,7 @@
         return record;
     }
 
-    private void count(StateUpdate stored, int bytes) {
+    private void trackStoredSize(StateUpdate stored, int bytes) {
         if (stored.isSnapshot()) {
             snapshotBytes = bytes;
             entriesBytes = 0;
@@ -132,7 +132,7 @@
         }
     }
 
-    private void install(StateUpdate update, ControlState result) {
+    private void apply(StateUpdate update, ControlState result) {
         epoch = update.epoch();
         index = update.index();
         state = result;
@@ -144,12 +144,12 @@
     }
 
     /** The founding state: the same for every founder. */
-    void found(long now, DiskQueue.Completion completion) {
-        StateUpdate founding = StateUpdate.ofSnapshot(Epoch.FOUNDING, 0, ControlState.EMPTY);
-        install(founding, ControlState.EMPTY);
-        byte[] record = record(founding);
-        count(founding, record.length);
-        disk.write(now, record, completion);
+    void initialize(long nowMs, DiskQueue.Completion completion) {
+        StateUpdate initial = StateUpdate.ofSnapshot(Epoch.INITIAL, 0, ControlState.EMPTY);
+        apply(initial, ControlState.EMPTY);
+        byte[] record = encodeRecord(initial);
+        trackStoredSize(initial, record.length);
+        disk.write(nowMs, record, completion);
     }
 
     /** Forgets everything. */
@@ -166,13 +166,13 @@
         System.arraycopy(record, 1, body, 0, body.length);
         StateUpdate update = StateUpdate.parse(body);
         if (!isApplicable(update)) {
-            throw damaged();
+            throw damagedRecord();
         }
-        install(update, stateAfter(update));
-        count(update, record.length);
+        apply(update, stateAfter(update));
+        trackStoredSize(update, record.length);
     }
 
-    static FleetException damaged() {
+    static FleetException damagedRecord() {
         return new FleetException(
                 FleetException.Code.STORE_DAMAGED,
                 "a record of the control state can't be read",
--- a/src/main/java/quartzspan/replication/ReplicaMessage.java
+++ b/src/main/java/quartzspan/replication/ReplicaMessage.java
@@ -16,7 +16,7 @@
  * @param generation how often the sender's disk was lost; in a {@link Kind#REPLICATE} message the generation of the disk that
  *     it is meant for
  * @param generations how often the disks of other replicas were lost, as far as the sender knows, by name
- * @param sinceHeardMs time since the sender last heard from other replicas, milliseconds by name
+ * @param sinceLastContactMs time since the sender last heard from other replicas, milliseconds by name
  * @param membership a membership to learn, or to accept
  * @param body the bytes of a {@link StateUpdate}; empty for none
  */
@@ -31,7 +31,7 @@
         boolean recovering,
         long generation,
         Map<String, Long> generations,
-        Map<String, Long> sinceHeardMs,
+        Map<String, Long> sinceLastContactMs,
         Membership membership,
         byte[] body) {
 
@@ -146,9 +146,9 @@
         return copy.build();
     }
 
-    ReplicaMessage withSinceHeardMs(Map<String, Long> value) {
+    ReplicaMessage withSinceLastContactMs(Map<String, Long> value) {
         Builder copy = new Builder(this);
-        copy.sinceHeardMs = new TreeMap<>(value);
+        copy.sinceLastContactMs = new TreeMap<>(value);
         return copy.build();
     }
 
@@ -164,7 +164,7 @@
         private boolean recovering;
         private long generation;
         private Map<String, Long> generations;
-        private Map<String, Long> sinceHeardMs;
+        private Map<String, Long> sinceLastContactMs;
         private Membership membership;
         private byte[] body;
 
@@ -179,7 +179,7 @@
             recovering = from.recovering;
             generation = from.generation;
             generations = from.generations;
-            sinceHeardMs = from.sinceHeardMs;
+            sinceLastContactMs = from.sinceLastContactMs;
             membership = from.membership;
             body = from.body;
         }
@@ -196,7 +196,7 @@
                     recovering,
                     generation,
                     generations,
-                    sinceHeardMs,
+                    sinceLastContactMs,
                     membership,
                     body);
         }
--- a/src/main/java/quartzspan/replication/ReplicaStore.java
+++ b/src/main/java/quartzspan/replication/ReplicaStore.java
@@ -17,10 +17,10 @@
     private static final int MAX_APPENDED_BYTES = 256 * 1024;
 
     private final SlotStore store;
-    private byte[] vote = {};
-    private byte[] snapshot = {};
-    private final List<byte[]> entries = new ArrayList<>();
-    private boolean begun;
+    private byte[] voterRecord = {};
+    private byte[] snapshotRecord = {};
+    private final List<byte[]> entryRecords = new ArrayList<>();
+    private boolean hasCheckpoint;
     private boolean discarded;
 
     public ReplicaStore(SlotStore store) {
@@ -30,18 +30,18 @@
     /** The records to begin with, oldest first. */
     public List<byte[]> open() {
         List<byte[]> all = new ArrayList<>();
-        SlotStore.Contents found = store.open();
-        begun = found.state() != null;
-        if (begun) {
-            all.addAll(split(found.state()));
+        SlotStore.Contents contents = store.open();
+        hasCheckpoint = contents.state() != null;
+        if (hasCheckpoint) {
+            all.addAll(parseCheckpoint(contents.state()));
         }
-        all.addAll(found.records());
+        all.addAll(contents.records());
         all.removeIf(record -> record.length == 0);
-        all.forEach(this::note);
+        all.forEach(this::track);
         return all;
     }
 
-    private static List<byte[]> split(byte[] state) {
+    private static List<byte[]> parseCheckpoint(byte[] state) {
         List<byte[]> records = new ArrayList<>();
         ByteBuffer in = ByteBuffer.wrap(state);
         while (in.remaining() >= Integer.BYTES) {
@@ -55,10 +55,10 @@
     /** Gives up what can't be read. */
     public void discard() {
         store.discard();
-        vote = new byte[0];
-        snapshot = new byte[0];
-        entries.clear();
-        begun = false;
+        voterRecord = new byte[0];
+        snapshotRecord = new byte[0];
+        entryRecords.clear();
+        hasCheckpoint = false;
         discarded = true;
     }
 
@@ -67,14 +67,14 @@
         return discarded;
     }
 
-    private void note(byte[] record) {
+    private void track(byte[] record) {
         switch (record[0]) {
-            case VoterState.RECORD_TAG -> vote = record;
+            case VoterState.RECORD_TAG -> voterRecord = record;
             case ReplicaLog.SNAPSHOT_RECORD -> {
-                snapshot = record;
-                entries.clear();
+                snapshotRecord = record;
+                entryRecords.clear();
             }
-            default -> entries.add(record);
+            default -> entryRecords.add(record);
         }
     }
 
@@ -83,35 +83,35 @@
      *
      * @return whether the disk took it
      */
-    public boolean keep(byte[] record) {
-        byte[] voteBefore = vote;
-        byte[] snapshotBefore = snapshot;
-        List<byte[]> entriesBefore = List.copyOf(entries);
-        note(record);
+    public boolean persist(byte[] record) {
+        byte[] previousVoterRecord = voterRecord;
+        byte[] previousSnapshotRecord = snapshotRecord;
+        List<byte[]> previousEntryRecords = List.copyOf(entryRecords);
+        track(record);
         try {
             write(record);
             return true;
-        } catch (FleetException refused) {
-            vote = voteBefore;
-            snapshot = snapshotBefore;
-            entries.clear();
-            entries.addAll(entriesBefore);
+        } catch (FleetException writeFailure) {
+            voterRecord = previousVoterRecord;
+            snapshotRecord = previousSnapshotRecord;
+            entryRecords.clear();
+            entryRecords.addAll(previousEntryRecords);
             return false;
         }
     }
 
     private void write(byte[] record) {
-        if (begun && store.logBytes() < MAX_LOG_BYTES && record.length <= MAX_APPENDED_BYTES) {
+        if (hasCheckpoint && store.logBytes() < MAX_LOG_BYTES && record.length <= MAX_APPENDED_BYTES) {
             store.append(record);
         } else {
-            store.checkpoint(join());
-            begun = true;
+            store.checkpoint(encodeCheckpoint());
+            hasCheckpoint = true;
         }
     }
 
-    private byte[] join() {
-        List<byte[]> all = new ArrayList<>(List.of(vote, snapshot));
-        all.addAll(entries);
+    private byte[] encodeCheckpoint() {
+        List<byte[]> all = new ArrayList<>(List.of(voterRecord, snapshotRecord));
+        all.addAll(entryRecords);
         int size =
                 all.stream().mapToInt(record -> Integer.BYTES + record.length).sum();
         ByteBuffer out = ByteBuffer.allocate(size);
--- a/src/main/java/quartzspan/replication/ReplyFactory.java
+++ b/src/main/java/quartzspan/replication/ReplyFactory.java
@@ -23,7 +23,7 @@
     }
 
     /** A refusal, with the promise that it is made for. */
-    ReplicaMessage refusal(Kind kind, Epoch epoch) {
+    ReplicaMessage rejection(Kind kind, Epoch epoch) {
         return reply(kind, epoch, false).withPromisedEpoch(voter.promisedEpoch(), voter.isRecovering());
     }
 }
--- a/src/main/java/quartzspan/replication/StateUpdate.java
+++ b/src/main/java/quartzspan/replication/StateUpdate.java
@@ -19,10 +19,10 @@
  */
 public record StateUpdate(
         Epoch epoch, long index, byte[] snapshot, Epoch baseEpoch, long baseIndex, List<Entry> entries) {
-    private static final byte SNAPSHOT = 'S';
-    private static final byte ENTRIES = 'D';
-    private static final byte NO_CHANGE = 0;
-    private static final byte CHANGE = 1;
+    private static final byte SNAPSHOT_TAG = 'S';
+    private static final byte ENTRIES_TAG = 'D';
+    private static final byte NO_CHANGE_TAG = 0;
+    private static final byte CHANGE_TAG = 1;
     private static final int MIN_ENTRY_BYTES = 8 + 2 + 1;
 
     /** A complete state. */
@@ -49,7 +49,7 @@
                 ? snapshot.length
                 : entries.stream().mapToInt(StateUpdate::size).sum();
         ByteBuffer out = ByteBuffer.allocate(size);
-        out.put(isSnapshot() ? SNAPSHOT : ENTRIES);
+        out.put(isSnapshot() ? SNAPSHOT_TAG : ENTRIES_TAG);
         putText(out, epochText);
         out.putLong(index);
         putText(out, baseText);
@@ -73,9 +73,9 @@
         out.putLong(entry.index());
         putText(out, utf8(entry.epoch()));
         if (entry.change() == null) {
-            out.put(NO_CHANGE);
+            out.put(NO_CHANGE_TAG);
         } else {
-            out.put(CHANGE);
+            out.put(CHANGE_TAG);
             entry.change().writeTo(out);
         }
     }
@@ -102,17 +102,17 @@
             Epoch baseEpoch = readEpoch(in);
             long baseIndex = in.getLong();
             int length = in.getInt();
-            if (tag == SNAPSHOT && length >= 0 && length <= in.remaining()) {
+            if (tag == SNAPSHOT_TAG && length >= 0 && length <= in.remaining()) {
                 byte[] snapshot = new byte[length];
                 in.get(snapshot);
                 return new StateUpdate(epoch, index, snapshot, baseEpoch, baseIndex, List.of());
             }
-            if (tag != ENTRIES || length <= 0 || length > in.remaining() / MIN_ENTRY_BYTES) {
-                throw unreadable();
+            if (tag != ENTRIES_TAG || length <= 0 || length > in.remaining() / MIN_ENTRY_BYTES) {
+                throw malformed();
             }
             return new StateUpdate(epoch, index, null, baseEpoch, baseIndex, readEntries(in, baseIndex, length));
         } catch (BufferUnderflowException e) {
-            throw unreadable();
+            throw malformed();
         }
     }
 
@@ -121,10 +121,10 @@
         for (int i = 0; i < count; i++) {
             long index = in.getLong();
             if (index != baseIndex + 1 + i) {
-                throw unreadable();
+                throw malformed();
             }
             Epoch epoch = readEpoch(in);
-            entries.add(new Entry(index, epoch, in.get() == NO_CHANGE ? null : Change.readFrom(in)));
+            entries.add(new Entry(index, epoch, in.get() == NO_CHANGE_TAG ? null : Change.readFrom(in)));
         }
         return entries;
     }
@@ -132,18 +132,18 @@
     private static Epoch readEpoch(ByteBuffer in) {
         int length = in.getShort();
         if (length < 0 || length > in.remaining()) {
-            throw unreadable();
+            throw malformed();
         }
         byte[] text = new byte[length];
         in.get(text);
         Epoch epoch = Epoch.parse(new String(text, StandardCharsets.UTF_8));
         if (epoch == null) {
-            throw unreadable();
+            throw malformed();
         }
         return epoch;
     }
 
-    private static FleetException unreadable() {
+    private static FleetException malformed() {
         return new FleetException(
                 FleetException.Code.MESSAGE_INVALID, "a state update can't be read", "run the same version everywhere");
     }
--- a/src/main/java/quartzspan/replication/VoterState.java
+++ b/src/main/java/quartzspan/replication/VoterState.java
@@ -15,7 +15,7 @@
     /** The tag of the record on disk. */
     static final byte RECORD_TAG = 'V';
 
-    private static final String LINE = "\n";
+    private static final String LINE_SEPARATOR = "\n";
     private static final int FIELDS = 5;
 
     /**
@@ -83,8 +83,8 @@
         return recovering;
     }
 
-    void beginIncarnation(DiskIncarnation begun) {
-        diskIncarnation = begun;
+    void beginIncarnation(DiskIncarnation incarnation) {
+        diskIncarnation = incarnation;
     }
 
     void setRecovering(boolean value) {
@@ -97,7 +97,7 @@
     }
 
     /** Learns a membership if it is newer than the one known. */
-    void learn(Membership newer) {
+    void adoptIfNewer(Membership newer) {
         if (newer.supersedes(membership)) {
             membership = newer;
         }
@@ -125,10 +125,10 @@
     }
 
     /** Writes all of this to the disk. */
-    void persist(long now, DiskQueue.Completion completion) {
+    void persist(long nowMs, DiskQueue.Completion completion) {
         Epoch promise = promisedEpoch;
         Membership known = membership;
-        disk.write(now, record(), durable -> {
+        disk.write(nowMs, encodeRecord(), durable -> {
             if (durable) {
                 durablePromisedEpoch = promise;
                 durableMembership = known;
@@ -137,14 +137,14 @@
         });
     }
 
-    private byte[] record() {
+    private byte[] encodeRecord() {
         StringBuilder all = new StringBuilder();
         peerIncarnations.forEach((name, known) -> all.append(all.length() == 0 ? "" : ",")
                 .append(name)
                 .append('=')
                 .append(known.text()));
         String tag = String.valueOf((char) RECORD_TAG);
-        return String.join(LINE, tag, promisedEpoch.text(), membership.text(), diskIncarnation.text(), all)
+        return String.join(LINE_SEPARATOR, tag, promisedEpoch.text(), membership.text(), diskIncarnation.text(), all)
                 .getBytes(StandardCharsets.UTF_8);
     }
 
@@ -160,14 +160,14 @@
 
     /** Reads a record of {@link #persist} at a start. */
     void restore(byte[] record) {
-        String[] fields = new String(record, StandardCharsets.UTF_8).split(LINE, -1);
+        String[] fields = new String(record, StandardCharsets.UTF_8).split(LINE_SEPARATOR, -1);
         if (fields.length != FIELDS) {
-            throw ReplicaLog.damaged();
+            throw ReplicaLog.damagedRecord();
         }
         Epoch promise = Epoch.parse(fields[1]);
         Membership known = Membership.parse(fields[2]);
         if (promise == null || known == null) {
-            throw ReplicaLog.damaged();
+            throw ReplicaLog.damagedRecord();
         }
         promisedEpoch = promise;
         membership = known;
--- a/src/main/java/quartzspan/transport/MessageCodec.java
+++ b/src/main/java/quartzspan/transport/MessageCodec.java
@@ -126,7 +126,7 @@
                 .promisedEpoch(message.promisedEpoch().text())
                 .logEpoch(message.logEpoch().text())
                 .generations(text(message.generations()))
-                .sinceHeardMs(text(message.sinceHeardMs()))
+                .sinceHeardMs(text(message.sinceLastContactMs()))
                 .membership(message.membership().text())
                 .putBody(message.body(), 0, message.body().length);
         return to.limit();
--- a/src/test/java/quartzspan/replication/EpochTest.java
+++ b/src/test/java/quartzspan/replication/EpochTest.java
@@ -11,7 +11,7 @@
 class EpochTest {
     private static final List<Epoch> RISING = List.of(
             Epoch.NONE,
-            Epoch.FOUNDING,
+            Epoch.INITIAL,
             new Epoch(1, "a", 9),
             new Epoch(1, "b", -3),
             new Epoch(1, "b", 7),
@@ -32,7 +32,7 @@
     @Test
     void equalsAndHashCodeFollowTheOrder() {
         for (Epoch epoch : RISING) {
-            Epoch again = new Epoch(epoch.number(), new String(epoch.candidate()), epoch.attempt());
+            Epoch again = new Epoch(epoch.number(), new String(epoch.candidate()), epoch.nonce());
             assertEquals(epoch, again);
             assertEquals(epoch.hashCode(), again.hashCode());
         }
--- a/src/test/java/quartzspan/replication/RecordedCluster.java
+++ b/src/test/java/quartzspan/replication/RecordedCluster.java
@@ -119,7 +119,7 @@
         public void persist(long number, byte[] record) {
             record(name + " writes " + (char) record[0], record);
             int mine = incarnation;
-            after(DISK_MS, () -> handle(mine, () -> replica.onPersisted(now, number, store.keep(record))));
+            after(DISK_MS, () -> handle(mine, () -> replica.onPersisted(now, number, store.persist(record))));
         }
 
         @Override
--- a/src/test/java/quartzspan/replication/ReplicaGuardsTest.java
+++ b/src/test/java/quartzspan/replication/ReplicaGuardsTest.java
@@ -101,7 +101,7 @@
         replica.onMessage(now, A, snapshot(epoch(3, A), 9));
         sync();
         assertFalse(last(Kind.REPLICATE_REPLY).granted());
-        assertEquals(Epoch.FOUNDING, replica.logEpoch());
+        assertEquals(Epoch.INITIAL, replica.logEpoch());
     }
 
     @Test
@@ -113,7 +113,7 @@
         replica.onMessage(now, A, ReplicaMessage.of(Kind.ACCEPT, lower).withMembership(view(lower, A, B)));
         sync();
         assertFalse(last(Kind.ACCEPT_REPLY).granted());
-        assertEquals(Epoch.FOUNDING, replica.membership().epoch());
+        assertEquals(Epoch.INITIAL, replica.membership().epoch());
     }
 
     @Test
@@ -167,7 +167,7 @@
         Epoch accepted = epoch(4, C);
         replica.onMessage(now, C, ReplicaMessage.of(Kind.ACCEPT, accepted).withMembership(view(accepted, C, B)));
         replica.onMessage(now, A, ReplicaMessage.of(Kind.PRE_VOTE, epoch(5, A)));
-        assertEquals(Epoch.FOUNDING, last(Kind.PRE_VOTE_REPLY).membership().epoch());
+        assertEquals(Epoch.INITIAL, last(Kind.PRE_VOTE_REPLY).membership().epoch());
         sync();
         replica.onMessage(now, A, ReplicaMessage.of(Kind.PRE_VOTE, epoch(5, A)));
         assertEquals(accepted, last(Kind.PRE_VOTE_REPLY).membership().epoch());
@@ -245,7 +245,7 @@
         replica.onMessage(now, A, forAnother);
         sync();
         assertFalse(last(Kind.REPLICATE_REPLY).granted());
-        assertEquals(Epoch.FOUNDING, replica.logEpoch());
+        assertEquals(Epoch.INITIAL, replica.logEpoch());
     }
 
     @Test
@@ -258,7 +258,7 @@
         sync();
         assertFalse(last(Kind.REPLICATE_REPLY).granted());
         ChangeHistory.Entry next = new ChangeHistory.Entry(1, epoch, null);
-        replica.onMessage(now, A, ReplicaMessage.replicate(StateUpdate.ofEntries(Epoch.FOUNDING, 0, List.of(next)), 0));
+        replica.onMessage(now, A, ReplicaMessage.replicate(StateUpdate.ofEntries(Epoch.INITIAL, 0, List.of(next)), 0));
         sync();
         assertTrue(last(Kind.REPLICATE_REPLY).granted());
         assertEquals(1, replica.logIndex());
@@ -358,7 +358,7 @@
         replica.onMessage(now, d, vote(epoch, Membership.NONE, Epoch.NONE, -1));
         sync();
         assertEquals(null, last(Kind.REPLICATE), "a majority of the new voters only");
-        replica.onMessage(now, B, vote(epoch, Membership.NONE, Epoch.FOUNDING, 0));
+        replica.onMessage(now, B, vote(epoch, Membership.NONE, Epoch.INITIAL, 0));
         sync();
         ReplicaMessage copy = last(Kind.REPLICATE);
         replica.onMessage(
@@ -417,7 +417,7 @@
         sync();
         Epoch epoch = last(Kind.VOTE).epoch();
         Membership founding = replica.membership();
-        replica.onMessage(now, B, vote(epoch, founding, Epoch.FOUNDING, 0).withGranted(false));
+        replica.onMessage(now, B, vote(epoch, founding, Epoch.INITIAL, 0).withGranted(false));
         replica.onMessage(
                 now,
                 B,
@@ -426,10 +426,10 @@
                         .withGeneration(1)
                         .withNonce(5));
         sync();
-        replica.onMessage(now, B, vote(epoch, founding, Epoch.FOUNDING, 0));
+        replica.onMessage(now, B, vote(epoch, founding, Epoch.INITIAL, 0));
         sync();
         assertEquals(null, last(Kind.REPLICATE), "its disk was lost since");
-        replica.onMessage(now, B, vote(epoch, founding, Epoch.FOUNDING, 0).withGeneration(1));
+        replica.onMessage(now, B, vote(epoch, founding, Epoch.INITIAL, 0).withGeneration(1));
         sync();
         assertEquals(epoch, last(Kind.REPLICATE).epoch());
     }
@@ -446,7 +446,7 @@
                         .withGranted(true));
         sync();
         Epoch epoch = last(Kind.VOTE).epoch();
-        replica.onMessage(now, B, vote(epoch, replica.membership(), Epoch.FOUNDING, 0));
+        replica.onMessage(now, B, vote(epoch, replica.membership(), Epoch.INITIAL, 0));
         sync();
         assertEquals(ReplicaRole.CANDIDATE, replica.role());
         Epoch between = new Epoch(epoch.number(), "10.0.0.0:7", 1);
@@ -471,7 +471,7 @@
         Epoch epoch = last(Kind.VOTE).epoch();
         assertEquals(1, epoch.number());
         assertEquals(null, last(Kind.REPLICATE), "granted by itself alone");
-        replica.onMessage(now, B, vote(epoch, founding, Epoch.FOUNDING, 0));
+        replica.onMessage(now, B, vote(epoch, founding, Epoch.INITIAL, 0));
         sync();
         assertEquals(epoch, last(Kind.REPLICATE).epoch());
         assertEquals(null, last(Kind.ACCEPT), "no backup has it");
--- a/src/test/java/quartzspan/replication/SimulatedCluster.java
+++ b/src/test/java/quartzspan/replication/SimulatedCluster.java
@@ -231,7 +231,7 @@
                 long requestId = ++requestIds;
                 m.asked.put(requestId, state -> {
                     if (!acked.containsKey(version)) {
-                        need(bases.add(change.base()), "two changes on version " + change.base());
+                        need(bases.add(change.baseVersion()), "two changes on version " + change.baseVersion());
                     }
                     acked.put(version, change);
                     knownVersion = Math.max(knownVersion, version);
--- a/src/test/java/quartzspan/replication/simulation/ChangeOperation.java
+++ b/src/test/java/quartzspan/replication/simulation/ChangeOperation.java
@@ -49,6 +49,6 @@
 
     @Override
     public String toString() {
-        return "change " + id + " (" + change.kind() + " " + change.base() + " -> " + version + ")";
+        return "change " + id + " (" + change.kind() + " " + change.baseVersion() + " -> " + version + ")";
     }
 }
--- a/src/test/java/quartzspan/replication/simulation/HistoryChecker.java
+++ b/src/test/java/quartzspan/replication/simulation/HistoryChecker.java
@@ -127,7 +127,7 @@
                 !operation.refused,
                 Rule.NEVER_REFUSED_WHAT_IS_IN_FORCE,
                 operation + " was refused and is in force all the same");
-        ChangeOperation other = takenBase.putIfAbsent(operation.change.base(), operation);
+        ChangeOperation other = takenBase.putIfAbsent(operation.change.baseVersion(), operation);
         require(other == null, Rule.ONE_CHANGE_PER_BASE, operation + " and " + other + " are both in force");
         inForce.put(version, operation);
         contents.put(version, Set.copyOf(names));
@@ -174,7 +174,7 @@
         if (!operation.valid) {
             return;
         }
-        long base = operation.change.base();
+        long base = operation.change.baseVersion();
         require(
                 refusal.code() == FleetException.Code.CONFIG_STALE && newestCommitted > base,
                 Rule.REFUSED_WITH_REASON,
@@ -234,7 +234,7 @@
                     Rule.ACKNOWLEDGED_IS_DURABLE,
                     "version " + version + " is on the way to the last one and was never in force");
             length++;
-            version = operation.change.base();
+            version = operation.change.baseVersion();
         }
         require(
                 length == inForce.size(),
--- a/src/test/java/quartzspan/replication/simulation/ReplicaAdapter.java
+++ b/src/test/java/quartzspan/replication/simulation/ReplicaAdapter.java
@@ -76,7 +76,7 @@
 
     /** Writes a record to the disk; whether the disk took it. */
     boolean keep(byte[] record) {
-        return store.keep(record);
+        return store.persist(record);
     }
 
     void tick(long now) {
--- a/src/test/java/quartzspan/transport/TransportContractTest.java
+++ b/src/test/java/quartzspan/transport/TransportContractTest.java
@@ -72,7 +72,7 @@
     private static ReplicaMessage message(long nonce, int bytes) {
         return new ReplicaMessage(
                 ReplicaMessage.Kind.REPLICATE,
-                Epoch.FOUNDING,
+                Epoch.INITIAL,
                 nonce,
                 Epoch.NONE,
                 Epoch.NONE,
