--- a/src/main/java/quartzspan/replication/CandidateState.java
+++ b/src/main/java/quartzspan/replication/CandidateState.java
@@ -10,21 +10,21 @@
 import quartzspan.replication.ReplicaMessage.Kind;
 
 /**
- * One attempt of a replica to become primary, or of a primary to change its membership.
+ * An election: one attempt of a replica to become primary, or of a primary to change its membership.
  *
  * <ol>
- *   <li>Pre-vote: asks whether a quorum would grant an epoch; promises nothing, so that a replica that hears nobody deposes
- *       nobody.
- *   <li>Vote: a quorum promises, durably, to take nothing below the epoch, and names the latest membership it knows.
- *   <li>Fetch: the state of one data replica of that membership is taken over. It has all changes that were ever acknowledged,
- *       since a change is acknowledged only when every data replica has it, and this one takes nothing of the old membership any
- *       more.
+ *   <li>Pre-vote: checks whether a quorum would grant an epoch, without any promise, so that an isolated replica cannot depose
+ *       a working primary.
+ *   <li>Vote: a quorum durably promises to reject requests of lower epochs, and reports the latest membership it knows.
+ *   <li>Fetch: copies the state of one data replica of that membership. This replica has every acknowledged change, since a
+ *       change is acknowledged only once every data replica has synced it, and after its vote it accepts no further changes of
+ *       the old membership.
  *   <li>Replicate: the data replicas of the next membership sync the state.
- *   <li>Accept: a quorum of the next membership, and of the voters before it, syncs the membership. Then it is in effect.
+ *   <li>Accept: a quorum of the next membership, and of the voters before it, syncs the membership, which is then in effect.
  * </ol>
  */
 final class CandidateState {
-    /** The steps, in their order. */
+    /** The steps of an election, in order. */
     enum Step {
         PRE_VOTE,
         VOTE,
@@ -33,7 +33,7 @@
         ACCEPT
     }
 
-    /** The outcome of an election; called once. */
+    /** Receives the result of an election; called once. */
     interface Listener {
         /** The membership is in effect. */
         void elected(Membership membership);
@@ -41,7 +41,7 @@
         /** The election has failed. */
         void abandoned();
 
-        /** The own disk refused a record. */
+        /** A write to the local disk failed. */
         void diskFailed();
     }
 
@@ -57,16 +57,16 @@
     private long retryAtMs;
     private Epoch epoch;
     private final ElectionReplies replies;
-    /** The log positions that the next data replicas have reported. */
+    /** The last log position reported by each voter. */
     private final Map<String, ReplicaMessage> reportedPositions = new TreeMap<>();
 
     private final Set<String> syncedReplicas = new TreeSet<>();
-    /** The latest membership that the votes have named. */
+    /** The latest membership reported with the votes. */
     private Membership latestMembership;
 
     private Membership nextMembership;
     private List<String> targetVoters;
-    /** The replica whose state is taken over. */
+    /** The data replica whose state is fetched. */
     private String stateSource;
 
     CandidateState(ReplicaContext context, VoterState voter, ReplicaLog log, ElectionPlan plan, Listener listener) {
@@ -100,7 +100,7 @@
         }
     }
 
-    /** Sends the current step's request again to those it may not have reached. */
+    /** Resends the request of the current step to the replicas that have not replied. */
     private void resend() {
         switch (step) {
             case PRE_VOTE -> requestMissingReplies(Kind.PRE_VOTE);
@@ -124,7 +124,7 @@
                     sendAccept();
                 }
             }
-            default -> throw new IllegalStateException("unknown step " + step);
+            default -> throw new IllegalStateException("unknown election step " + step);
         }
     }
 
@@ -140,12 +140,12 @@
         return ReplicaMessage.of(kind, epoch).withGranted(plan.handedOver()).withMembership(latestMembership);
     }
 
-    /** Voters that hear of this election again and again start none themselves. */
+    /** Repeated vote requests keep the voters from starting elections of their own. */
     private void resendVoteRequests() {
         electorate().forEach(name -> context.send(name, request(Kind.VOTE)));
     }
 
-    /** All replicas whose vote may count, but this one. */
+    /** All other replicas whose vote may count. */
     private Set<String> electorate() {
         Set<String> all = new LinkedHashSet<>(latestMembership.electorate());
         all.addAll(voter.membership().electorate());
@@ -156,8 +156,6 @@
         return all;
     }
 
-    // ---- pre-vote ------------------------------------------------------------------------------------
-
     void startWithPreVote() {
         enterStep(Step.PRE_VOTE);
         epoch = nextEpoch();
@@ -184,7 +182,7 @@
         }
     }
 
-    /** Whether the latest membership has this replica among its voters; else it has been removed. */
+    /** Whether this replica is a voter of the latest membership; if not, it has been removed. */
     private boolean isVoter() {
         return latestMembership.voters().contains(context.self());
     }
@@ -195,8 +193,6 @@
         }
     }
 
-    // ---- vote ----------------------------------------------------------------------------------------
-
     void startWithVote() {
         enterStep(Step.VOTE);
         epoch = nextEpoch();
@@ -208,7 +204,7 @@
         });
     }
 
-    /** Persists what this replica promises and knows, and goes on if the election is still at the step. */
+    /** Persists the voter state, then continues if the election is still at this step. */
     private void persistVoterState(Step atStep, Runnable whenDurable) {
         voter.persist(context.nowMs(), ifStillAt(atStep, whenDurable));
     }
@@ -250,7 +246,8 @@
             countVotes();
         } else if (reply.membership().supersedes(latestMembership)
                 && !reply.membership().epoch().equals(epoch)) {
-            // It was accepted before this vote: the state taken over may lack what it has acknowledged.
+            // The voter accepted this membership before its vote: the fetched state may lack changes of that
+            // membership.
             voter.adoptIfNewer(reply.membership());
             listener.abandoned();
         }
@@ -285,14 +282,12 @@
             newest = reported.supersedes(newest) ? reported : newest;
         }
         if (!newest.epoch().equals(latestMembership.epoch())) {
-            // The wanted voters were worked out from another membership.
+            // The target voters were derived from another membership.
             targetVoters = null;
         }
         latestMembership = newest;
     }
 
-    // ---- fetch ---------------------------------------------------------------------------------------
-
     private void startFetch(String from, Set<String> granting) {
         Membership plannedMembership = planner.nextMembership(epoch, latestMembership, targetVoters, granting);
         if (plannedMembership == null) {
@@ -322,9 +317,7 @@
         }
     }
 
-    // ---- replicate -----------------------------------------------------------------------------------
-
-    /** Writes the state taken over, in the new epoch, here first and then at the other data replicas. */
+    /** Writes the fetched state under the new epoch, first to the local disk and then to the other data replicas. */
     private void replicate(StateUpdate fetched) {
         if (log.isAppending()) {
             return;
@@ -389,8 +382,6 @@
         }
     }
 
-    // ---- accept --------------------------------------------------------------------------------------
-
     private void accept() {
         enterStep(Step.ACCEPT);
         voter.adoptIfNewer(nextMembership);
@@ -428,7 +419,7 @@
         }
     }
 
-    /** A reply to one of this election's requests; replies to others are ignored. */
+    /** Handles a reply to a request of this election; replies to other elections are ignored. */
     void onReply(String from, ReplicaMessage reply) {
         if (!reply.epoch().equals(epoch)) {
             return;
@@ -443,7 +434,7 @@
             case FETCH_REPLY -> onFetchReply(from, reply);
             case REPLICATE_REPLY -> onReplicateReply(from, reply);
             case ACCEPT_REPLY -> onAcceptReply(from, reply);
-            default -> throw new IllegalStateException("not a reply to a candidate: " + reply.kind());
+            default -> throw new IllegalStateException("unexpected reply kind for a candidate: " + reply.kind());
         }
     }
 }
--- a/src/main/java/quartzspan/replication/Change.java
+++ b/src/main/java/quartzspan/replication/Change.java
@@ -7,11 +7,14 @@
 /**
  * A requested change of the control state.
  *
- * @param baseVersion the configuration version that it builds on; 0 where it builds on none
- * @param body the request's body, as it was sent
+ * @param baseVersion the configuration version that the change is based on; 0 if it is based on none
+ * @param body the unmodified body of the request
  */
 public record Change(Kind kind, long baseVersion, byte[] body) {
-    /** What is changed: the complete configuration, some items of it, named weights, or the holder of the rollout lease. */
+    /**
+     * The changed part: the complete configuration, some items of it, a weights version, or the holder of the weights rollout.
+     * The ordinal is part of the encoding, so the order has to stay.
+     */
     public enum Kind {
         REPLACE,
         UPDATE,
@@ -21,7 +24,7 @@
 
     private static final int HEADER_BYTES = 1 + 8 + 4;
 
-    /** Number of bytes that {@link #writeTo} writes. */
+    /** Size in bytes of the encoding written by {@link #writeTo}. */
     int size() {
         return HEADER_BYTES + body.length;
     }
@@ -30,7 +33,7 @@
         out.put((byte) kind.ordinal()).putLong(baseVersion).putInt(body.length).put(body);
     }
 
-    /** Binary form, used on disk and between processes. */
+    /** Binary encoding, used on disk and in messages. */
     public byte[] bytes() {
         ByteBuffer out = ByteBuffer.allocate(size());
         writeTo(out);
@@ -38,9 +41,9 @@
     }
 
     /**
-     * Reads {@link #bytes}.
+     * Parses {@link #bytes}.
      *
-     * @throws FleetException if the bytes are no change
+     * @throws FleetException if the bytes are not a valid change
      */
     public static Change parse(byte[] bytes) {
         return readFrom(ByteBuffer.wrap(bytes));
@@ -64,6 +67,8 @@
 
     private static FleetException malformed() {
         return new FleetException(
-                FleetException.Code.MESSAGE_INVALID, "a change can't be read", "run the same version everywhere");
+                FleetException.Code.MESSAGE_INVALID,
+                "the encoded change is truncated or malformed",
+                "run the same version everywhere");
     }
 }
--- a/src/main/java/quartzspan/replication/ChangeHistory.java
+++ b/src/main/java/quartzspan/replication/ChangeHistory.java
@@ -5,11 +5,11 @@
 import java.util.List;
 
 /**
- * The latest changes of a control state, one for each index up to the newest, within a bound of bytes. A replica whose
- * state lies within it is brought up to date by the changes alone; any other one needs a snapshot.
+ * The most recent changes of a control state, one for each index up to the newest, bounded in bytes and in number. A replica
+ * whose state lies within the history is brought up to date with the changes alone; any other replica needs a snapshot.
  */
 public final class ChangeHistory {
-    /** More than this costs more to keep than a snapshot costs to send. */
+    /** Beyond this size retaining the entries costs more than sending a snapshot. */
     private static final int MAX_BYTES = 1024 * 1024;
 
     private static final int MAX_ENTRIES = 2048;
@@ -19,7 +19,7 @@
      * One entry of the log.
      *
      * @param epoch the epoch under which the state at this index was written
-     * @param change null where only the epoch changed
+     * @param change null for an entry that only begins a new epoch
      */
     public record Entry(long index, Epoch epoch, Change change) {
         int size() {
@@ -28,13 +28,13 @@
     }
 
     private final ArrayDeque<Entry> entries = new ArrayDeque<>();
-    /** The state just before the first entry. */
+    /** Index of the state before the first entry. */
     private long startIndex;
 
     private Epoch startEpoch;
     private long bytes;
 
-    /** Begins with the state at an index, whose changes are not known. */
+    /** Creates an empty history that starts at the given state. */
     public ChangeHistory(long index, Epoch epoch) {
         startIndex = index;
         startEpoch = epoch;
@@ -50,10 +50,11 @@
         return entries.isEmpty() ? startEpoch : entries.peekLast().epoch();
     }
 
-    /** Adds the next entry; the oldest ones are dropped where they exceed the bound. */
+    /** Adds the next entry, and drops the oldest entries while the history exceeds its bounds. */
     public void append(Entry entry) {
         if (entry.index() != lastIndex() + 1) {
-            throw new IllegalArgumentException("index " + entry.index() + " after " + lastIndex());
+            throw new IllegalArgumentException(
+                    "entry index " + entry.index() + " does not follow last index " + lastIndex());
         }
         entries.add(entry);
         bytes += entry.size();
@@ -65,7 +66,7 @@
         }
     }
 
-    /** Begins anew with a state whose changes are not known. */
+    /** Drops all entries and restarts the history at the given state. */
     public void reset(long index, Epoch epoch) {
         entries.clear();
         bytes = 0;
@@ -74,9 +75,10 @@
     }
 
     /**
-     * The entries after a committed index, up to another. Committed states form one line, so their index identifies them.
+     * The entries after one committed index up to another. An index alone identifies a committed state, since committed states
+     * form a single sequence.
      *
-     * @return null if they are not all known
+     * @return null if the history does not contain all of them
      */
     public List<Entry> between(long after, long upTo) {
         if (after < startIndex || upTo > lastIndex()) {
@@ -92,9 +94,9 @@
     }
 
     /**
-     * The entries after a state that may not be committed, and so is identified by its epoch too.
+     * The entries after a state that may be uncommitted, and therefore is identified by index and epoch.
      *
-     * @return null if that state is not one of this history's
+     * @return null if the history does not contain that state
      */
     public List<Entry> since(long index, Epoch epoch) {
         return contains(index, epoch) ? between(index, lastIndex()) : null;
--- a/src/main/java/quartzspan/replication/ControlState.java
+++ b/src/main/java/quartzspan/replication/ControlState.java
@@ -17,19 +17,19 @@
 import quartzspan.configuration.JsonFields;
 
 /**
- * The control state, as an immutable value: the configuration in effect, the digest of the change accepted under each version,
- * the weights named, and the claim of the weights rollout.
+ * The replicated control state, an immutable value: the configuration in effect, the digests of accepted changes by version, the
+ * current weights version of each model, and the holder of the weights rollout.
  */
 public final class ControlState {
-    /** Number of accepted versions whose digests are kept, to recognise a change that is sent again. */
+    /** Number of retained digests of accepted changes, which identify a change that is submitted again. */
     private static final int MAX_ACCEPTED_DIGESTS = 4096;
-    /** Before the first change. */
+    /** The state before the first change. */
     public static final ControlState EMPTY =
             new ControlState(Configuration.NONE, new TreeMap<>(), 0, new TreeMap<>(), "", 0);
 
     private final Configuration configuration;
     private final NavigableMap<Long, Long> acceptedDigests;
-    /** The highest version whose digest was dropped. */
+    /** The highest version whose digest is no longer retained. */
     private final long highestDroppedVersion;
 
     private final Map<String, Long> weights;
@@ -56,25 +56,25 @@
         return configuration;
     }
 
-    /** Versions of weights that were named, by model. */
+    /** Current weights version of each model. */
     public Map<String, Long> weights() {
         return weights;
     }
 
-    /** The replica that last claimed the rollout of weights; empty if none did. */
+    /** The replica that last claimed the weights rollout; empty if none has. */
     public String rolloutHolder() {
         return rolloutHolder;
     }
 
-    /** Rises with every claim of the rollout, so that no two claims share one. */
+    /** Incremented with every claim of the rollout, so that each claim has a token of its own. */
     public long fencingToken() {
         return fencingToken;
     }
 
     /**
-     * The state after a change; this same object if the change is in it already.
+     * The state after a change; this object itself if the change has already been applied.
      *
-     * @throws FleetException if the change is invalid or builds on another version
+     * @throws FleetException if the change is invalid or is based on another version
      */
     public ControlState with(Change change) {
         if (change.kind() == Change.Kind.ROLLOUT_CLAIM) {
@@ -100,19 +100,20 @@
         if (acceptedDigest == null && version <= highestDroppedVersion) {
             throw new FleetException(
                     FleetException.Code.ORDER_FORGOTTEN,
-                    "version " + version + " is older than the changes that are remembered",
+                    "version " + version + " is older than the retained history of accepted changes",
                     "read the configuration in effect with Configuration.Describe");
         }
         if (change.baseVersion() != configuration.version()) {
             throw new FleetException(
                     FleetException.Code.CONFIG_STALE,
-                    "version " + configuration.version() + " is in effect, not " + change.baseVersion(),
-                    "read it with Configuration.Describe and build on it");
+                    "the change is based on version " + change.baseVersion() + ", but version "
+                            + configuration.version() + " is in effect",
+                    "read the configuration in effect with Configuration.Describe and base the change on its version");
         }
         if (version <= configuration.version()) {
             throw new FleetException(
                     FleetException.Code.CONFIG_INVALID,
-                    "version " + version + " is not above " + configuration.version(),
+                    "version " + version + " is not above version " + configuration.version() + ", which is in effect",
                     "give the change a higher version");
         }
         Configuration next =
@@ -132,8 +133,8 @@
         if (model.isEmpty() || version < 1) {
             throw new FleetException(
                     FleetException.Code.CONFIG_INVALID,
-                    "model or version is missing",
-                    "send model as a text and version as a whole number from 1 up");
+                    "field model or version is missing or invalid",
+                    "send model as a non-empty string and version as an integer of at least 1");
         }
         if (weights.getOrDefault(model, 0L) >= version) {
             return this;
@@ -144,12 +145,12 @@
                 configuration, acceptedDigests, highestDroppedVersion, next, rolloutHolder, fencingToken);
     }
 
-    /** About as many bytes as {@link #bytes} has. */
+    /** Approximate size of {@link #bytes}; leaves out the weights. */
     long size() {
         return configuration.bytes().length + (long) acceptedDigests.size() * 2 * Long.BYTES;
     }
 
-    /** Binary form, written to disk and sent to other replicas. */
+    /** Binary encoding, written to disk and sent to other replicas. */
     public byte[] bytes() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
@@ -175,7 +176,7 @@
         return bytes.toByteArray();
     }
 
-    /** Reads {@link #bytes}. */
+    /** Parses {@link #bytes}. */
     public static ControlState parse(byte[] bytes) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             int length = in.readInt();
@@ -203,7 +204,7 @@
     private static FleetException malformed(IOException cause) {
         return new FleetException(
                 FleetException.Code.STORE_DAMAGED,
-                "a control state can't be read" + (cause == null ? "" : ": " + cause),
+                "the encoded control state is truncated or malformed" + (cause == null ? "" : ": " + cause),
                 "move the data directory aside and start again");
     }
 }
--- a/src/main/java/quartzspan/replication/DiskLossRecovery.java
+++ b/src/main/java/quartzspan/replication/DiskLossRecovery.java
@@ -6,11 +6,12 @@
 import quartzspan.replication.VoterState.DiskIncarnation;
 
 /**
- * How a replica whose disk was lost learns again what it may have promised.
+ * Recovers the promises of a replica that lost its disk.
  *
- * <p>It asks the others in the name of a new generation of its disk. Of each set of voters that it belongs to, so many have to
- * answer that no majority which it took part in is without one of them; of any other set a majority. Whoever replies has recorded
- * the generation durably, so that what was promised before the loss cannot be counted any more.
+ * <p>The replica sends recovery requests with a new generation of its disk. From each set of voters that contains the replica, as
+ * many have to reply as are needed to intersect every majority that the replica may have been part of; from any other set, a
+ * majority. Each replying replica has recorded the generation durably, so that votes granted before the loss are not counted
+ * any more.
  */
 final class DiskLossRecovery {
     private final String self;
@@ -23,7 +24,7 @@
         voter.beginIncarnation(new DiskIncarnation(1, nonce));
     }
 
-    /** The request to all other replicas that are known. */
+    /** The request to be sent to all known replicas. */
     ReplicaMessage request() {
         return ReplicaMessage.of(ReplicaMessage.Kind.RECOVERY, Epoch.NONE)
                 .withNonce(voter.incarnationNonce())
@@ -32,9 +33,9 @@
     }
 
     /**
-     * Takes a reply in.
+     * Handles a reply.
      *
-     * @return whether enough have replied; what they know has been taken over then, and is to be persisted
+     * @return whether enough replicas have replied; then their promises have been adopted, and have to be persisted
      */
     boolean onReply(String from, ReplicaMessage reply) {
         if (reply.nonce() != voter.incarnationNonce()) {
@@ -58,7 +59,7 @@
         return true;
     }
 
-    /** Another incarnation of this disk has used the generation: the count begins again with a higher one. */
+    /** If another incarnation of this disk has already used the generation, restarts recovery with a higher one. */
     private void claimGenerationAbove(long recordedGeneration) {
         if (recordedGeneration >= voter.generation()) {
             voter.beginIncarnation(new DiskIncarnation(recordedGeneration + 1, voter.incarnationNonce()));
--- a/src/main/java/quartzspan/replication/DiskQueue.java
+++ b/src/main/java/quartzspan/replication/DiskQueue.java
@@ -2,9 +2,9 @@
 
 import java.util.TreeMap;
 
-/** Records on their way to the disk, which takes them in order and reports each once it is durable or refused. */
+/** Pending disk writes. Records are written in order, and each is reported once it is durable or has failed. */
 final class DiskQueue {
-    /** Called once a record is durable or refused. */
+    /** Called once a record is durable or its write has failed. */
     interface Completion {
         void done(boolean durable);
     }
@@ -12,7 +12,7 @@
     private final Replica.Output output;
     private final TreeMap<Long, Completion> pending = new TreeMap<>();
     private long lastRecordNumber;
-    /** Since when the oldest record has been waiting. */
+    /** Time since which the oldest record has been waiting. */
     private long oldestWaitingSinceMs;
 
     DiskQueue(Replica.Output output) {
@@ -40,7 +40,7 @@
         return pending.isEmpty();
     }
 
-    /** How long the oldest record has been waiting; 0 if there is none. */
+    /** Waiting time of the oldest pending record; 0 if there is none. */
     long oldestWriteAgeMs(long nowMs) {
         return pending.isEmpty() ? 0 : nowMs - oldestWaitingSinceMs;
     }
--- a/src/main/java/quartzspan/replication/ElectionPlan.java
+++ b/src/main/java/quartzspan/replication/ElectionPlan.java
@@ -5,20 +5,20 @@
 import java.util.TreeSet;
 
 /**
- * What the membership that a candidate forms should look like.
+ * The requirements on the membership that a candidate forms.
  *
- * @param voters the wanted voters; null to leave them as they are
+ * @param voters the target voters; null to keep the current ones
  * @param avoided replicas that should hold no data if others can
- * @param handedOver whether the primary has asked for this election, so that its being heard is no reason to refuse a vote
+ * @param handedOver whether the primary has requested this election, so that recent contact with it does not prevent a vote
  */
 record ElectionPlan(List<String> voters, Set<String> avoided, boolean handedOver) {
-    /** The primary is not heard any more. */
+    /** The primary has timed out. */
     static final ElectionPlan FAILOVER = new ElectionPlan(null, Set.of(), false);
 
-    /** The primary asked this replica to take its place. */
+    /** The primary has requested that this replica takes over. */
     static final ElectionPlan HANDOVER = new ElectionPlan(null, Set.of(), true);
 
-    /** The same plan that avoids further replicas. */
+    /** A copy of this plan that avoids further replicas. */
     ElectionPlan avoiding(Set<String> more) {
         Set<String> all = new TreeSet<>(avoided);
         all.addAll(more);
--- a/src/main/java/quartzspan/replication/ElectionReplies.java
+++ b/src/main/java/quartzspan/replication/ElectionReplies.java
@@ -6,8 +6,8 @@
 import java.util.TreeSet;
 
 /**
- * The replies to one step of an election, by replica. A reply does not count beside another one, or beside this replica's own
- * knowledge, that names a later generation of its sender's disk: it was given before that disk was lost.
+ * The replies to one step of an election, by replica. A reply does not count if another reply, or this replica itself, knows a
+ * later generation of the sender's disk: the reply was sent before that disk was lost.
  */
 final class ElectionReplies {
     private final VoterState voter;
@@ -29,12 +29,12 @@
         return replies.containsKey(name);
     }
 
-    /** All replies, also those that do not count. */
+    /** All replies, including those that do not count. */
     Map<String, ReplicaMessage> byReplica() {
         return replies;
     }
 
-    /** The replicas that granted what the step asks for. */
+    /** The replicas that granted the request of the step, without outdated replies. */
     Set<String> granting() {
         Set<String> all = new TreeSet<>();
         replies.forEach((name, reply) -> {
--- a/src/main/java/quartzspan/replication/Epoch.java
+++ b/src/main/java/quartzspan/replication/Epoch.java
@@ -1,17 +1,17 @@
 package quartzspan.replication;
 
 /**
- * Identifies one election. Epochs are totally ordered by number, then candidate, then attempt; two elections never share
- * one, not even where a candidate has lost its disk and counts from an earlier number again.
+ * Identifies one election, like a Raft term or a Paxos ballot. Epochs are totally ordered by number, then candidate, then nonce.
+ * Each election has an epoch of its own, even if a candidate has lost its disk and reuses a number.
  *
- * @param number rises with every election that its candidate knows of
+ * @param number greater than the number of every election known to the candidate
  * @param candidate the replica that started the election
  * @param nonce drawn at random for each election
  */
 public record Epoch(long number, String candidate, long nonce) implements Comparable<Epoch> {
-    /** Lower than any other; nothing is known. */
+    /** Lower than any other epoch; initial value, before any epoch is known. */
     public static final Epoch NONE = new Epoch(-1, "", 0);
-    /** The epoch of the founding membership, which was not elected. */
+    /** The epoch of the initial membership, which is created by bootstrap and not by an election. */
     public static final Epoch INITIAL = new Epoch(0, "", 0);
 
     private static final String SEPARATOR = "/";
@@ -26,9 +26,8 @@
         return byCandidate != 0 ? byCandidate : Long.compare(nonce, other.nonce);
     }
 
-    // Written out, as is the order: what a record brings, and composed comparators, are built by the JVM at their first
-    // use,
-    // which is during every start.
+    // Explicit methods, as compareTo above: generated record methods and composed comparators are linked by the JVM at
+    // their first use, which would slow down every start.
     @Override
     public boolean equals(Object other) {
         return other instanceof Epoch epoch && compareTo(epoch) == 0;
@@ -54,15 +53,15 @@
         return one.isAbove(other) ? one : other;
     }
 
-    /** Text form, used on disk and between processes. */
+    /** Text form, used on disk and in messages. */
     public String text() {
         return number + SEPARATOR + candidate + SEPARATOR + nonce;
     }
 
     /**
-     * Reads {@link #text}.
+     * Parses {@link #text}.
      *
-     * @return null if the text is no epoch
+     * @return null if the text is not a valid epoch
      */
     public static Epoch parse(String text) {
         String[] fields = text.split(SEPARATOR, -1);
--- a/src/main/java/quartzspan/replication/FollowerState.java
+++ b/src/main/java/quartzspan/replication/FollowerState.java
@@ -3,19 +3,19 @@
 import quartzspan.replication.ReplicaMessage.Kind;
 
 /**
- * A replica as voter and backup: answers candidates and the primary. It does so in every role, since a primary or candidate
- * follows as soon as another one has a higher epoch.
+ * The voter and backup part of a replica: replies to candidates and to the primary. It is active in every role, since a primary
+ * or candidate becomes a follower as soon as another replica has a higher epoch.
  */
 final class FollowerState {
-    /** What only the replica itself may decide. */
+    /** Role transitions, which only the replica makes. */
     interface Transitions {
-        /** Stops being primary or candidate. */
+        /** Stops acting as primary or candidate. */
         void becomeFollower();
 
         /** Whether this replica is primary or candidate. */
         boolean isPrimaryOrCandidate();
 
-        /** Whether this replica is primary and a quorum has confirmed that of late. */
+        /** Whether this replica is primary and a quorum has recently confirmed it. */
         boolean isConfirmedPrimary();
     }
 
@@ -25,11 +25,11 @@
     private final PeerLiveness peers;
     private final ReplyFactory replies;
     private final Transitions transitions;
-    /** When the primary, or a candidate in its stead, was last heard. */
+    /** Time of the last contact with the primary, or with a candidate that defers the election timeout. */
     private long lastPrimaryContactAtMs;
-    /** The epoch of the membership that was last heard to be in effect. */
+    /** The epoch of the last membership that a heartbeat reported to be in effect. */
     private Epoch activeEpoch = Epoch.NONE;
-    /** Whether the primary can do without this replica's vote. */
+    /** Whether the membership can do without this replica's vote, as the primary last reported. */
     private boolean replaceable;
 
     FollowerState(
@@ -45,34 +45,32 @@
         this.peers = peers;
         this.replies = replies;
         this.transitions = transitions;
-        // A primary that is alive is heard within a heartbeat or two; after a loss of power of all replicas none has to
-        // be
-        // waited for.
+        // A running primary sends a heartbeat within this shorter timeout. After a power loss of all replicas there is
+        // no
+        // primary to wait for.
         this.lastPrimaryContactAtMs = context.nowMs() - Timing.ELECTION_TIMEOUT_MS + 2 * Timing.HEARTBEAT_MS;
     }
 
-    /** Whether the primary was heard within a time, this replica not counted. */
+    /** Whether another replica acted as primary, or as a candidate that defers elections, within the given time. */
     boolean hasPrimaryContactWithin(long windowMs) {
         return context.nowMs() - lastPrimaryContactAtMs < windowMs;
     }
 
-    /** The primary counts as heard just now. */
+    /** Restarts the election timeout as a heartbeat does. */
     void restartElectionTimeout() {
         lastPrimaryContactAtMs = context.nowMs();
     }
 
-    /** Whether the primary said of late that the membership known here is in effect. */
+    /** Whether a heartbeat has reported the known membership to be in effect. */
     boolean isMembershipActive() {
         return activeEpoch.equals(voter.membership().epoch());
     }
 
-    /** Whether the primary can do without this replica's vote. */
+    /** Whether the membership can do without this replica's vote, as the primary last reported. */
     boolean isReplaceable() {
         return replaceable;
     }
 
-    // ---- elections -----------------------------------------------------------------------------------
-
     void onPreVote(String from, ReplicaMessage request) {
         boolean granted =
                 !voter.isRecovering() && request.epoch().isAbove(voter.promisedEpoch()) && mayGrantVote(request);
@@ -83,7 +81,7 @@
                         .withMembership(voter.durableMembership()));
     }
 
-    /** Whether a vote may be granted: not while another primary is confirmed, unless that one has asked for the election. */
+    /** Whether a vote may be granted: not while there is a working primary, unless that primary has requested the election. */
     private boolean mayGrantVote(ReplicaMessage request) {
         boolean handedOver = request.granted() && !voter.membership().supersedes(request.membership());
         return handedOver || !transitions.isConfirmedPrimary() && !hasPrimaryContactWithin(Timing.VOTE_STICKINESS_MS);
@@ -115,7 +113,7 @@
         return replies.reply(Kind.VOTE_REPLY, epoch, true).withMembership(voter.durableMembership());
     }
 
-    /** A candidate has time for its steps before another election is started. */
+    /** Delays elections of this replica to give the candidate time for its steps. */
     private void deferElection() {
         lastPrimaryContactAtMs = Math.max(lastPrimaryContactAtMs, context.nowMs() - Timing.ELECTION_DEFERRAL_AGE_MS);
     }
@@ -155,8 +153,6 @@
         }
     }
 
-    // ---- the primary ---------------------------------------------------------------------------------
-
     void onHeartbeat(String from, ReplicaMessage heartbeat) {
         Epoch epoch = heartbeat.epoch();
         if (epoch.isBelow(voter.promisedEpoch()) && !voter.isRecovering()) {
@@ -172,7 +168,9 @@
         replaceable = heartbeat.granted();
         peers.mergeReportedContacts(context.nowMs(), heartbeat.sinceLastContactMs());
         if (voter.isRecovering()) {
-            // The membership names the replicas to ask; a reply would vouch for an epoch.
+            // The membership lists the replicas to send recovery requests to. A reply would acknowledge an epoch, which
+            // a
+            // recovering replica must not do.
             voter.adoptIfNewer(membership);
             return;
         }
--- a/src/main/java/quartzspan/replication/HeartbeatQuorum.java
+++ b/src/main/java/quartzspan/replication/HeartbeatQuorum.java
@@ -7,8 +7,8 @@
 import java.util.TreeMap;
 
 /**
- * The heartbeats of a primary, and up to which of them a quorum has acknowledged its epoch. Whatever was sent before the last
- * confirmed heartbeat was sent by the only primary.
+ * Tracks which heartbeats of a primary a quorum has acknowledged. At the time an acknowledged heartbeat was sent, no other
+ * replica was primary.
  */
 final class HeartbeatQuorum {
     private static final int MAX_TRACKED_HEARTBEATS = 64;
@@ -24,22 +24,22 @@
         this.self = self;
     }
 
-    /** Number of the last heartbeat that was sent. */
+    /** Sequence number of the last heartbeat that was sent. */
     long lastSequence() {
         return lastSequence;
     }
 
-    /** Number of the last heartbeat that a quorum has acknowledged. */
+    /** Sequence number of the last heartbeat that a quorum has acknowledged. */
     long confirmedSequence() {
         return confirmedSequence;
     }
 
-    /** When the last heartbeat that a quorum has acknowledged was sent; far in the past if there is none. */
+    /** Time at which the last heartbeat acknowledged by a quorum was sent; far in the past if there is none. */
     long confirmedAtMs() {
         return confirmedAtMs;
     }
 
-    /** The next heartbeat is being sent; returns its number. */
+    /** Records that the next heartbeat is sent, and returns its sequence number. */
     long nextSequence(long nowMs) {
         lastSequence++;
         sentAtMs.put(lastSequence, nowMs);
@@ -53,7 +53,7 @@
         acknowledgedSequences.merge(from, sequence, Math::max);
     }
 
-    /** Counts whose acknowledgements make a quorum. */
+    /** Finds the last heartbeat that a quorum of the membership has acknowledged. */
     void update(Membership membership) {
         long confirmed = confirmedSequence;
         for (long sequence : acknowledgedSequences.values()) {
--- a/src/main/java/quartzspan/replication/MembershipPlanner.java
+++ b/src/main/java/quartzspan/replication/MembershipPlanner.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Works out the membership that a candidate is to form. */
+/** Computes the membership that a candidate forms. */
 final class MembershipPlanner {
     private final String self;
     private final int toleratedFailures;
     private final ElectionPlan plan;
 
-    /** @param toleratedFailures number of replicas that may be lost at once */
+    /** @param toleratedFailures number of replicas that may fail at the same time */
     MembershipPlanner(String self, int toleratedFailures, ElectionPlan plan) {
         this.self = self;
         this.toleratedFailures = toleratedFailures;
@@ -20,11 +20,11 @@
     }
 
     /**
-     * The membership that follows the latest one.
+     * The membership that succeeds the latest one.
      *
-     * @param targetVoters the voters wanted; null to leave them as they are
+     * @param targetVoters the target voters; null to keep the current ones
      * @param granting the replicas that have granted their vote
-     * @return null if too few of the voters have granted it to hold the data
+     * @return null if too few voters have granted their vote to hold the data
      */
     Membership nextMembership(Epoch epoch, Membership latest, List<String> targetVoters, Set<String> granting) {
         List<String> voters = targetVoters == null || latest.isJoint() ? latest.voters() : targetVoters;
@@ -33,14 +33,14 @@
             return null;
         }
         if (latest.isJoint()) {
-            // Whether it is in effect is not known: its change of voters is completed first.
+            // The joint membership may be in effect or not: its change of voters is completed first.
             return new Membership(epoch, self, dataReplicas, voters, latest.previousVoters());
         }
         List<String> previousVoters = voters.equals(latest.voters()) ? List.of() : latest.voters();
         return new Membership(epoch, self, dataReplicas, voters, previousVoters);
     }
 
-    /** Replicas that granted their vote, are not to be avoided, and hold data already go first. */
+    /** Chooses among the replicas that granted their vote; prefers those not to be avoided, then those that hold data. */
     private List<String> chooseDataReplicas(Membership latest, List<String> voters, Set<String> granting) {
         List<String> eligible = new ArrayList<>(voters);
         eligible.retainAll(granting);
@@ -58,23 +58,23 @@
         return dataReplicas;
     }
 
-    /** One data replica more than may be lost at once, and one for each voter more than that needs. */
+    /** One data replica more than the tolerated failures, and one more for each spare voter. */
     static int targetDataReplicaCount(List<String> voters, int toleratedFailures) {
         int spareVoters = Math.max(0, voters.size() - minVoterCount(toleratedFailures));
         return Math.min(toleratedFailures + 1 + spareVoters, voters.size());
     }
 
-    /** Number of voters of which a majority is left after the losses. */
+    /** Smallest number of voters of which a majority remains after the tolerated failures. */
     static int minVoterCount(int toleratedFailures) {
         return 2 * toleratedFailures + 1;
     }
 
     /**
-     * Of the data replicas of the latest membership that granted their vote, the one with the most complete log; this replica
-     * where its own is as complete.
+     * The data replica of the latest membership with the most complete log, among those that granted their vote; this replica
+     * if its log is equally complete.
      *
      * @param replies the granting replies by replica
-     * @return null if none of them has a log of that membership
+     * @return null if none of them has a log of the latest membership's epoch
      */
     String mostCompleteReplica(Membership latest, Set<String> granting, Map<String, ReplicaMessage> replies) {
         Comparator<String> byCompleteness = Comparator.<String, Epoch>comparing(
--- a/src/main/java/quartzspan/replication/MembershipRequests.java
+++ b/src/main/java/quartzspan/replication/MembershipRequests.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import quartzspan.replication.ReplicaMessage.Kind;
 
-/** Asks other replicas to take this one in, or to release it before it ends. */
+/** Sends requests to join the membership, or to leave it before this replica shuts down. */
 final class MembershipRequests {
     private final ReplicaContext context;
     private final VoterState voter;
@@ -17,12 +17,12 @@
         this.seedNodes = seedNodes;
     }
 
-    /** The disk was lost: asks what this replica had promised. */
+    /** Requests the promises and generations that the other replicas know, after the disk was lost. */
     void requestRecovery(DiskLossRecovery recovery) {
         knownPeers().forEach(name -> context.send(name, recovery.request()));
     }
 
-    /** This replica has no vote: it makes itself known as a standby. */
+    /** Announces this replica, which has no vote, as a standby. */
     void requestJoin() {
         ReplicaMessage request = ReplicaMessage.of(Kind.RECOVERY, Epoch.NONE)
                 .withNonce(voter.incarnationNonce())
@@ -30,13 +30,13 @@
         knownPeers().forEach(name -> context.send(name, request));
     }
 
-    /** This replica is about to end: the primary had better do without it. */
+    /** Announces that this replica is about to shut down and should be replaced. */
     void requestRemoval() {
         Epoch epoch = voter.membership().epoch();
         knownPeers().forEach(name -> context.send(name, ReplicaMessage.of(Kind.LEAVING, epoch)));
     }
 
-    /** This primary is about to end: a backup is to start an election at once. */
+    /** Requests that a backup starts an election immediately, as this primary is about to shut down. */
     void requestElection(String successor) {
         context.send(
                 successor, ReplicaMessage.of(Kind.HANDOVER, voter.membership().epoch()));
--- a/src/main/java/quartzspan/replication/PeerLiveness.java
+++ b/src/main/java/quartzspan/replication/PeerLiveness.java
@@ -7,14 +7,17 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** When each other replica was last heard, which ones are standbys without a vote, and which ones are about to end. */
+/** Tracks the last contact with each other replica, the standbys, and the replicas that are about to shut down. */
 final class PeerLiveness {
-    /** A standby asks every {@link Timing#RETRY_MS}; after some of these without a request it is not counted on. */
+    /** Standbys send a request every {@link Timing#RETRY_MS}; one that has missed several in a row is no longer counted. */
     private static final long STANDBY_TIMEOUT_MS = 1_000;
-    /** A replica that ends says so every {@link Timing#RETRY_MS}; so long after the last time it has ended or come back. */
+    /**
+     * A replica that shuts down announces it every {@link Timing#RETRY_MS}; this long after the last announcement it has ended or
+     * has been restarted.
+     */
     private static final long LEAVING_TIMEOUT_MS = 1_000;
 
-    /** Since when a replica has been a standby, and when it last said so. */
+    /** Start of a replica's time as a standby, and the time of its last request. */
     private record Standby(long sinceMs, long lastContactAtMs) {}
 
     private final String self;
@@ -32,12 +35,12 @@
         lastContactAtMs.put(name, nowMs);
     }
 
-    /** Time since a replica was heard, by this one or by a primary that reported it. */
+    /** Time since the last contact with a replica, by this replica or as reported by a primary. */
     long sinceLastContactMs(long nowMs, String name) {
         return name.equals(self) ? 0 : nowMs - lastContactAtMs.getOrDefault(name, startedAtMs);
     }
 
-    /** Learns how long ago another replica heard the others. */
+    /** Merges the contact times that another replica reports. */
     void mergeReportedContacts(long nowMs, Map<String, Long> sinceLastContact) {
         sinceLastContact.forEach(
                 (name, sinceContactMs) -> lastContactAtMs.merge(name, nowMs - sinceContactMs, Math::max));
@@ -55,7 +58,7 @@
         standbys.put(name, new Standby(stillStandby ? known.sinceMs() : nowMs, nowMs));
     }
 
-    /** Replicas that ask to be taken in and have no vote. */
+    /** Replicas without a vote that request to join and are not about to shut down. */
     List<String> standbys(long nowMs, Membership membership) {
         standbys.values().removeIf(standby -> nowMs - standby.lastContactAtMs() > STANDBY_TIMEOUT_MS);
         return standbys.keySet().stream()
@@ -64,7 +67,7 @@
                 .toList();
     }
 
-    /** How long a replica has been a standby without a break. */
+    /** Time for which a replica has been a standby without interruption. */
     long standbyDurationMs(long nowMs, String name) {
         Standby standby = standbys.get(name);
         return standby == null ? 0 : nowMs - standby.sinceMs();
@@ -74,7 +77,7 @@
         leaving.put(name, nowMs);
     }
 
-    /** Replicas that are about to end. */
+    /** Replicas that are about to shut down. */
     Set<String> leaving(long nowMs) {
         leaving.values().removeIf(at -> nowMs - at > LEAVING_TIMEOUT_MS);
         return new TreeSet<>(leaving.keySet());
--- a/src/main/java/quartzspan/replication/PrimaryState.java
+++ b/src/main/java/quartzspan/replication/PrimaryState.java
@@ -11,35 +11,40 @@
 import quartzspan.replication.ReplicaMessage.Kind;
 
 /**
- * A primary while its membership is in effect: sends heartbeats, commits changes, answers reads.
+ * The primary while its membership is in effect: sends heartbeats, commits changes and serves reads.
  *
- * <p>A change is acknowledged once every data replica has synced it. A read, and a rejection too, is answered once a quorum has
- * acknowledged a heartbeat that was sent after the request: until then another replica may be primary.
+ * <p>A change is acknowledged once every data replica has synced it. Reads and rejections are completed once a quorum has
+ * acknowledged a heartbeat that was sent after the request (as in Raft's ReadIndex): until then another replica may already be
+ * primary.
  */
 final class PrimaryState {
-    /** What a primary decides and its replica carries out. */
+    /** Receives the decisions of a primary. */
     interface Listener {
         /** The membership has to change. */
         void changeMembership(ElectionPlan plan);
 
-        /** Nobody may count on this primary any more. */
+        /** This replica has to stop being primary. */
         void stepDown();
 
-        /** The disk refused a record, or is too slow. */
+        /** A write to the local disk failed or takes too long. */
         void diskFailed();
 
         void committed(long index, ControlState state);
 
-        /** The answer to a request; {@code rejection} is null if it is granted. */
+        /** The result of a request; {@code rejection} is null on success. */
         void completed(long requestId, FleetException rejection, ControlState state);
     }
 
     private record PendingChange(long requestId, Change change) {}
 
-    /** A request whose answer waits for a quorum; {@code rejection} is the answer, null for a read. */
+    /**
+     * A request that is completed once a quorum has acknowledged a heartbeat.
+     *
+     * @param rejection null for a read and for a change that is already in effect
+     */
     private record PendingConfirmation(long requestId, long heartbeatSequence, FleetException rejection) {}
 
-    /** The change in flight. */
+    /** The change that is being replicated. */
     private record InFlightChange(long requestId, StateUpdate update, long startedAtMs) {}
 
     private final ReplicaContext context;
@@ -51,7 +56,7 @@
     private final Listener listener;
     private final long startedAtMs;
     private Membership membership;
-    /** The state as last acknowledged: the log may end with a change that other data replicas lack. */
+    /** The last acknowledged state; the log may end with a change that other data replicas lack. */
     private ControlState committedState;
 
     private long nextHeartbeatAtMs;
@@ -59,7 +64,7 @@
     private final List<PendingConfirmation> pendingConfirmations = new ArrayList<>();
     private InFlightChange inFlightChange;
     private final Set<String> syncedReplicas = new HashSet<>();
-    /** The ends of other replicas' logs, as last reported. */
+    /** The last log position reported by each of the other replicas. */
     private final Map<String, ReplicaMessage> reportedPositions = new HashMap<>();
 
     private final Map<String, Long> lastReplicatedAtMs = new HashMap<>();
@@ -84,7 +89,7 @@
         this.committedState = log.state();
     }
 
-    /** The membership is in effect, so the voters before it are needed no more. */
+    /** Starts the primary and commits a joint membership, whose previous voters are no longer needed. */
     void begin() {
         listener.committed(log.index(), committedState);
         if (membership.isJoint()) {
@@ -103,23 +108,21 @@
         return committedState;
     }
 
-    /** The latest time at which the state here was surely the newest; far in the past if it never was. */
+    /** The latest time for which a quorum confirmed this primary; far in the past if none has yet. */
     long confirmedAtMs() {
         return heartbeatQuorum.confirmedAtMs();
     }
 
-    /** Since when no quorum has confirmed that this replica is primary. */
+    /** The time since which no quorum has confirmed this primary. */
     long unconfirmedSinceMs() {
         return Math.max(heartbeatQuorum.confirmedAtMs(), startedAtMs);
     }
 
-    /** The backup that can take over at once; null if there is none. */
+    /** A backup that can take over immediately; null if there is none. */
     String successor() {
         return reconfigurationPolicy.successor(membership);
     }
 
-    // ---- time ----------------------------------------------------------------------------------------
-
     void onTick() {
         long nowMs = context.nowMs();
         if (nowMs - unconfirmedSinceMs() > Timing.QUORUM_TIMEOUT_MS) {
@@ -158,13 +161,11 @@
         return slow;
     }
 
-    /** Large states are allowed more time. */
+    /** Extends a timeout for large states, which take longer to write and send. */
     private long scaledToStateSize(long timeoutMs) {
         return timeoutMs + log.state().size() / Timing.STATE_BYTES_PER_MS;
     }
 
-    // ---- heartbeats and reads ------------------------------------------------------------------------
-
     private void sendHeartbeat() {
         long nowMs = context.nowMs();
         nextHeartbeatAtMs = nowMs + Timing.HEARTBEAT_MS;
@@ -196,7 +197,8 @@
             return;
         }
         if (!reply.granted()) {
-            // A higher epoch was granted without taking effect: only a still higher one has this voter's support again.
+            // The voter promised a higher epoch that did not take effect. It accepts this primary only with a still
+            // higher one.
             if (reply.promisedEpoch().isAbove(voter.promisedEpoch())) {
                 voter.promise(reply.promisedEpoch());
                 listener.changeMembership(reconfigurationPolicy.election(null, Set.of()));
@@ -221,15 +223,13 @@
         }
     }
 
-    // ---- changes -------------------------------------------------------------------------------------
-
     void submit(long requestId, Change change) {
         pendingChanges.add(new PendingChange(requestId, change));
         startChanges();
     }
 
-    /** One change at a time: the next is judged by the state after the one before. */
-    @SuppressWarnings("ReferenceEquality") // ControlState.with returns the same object where nothing changes.
+    /** Replicates one change at a time, since each change is validated against the state after the previous one. */
+    @SuppressWarnings("ReferenceEquality") // ControlState.with returns the same object if nothing changes.
     private void startChanges() {
         while (!stopped && inFlightChange == null && !log.isAppending() && !pendingChanges.isEmpty()) {
             PendingChange pending = pendingChanges.poll();
@@ -248,7 +248,7 @@
         }
     }
 
-    @SuppressWarnings("ReferenceEquality") // The very change that was started, not an equal one.
+    @SuppressWarnings("ReferenceEquality") // Compares the change that was started by identity.
     private void startChange(PendingChange pending, ControlState changedState) {
         StateUpdate update = log.nextEntry(membership.epoch(), pending.change());
         InFlightChange started = new InFlightChange(pending.requestId(), update, context.nowMs());
@@ -272,7 +272,7 @@
         }
     }
 
-    /** Sends the change in flight again to the data replicas that have not synced it. */
+    /** Resends the change in flight to the data replicas that have not synced it. */
     private void resendInFlightChange() {
         if (inFlightChange == null || context.nowMs() - inFlightChange.startedAtMs() < Timing.HEARTBEAT_MS) {
             return;
@@ -284,7 +284,7 @@
         }
     }
 
-    /** What leads a replica from the state that it last reported to the one that is wanted of it. */
+    /** The update from a replica's last reported position to the change in flight, or to the end of the log. */
     private StateUpdate updateFor(String name) {
         if (inFlightChange != null && !syncedReplicas.contains(context.self())) {
             return inFlightChange.update();
@@ -301,7 +301,7 @@
         context.send(to, ReplicaMessage.replicate(update, reported == null ? 0 : reported.generation()));
     }
 
-    /** A backup that is behind has lost its disk, or a message. Between changes it is brought up to date. */
+    /** Brings a lagging backup up to date while no change is in flight; it has lost its disk or missed a message. */
     private void catchUp(String name, ReplicaMessage reported) {
         boolean behind = !log.isAt(reported.logEpoch(), reported.logIndex());
         long sinceReplicatedMs = context.nowMs() - lastReplicatedAtMs.getOrDefault(name, Long.MIN_VALUE / 2);
@@ -353,7 +353,7 @@
         startChanges();
     }
 
-    /** This replica is primary no more: nothing that waits here can be answered. */
+    /** Stops being primary: all pending requests are completed with a rejection. */
     void stop(FleetException rejection) {
         stopped = true;
         List<Long> requestIds = new ArrayList<>();
--- a/src/main/java/quartzspan/replication/ReconfigurationPolicy.java
+++ b/src/main/java/quartzspan/replication/ReconfigurationPolicy.java
@@ -7,8 +7,8 @@
 import java.util.TreeSet;
 
 /**
- * Judges, for a primary, whether its membership has to change: data replicas that are silent, slow or about to end are
- * replaced, and so are voters that are gone.
+ * Decides for a primary whether its membership has to change: data replicas that are unresponsive, slow or about to shut down
+ * are replaced, and so are voters that have failed.
  */
 final class ReconfigurationPolicy {
     private final ReplicaContext context;
@@ -20,9 +20,9 @@
     }
 
     /**
-     * The election that is needed; empty if the membership is as it should be.
+     * The election that changes the membership as needed; empty if no change is needed.
      *
-     * @param slow data replicas that are late with the change in flight
+     * @param slow data replicas that have not synced the change in flight in time
      */
     Optional<ElectionPlan> requiredElection(Membership membership, Set<String> slow) {
         long nowMs = context.nowMs();
@@ -35,7 +35,7 @@
         return canReplace || canAdd || voters != null ? Optional.of(election(voters, failing)) : Optional.empty();
     }
 
-    /** An election that this primary starts itself: it avoids replicas that fail or are about to end. */
+    /** An election started by this primary, which avoids replicas that are failing or about to shut down. */
     ElectionPlan election(List<String> voters, Set<String> failing) {
         return new ElectionPlan(voters, failing, true).avoiding(peers.leaving(context.nowMs()));
     }
@@ -66,9 +66,9 @@
     }
 
     /**
-     * The voters as they should be, one change away from what they are; null if they are as they should be.
+     * The target voters, which differ from the current ones by one replica; null if no change is needed.
      *
-     * <p>One standby is taken in beside all others, as voter and data replica, so that whoever ends next is not missed.
+     * <p>One standby is added as a spare voter and data replica, so that the next failure of a voter leaves enough of them.
      */
     private List<String> targetVoters(long nowMs, Membership membership) {
         if (membership.isJoint()) {
@@ -94,8 +94,8 @@
     }
 
     /**
-     * Whether a standby may be taken in beside all voters: where there are too few, or as the spare one. Beside a voter that
-     * is silent it would make a set in which that one is missed twice.
+     * Whether a standby may be added without replacing a voter: if there are too few voters, or as the one spare voter. No
+     * spare is added while a voter is unresponsive: that voter would be missing from the current set and from the larger one.
      */
     private boolean mayAddVoter(long nowMs, Membership membership, String standby) {
         if (membership.voters().size() < minVoterCount()) {
@@ -107,13 +107,13 @@
                 && peers.standbyDurationMs(nowMs, standby) >= Timing.STANDBY_PROMOTION_DELAY_MS;
     }
 
-    /** Whether the membership can do without a voter that ends. */
+    /** Whether the membership can do without a voter that shuts down. */
     boolean hasSpareVoter(Membership membership) {
         return !peers.standbys(context.nowMs(), membership).isEmpty()
                 || membership.voters().size() > minVoterCount();
     }
 
-    /** The voter that has been silent for longest, or else one that is about to end; null if there is none. */
+    /** The voter that has been unresponsive for longest, else one that is about to shut down; null if there is none. */
     private String voterToReplace(long nowMs, Membership membership) {
         boolean hasSpare = membership.voters().size() > minVoterCount();
         long timeoutMs = hasSpare ? Timing.SPARE_VOTER_TIMEOUT_MS : Timing.VOTER_TIMEOUT_MS;
@@ -136,7 +136,7 @@
                 .orElse(null);
     }
 
-    /** The backup that can take over at once; null if there is none. */
+    /** A backup that can take over immediately; null if there is none. */
     String successor(Membership membership) {
         long nowMs = context.nowMs();
         Set<String> leaving = peers.leaving(nowMs);
--- a/src/main/java/quartzspan/replication/RecoveryResponder.java
+++ b/src/main/java/quartzspan/replication/RecoveryResponder.java
@@ -3,7 +3,7 @@
 import quartzspan.replication.ReplicaMessage.Kind;
 import quartzspan.replication.VoterState.DiskIncarnation;
 
-/** Helps replicas that have lost their disk, or have no vote yet: answers with what this one has promised and knows. */
+/** Replies to replicas that have lost their disk or have no vote, with the promise and membership known here. */
 final class RecoveryResponder {
     private final ReplicaContext context;
     private final VoterState voter;
--- a/src/main/java/quartzspan/replication/Replica.java
+++ b/src/main/java/quartzspan/replication/Replica.java
@@ -4,41 +4,41 @@
 import quartzspan.common.FleetException;
 
 /**
- * The replica of the control state on one core machine, without clock, thread or I/O. It owns the role objects and is the only
- * one that makes transitions between roles:
+ * The replica of the control state on one core machine, without clock, thread or I/O. It owns the role objects and makes all
+ * transitions between roles:
  *
  * <pre>
- * RECOVERING  disk lost           to STANDBY, BACKUP, WITNESS   enough others have reported what was promised
- * STANDBY     no vote             to BACKUP, WITNESS            a primary's membership names it as voter
- * BACKUP,     follow the primary  to CANDIDATE                  the primary is not heard, or hands over
+ * RECOVERING  disk lost           to STANDBY, BACKUP, WITNESS   enough peers have reported their promises
+ * STANDBY     no vote             to BACKUP, WITNESS            a primary's membership lists it as a voter
+ * BACKUP,     follow the primary  to CANDIDATE                  the primary timed out, or hands over
  * WITNESS
  * CANDIDATE   runs an election    to PRIMARY                    its membership is in effect
- *                                 to BACKUP, WITNESS            another one has a higher epoch, a step timed out
+ *                                 to BACKUP, WITNESS            a higher epoch was promised, or a step timed out
  * PRIMARY     accepts changes     to CANDIDATE                  its membership has to change
- *                                 to BACKUP, WITNESS            another one has a higher epoch, no quorum, a slow disk
+ *                                 to BACKUP, WITNESS            a higher epoch was promised, quorum lost, or slow disk
  * </pre>
  *
- * <p>An {@link Epoch} forms one {@link Membership} at most: a primary, the backups that hold data, and the voters. A change is
- * acknowledged when the disks of the primary and of all backups have it. There is no log that a majority replicates: voters
- * without data keep promises and memberships only.
+ * <p>Each {@link Epoch} forms at most one {@link Membership}: a primary, the backups that hold data, and the voters. A change is
+ * acknowledged once the primary and all backups have it on disk. Unlike in Raft, the log is not replicated to a majority of the
+ * voters: witnesses store promises and memberships only.
  *
  * <p>Not thread-safe: all calls come from one event loop. All times are milliseconds of a steady clock.
  */
 public final class Replica {
-    /** The decisions of a replica; called only from within an event. */
+    /** Receives the outputs of a replica; called only while the replica handles an event. */
     public interface Output {
         /** Sends a message, which may be lost. */
         void send(String to, ReplicaMessage message);
 
-        /** Makes a record durable, in the order of the calls; {@link Replica#onPersisted} reports each. */
+        /** Writes a record durably, in the order of the calls; the host reports each with {@link Replica#onPersisted}. */
         void persist(long recordNumber, byte[] record);
 
-        /** The answer to {@link Replica#submit} or {@link Replica#read}; the refusal is null if it is granted. */
+        /** The result of {@link Replica#submit} or {@link Replica#read}; {@code rejection} is null on success. */
         void completed(long requestId, FleetException rejection, ControlState state);
 
         /**
-         * A state is committed; only a primary says so. Committed indexes only rise, and each identifies one state: they form
-         * one line over all memberships.
+         * A state is committed; reported by the primary only. Committed indexes increase, and each identifies one state:
+         * committed states form a single sequence across all memberships.
          */
         void committed(long index, ControlState state, ChangeHistory history);
     }
@@ -62,13 +62,14 @@
     /**
      * Starts a replica.
      *
-     * @param self own name, as other replicas send to it
-     * @param seedNodes names of the replicas that found the system, the same everywhere; later only whom to ask first
-     * @param toleratedFailures number of replicas that may be lost at once
-     * @param bootstrap whether to found the system if the disk is empty
-     * @param records the records found on disk, oldest first; empty for none
+     * @param self name of this replica, to which other replicas send messages
+     * @param seedNodes names of the replicas of the initial membership, the same on all replicas; after bootstrap only the
+     *     initial contacts
+     * @param toleratedFailures number of replicas that may fail at the same time
+     * @param bootstrap whether to create the initial membership if the disk is empty
+     * @param records the records read from disk, oldest first
      * @param randomSeed seed of the replica's random numbers
-     * @param nowMs the present time
+     * @param nowMs the current time
      */
     public Replica(
             String self,
@@ -97,7 +98,12 @@
         becomeFollower();
     }
 
-    /** Whether all records could be read; damage is as good as an empty disk, for the others know what was promised. */
+    /**
+     * Loads the stored records. A damaged store is treated as a lost disk, since the promises can be recovered from the other
+     * replicas.
+     *
+     * @return whether all records could be parsed
+     */
     private boolean restore(List<byte[]> records) {
         try {
             for (byte[] record : records) {
@@ -109,14 +115,17 @@
             }
             return true;
         } catch (RuntimeException malformedRecord) {
-            // Whatever a parser throws at damaged bytes: none of the records can be used then.
+            // Parsers throw various exceptions on damaged bytes. After any of them no record can be trusted.
             voter.clear();
             log.clear();
             return false;
         }
     }
 
-    /** The founding membership is a function of the settings alone: whoever founds, and however often, founds the same. */
+    /**
+     * Bootstraps or recovers. The initial membership depends on the settings alone, so that every replica that bootstraps, even
+     * repeatedly, creates the same one.
+     */
     private void initialize(boolean bootstrap) {
         List<String> initialVoters = seedNodes.stream().sorted().toList();
         if (!bootstrap || !initialVoters.contains(context.self())) {
@@ -138,13 +147,11 @@
         recovery = new DiskLossRecovery(context.self(), voter, context.randomLong());
     }
 
-    // ---- state ---------------------------------------------------------------------------------------
-
     public boolean isPrimary() {
         return primary != null;
     }
 
-    /** The newest membership known here. */
+    /** The newest membership known to this replica. */
     public Membership membership() {
         return voter.membership();
     }
@@ -153,12 +160,12 @@
         return voter.promisedEpoch();
     }
 
-    /** Whether the disk was lost, and what it had promised has not been learnt again. */
+    /** Whether the disk was lost and the promises on it have not been recovered yet. */
     public boolean isRecovering() {
         return voter.isRecovering();
     }
 
-    /** What this replica does at present. */
+    /** The current role of this replica. */
     public ReplicaRole role() {
         if (voter.isRecovering()) {
             return ReplicaRole.RECOVERING;
@@ -183,7 +190,7 @@
         return membership().dataReplicas().contains(context.self());
     }
 
-    /** The primary, as far as heard of late; null if unknown. */
+    /** The primary, if this replica had contact with it within the quorum timeout; otherwise null. */
     public String knownPrimary(long nowMs) {
         if (isPrimary()) {
             return context.self();
@@ -194,7 +201,7 @@
         return hasPrimaryContact && !primaryName.isEmpty() && !primaryName.equals(context.self()) ? primaryName : null;
     }
 
-    /** The latest time at which this primary's state was surely the newest; far in the past if it is not primary. */
+    /** The latest time for which a quorum confirmed this replica as the primary; far in the past if it is not primary. */
     public long confirmedAtMs() {
         return isPrimary() ? primary.confirmedAtMs() : Long.MIN_VALUE / 2;
     }
@@ -207,14 +214,12 @@
         return log.index();
     }
 
-    /** The committed state at a primary; elsewhere the end of the log, which may be behind or ahead of it. */
+    /** The committed state on a primary; on other replicas the end of the log, which may be behind or ahead of it. */
     public ControlState state() {
         return isPrimary() ? primary.committedState() : log.state();
     }
 
-    // ---- requests ------------------------------------------------------------------------------------
-
-    /** Asks for a change of the control state; {@link Output#completed} answers. */
+    /** Submits a change of the control state; the result is passed to {@link Output#completed}. */
     public void submit(long nowMs, long requestId, Change change) {
         context.advance(nowMs);
         if (isPrimary()) {
@@ -224,7 +229,10 @@
         }
     }
 
-    /** Asks for the newest state; {@link Output#completed} answers once a quorum has confirmed that it is the newest. */
+    /**
+     * Reads the control state with linearizable consistency. The state is passed to {@link Output#completed} once a quorum has
+     * confirmed this replica as the primary.
+     */
     public void read(long nowMs, long requestId) {
         context.advance(nowMs);
         if (isPrimary()) {
@@ -238,10 +246,13 @@
         return new FleetException(
                 FleetException.Code.NOT_PRIMARY,
                 "this machine is not the primary",
-                "ask another machine of the core, or retry in a moment");
+                "send the request to another core machine, or retry after a moment");
     }
 
-    /** Begins to hand over what others need of this replica: the lead, its data, and its vote where a standby can take it. */
+    /**
+     * Begins to hand over the responsibilities of this replica: leadership, its data, and its vote if a standby can replace
+     * it.
+     */
     public void beginHandover(long nowMs) {
         context.advance(nowMs);
         handingOver = true;
@@ -249,11 +260,11 @@
         onTick(nowMs);
     }
 
-    /** Whether nothing is lost when a replica that hands over ends now. */
+    /** Whether a replica that hands over can shut down now without reducing availability or durability. */
     public boolean isHandoverComplete(long nowMs) {
         context.advance(nowMs);
         if (voter.isRecovering()) {
-            // It vouches for nothing, so nobody counts on it.
+            // A recovering replica grants no votes, so no quorum depends on it.
             return handingOver;
         }
         if (!handingOver || isPrimary() || !follower.isMembershipActive()) {
@@ -264,9 +275,7 @@
         return !isVoter() || hasPrimaryContact && !voteOrDataNeeded;
     }
 
-    // ---- time ----------------------------------------------------------------------------------------
-
-    /** To be called every 50 ms or so. */
+    /** Runs timers; to be called about every 50 ms. */
     public void onTick(long nowMs) {
         context.advance(nowMs);
         if (nowMs >= nextMembershipRequestAtMs) {
@@ -296,7 +305,7 @@
                 && disk.isIdle();
     }
 
-    /** A replica that recovers or has no vote asks to be taken in; one that hands over asks to be released. */
+    /** A recovering replica or a standby requests to join; a replica that hands over requests its removal. */
     private void requestMembershipChange() {
         if (voter.isRecovering()) {
             membershipRequests.requestRecovery(recovery);
@@ -308,14 +317,12 @@
                 membershipRequests.requestElection(successor);
             }
         } else if (!isVoter()) {
-            // Also one of the previous voters of a joint membership: nobody notifies it when that is committed.
+            // This includes removed voters of a joint membership: the primary does not notify them of its commit.
             membershipRequests.requestJoin();
         }
     }
 
-    // ---- transitions ---------------------------------------------------------------------------------
-
-    /** Stops being primary or candidate. */
+    /** Stops acting as primary or candidate. */
     private void becomeFollower() {
         long jitterMs = Timing.ELECTION_TIMEOUT_JITTER_MS / (holdsData() ? 2 : 1);
         earliestElectionAtMs = context.nowMs() + context.randomBelow(jitterMs);
@@ -331,7 +338,7 @@
         }
     }
 
-    /** The disk does not keep up, or refuses: another replica had better be primary. */
+    /** Starts no election for a while after a slow or failed disk write, so that another replica can become primary. */
     private void pauseElections() {
         becomeFollower();
         earliestElectionAtMs = context.nowMs() + Timing.ELECTION_PAUSE_MS;
@@ -413,9 +420,7 @@
         }
     }
 
-    // ---- messages ------------------------------------------------------------------------------------
-
-    /** A message came from another replica. */
+    /** Handles a message from another replica. */
     public void onMessage(long nowMs, String from, ReplicaMessage message) {
         context.advance(nowMs);
         peers.onMessageFrom(nowMs, from);
@@ -443,7 +448,7 @@
             case RECOVERY_REPLY -> onRecoveryReply(from, message);
             case LEAVING -> peers.onLeaving(nowMs, from);
             case HANDOVER -> onHandover(from, message);
-            default -> throw new IllegalStateException("unknown message " + message.kind());
+            default -> throw new IllegalStateException("unknown message kind " + message.kind());
         }
     }
 
@@ -484,9 +489,7 @@
         }
     }
 
-    // ---- the disk ------------------------------------------------------------------------------------
-
-    /** A record is durable, or was refused. Records are reported in their order. */
+    /** Handles the result of {@link Output#persist}; results arrive in the order of the records. */
     public void onPersisted(long nowMs, long recordNumber, boolean durable) {
         context.advance(nowMs);
         disk.onPersisted(nowMs, recordNumber, durable);
--- a/src/main/java/quartzspan/replication/ReplicaContext.java
+++ b/src/main/java/quartzspan/replication/ReplicaContext.java
@@ -2,7 +2,7 @@
 
 import java.util.SplittableRandom;
 
-/** What the role objects of a replica share: its name, the time of the current event, random numbers, and the output. */
+/** State shared by the role objects of a replica: its name, the time of the current event, random numbers, the output. */
 final class ReplicaContext {
     private final String self;
     private final int toleratedFailures;
@@ -23,7 +23,7 @@
         return self;
     }
 
-    /** How many replicas may be lost at once. */
+    /** Number of replicas that may fail at the same time. */
     int toleratedFailures() {
         return toleratedFailures;
     }
@@ -57,7 +57,7 @@
         candidate = current;
     }
 
-    /** Whether an election is still the one in progress, for completions that come later. */
+    /** Whether an election is still in progress; checked by completions that may arrive after its end. */
     boolean isCurrent(CandidateState election) {
         return candidate == election;
     }
--- a/src/main/java/quartzspan/replication/ReplicaLog.java
+++ b/src/main/java/quartzspan/replication/ReplicaLog.java
@@ -5,15 +5,16 @@
 import quartzspan.replication.ChangeHistory.Entry;
 
 /**
- * The control state on this replica's disk: a snapshot and the entries since. A new snapshot is written once the entries outgrow
- * the last one, so that the log stays bounded and a start reads little.
+ * The log of the control state on this replica's disk: a snapshot and the entries after it. A new snapshot is written once the
+ * entries outgrow the last one, which bounds the log and the time to read it at startup.
  */
 final class ReplicaLog {
-    /** The tags of the records on disk. */
+    /** First byte of a snapshot record on disk. */
     static final byte SNAPSHOT_RECORD = 'C';
 
+    /** First byte of an entries record on disk. */
     static final byte ENTRIES_RECORD = 'D';
-    /** Entries are kept up to this many bytes, or the size of the last snapshot if that is more. */
+    /** A snapshot is written once the entries exceed this size and the size of the last snapshot. */
     private static final long MIN_ENTRIES_BYTES = 64 * 1024;
 
     private static final int MAX_ENTRIES = 256;
@@ -48,7 +49,7 @@
         return history;
     }
 
-    /** Whether an update is on its way to the disk: no other may be appended before it is durable. */
+    /** Whether an update is being written; no other may be appended until the write has completed. */
     boolean isAppending() {
         return appending;
     }
@@ -57,7 +58,7 @@
         return index == otherIndex && epoch.equals(otherEpoch);
     }
 
-    /** What leads from another state to the end of this log: the entries if they are known, else a snapshot. */
+    /** The update from another position to the end of this log: the entries if they are retained, else a snapshot. */
     StateUpdate updateFrom(Epoch otherEpoch, long otherIndex) {
         List<Entry> since = history.since(otherIndex, otherEpoch);
         if (since == null || since.isEmpty()) {
@@ -66,7 +67,7 @@
         return StateUpdate.ofEntries(otherEpoch, otherIndex, since);
     }
 
-    /** The update by one entry from the end of the log. */
+    /** An update that appends one entry to the end of the log. */
     StateUpdate nextEntry(Epoch entryEpoch, Change change) {
         return StateUpdate.ofEntries(epoch, index, List.of(new Entry(index + 1, entryEpoch, change)));
     }
@@ -76,7 +77,7 @@
         return update.isSnapshot() || isAt(update.baseEpoch(), update.baseIndex());
     }
 
-    /** The state that an update leads to from the end of the log; the log stays as it is. */
+    /** The state after applying an update at the end of the log; does not change the log. */
     ControlState stateAfter(StateUpdate update) {
         if (update.isSnapshot()) {
             return ControlState.parse(update.snapshot());
@@ -88,10 +89,10 @@
         return next;
     }
 
-    /** Makes an update durable; the log changes when it is. */
+    /** Writes an update to disk; it is applied to the log once it is durable. */
     void append(long nowMs, StateUpdate update, ControlState result, DiskQueue.Completion completion) {
         if (appending || !isApplicable(update)) {
-            throw new IllegalStateException("an update that does not follow " + epoch.text() + " at " + index);
+            throw new IllegalStateException("update can't be appended at epoch " + epoch.text() + ", index " + index);
         }
         appending = true;
         StateUpdate stored = toStoredUpdate(update, result);
@@ -143,7 +144,7 @@
         }
     }
 
-    /** The founding state: the same for every founder. */
+    /** Writes the initial state, which is the same on every replica that bootstraps. */
     void initialize(long nowMs, DiskQueue.Completion completion) {
         StateUpdate initial = StateUpdate.ofSnapshot(Epoch.INITIAL, 0, ControlState.EMPTY);
         apply(initial, ControlState.EMPTY);
@@ -152,7 +153,7 @@
         disk.write(nowMs, record, completion);
     }
 
-    /** Forgets everything. */
+    /** Resets the log to its empty state. */
     void clear() {
         epoch = Epoch.NONE;
         index = -1;
@@ -160,7 +161,7 @@
         history.reset(index, epoch);
     }
 
-    /** Reads a record of {@link #append} at a start. */
+    /** Loads a record written by {@link #append} or {@link #initialize}. */
     void restore(byte[] record) {
         byte[] body = new byte[record.length - 1];
         System.arraycopy(record, 1, body, 0, body.length);
@@ -175,7 +176,7 @@
     static FleetException damagedRecord() {
         return new FleetException(
                 FleetException.Code.STORE_DAMAGED,
-                "a record of the control state can't be read",
+                "a stored replica record is truncated or malformed",
                 "move the data directory aside and start again");
     }
 }
--- a/src/main/java/quartzspan/replication/ReplicaMessage.java
+++ b/src/main/java/quartzspan/replication/ReplicaMessage.java
@@ -4,21 +4,23 @@
 import java.util.TreeMap;
 
 /**
- * A message of the protocol between replicas; see {@link Replica}. A field that a kind does not use has its initial value.
+ * A message between replicas; see {@link Replica}. Fields that a kind does not use have the values set by {@link #of}.
  *
- * @param epoch the election or the membership that the message belongs to
- * @param nonce identifies the heartbeat that a reply answers; in a recovery request the incarnation of the sender's disk
- * @param promisedEpoch the highest epoch that the sender has promised, durably
- * @param logEpoch with {@code logIndex}: the state at the end of the sender's log
+ * @param epoch the epoch of the election or membership that the message belongs to
+ * @param nonce sequence number of a heartbeat, repeated in its reply; in recovery messages the nonce of the recovering replica's
+ *     disk incarnation
+ * @param promisedEpoch the highest epoch that the sender has promised; rejections and pre-vote replies may report a promise that
+ *     is not durable yet
+ * @param logEpoch with {@code logIndex}: the position at the end of the sender's log
  * @param granted whether the request is granted; in a heartbeat whether the membership can do without a voter; in a vote request
- *     whether the primary has handed over
- * @param recovering whether the sender has lost its disk, and with it what it had promised
- * @param generation how often the sender's disk was lost; in a {@link Kind#REPLICATE} message the generation of the disk that
- *     it is meant for
- * @param generations how often the disks of other replicas were lost, as far as the sender knows, by name
- * @param sinceLastContactMs time since the sender last heard from other replicas, milliseconds by name
- * @param membership a membership to learn, or to accept
- * @param body the bytes of a {@link StateUpdate}; empty for none
+ *     whether the primary has requested the election
+ * @param recovering whether the sender has lost its disk, and with it its promises
+ * @param generation number of times the sender's disk was lost; in a {@link Kind#REPLICATE} message the generation of the
+ *     receiver's disk
+ * @param generations disk generations of other replicas known to the sender, by name
+ * @param sinceLastContactMs time since the sender's last contact with other replicas, by name
+ * @param membership the membership to adopt or to accept
+ * @param body the encoded {@link StateUpdate}; empty if there is none
  */
 public record ReplicaMessage(
         Kind kind,
@@ -35,32 +37,32 @@
         Membership membership,
         byte[] body) {
 
-    /** The kinds, in pairs of request and reply. Their order is that of their numbers on the wire. */
+    /** The kinds, in pairs of request and reply. The ordinal is the number on the wire, so the order has to stay. */
     public enum Kind {
-        /** The primary is alive, and asks whether its epoch still holds. */
+        /** Sent periodically by the primary; the reply confirms or rejects its epoch. */
         HEARTBEAT,
         HEARTBEAT_REPLY,
-        /** Asks whether a vote would be granted; promises nothing. */
+        /** Checks whether a vote would be granted, without any promise. */
         PRE_VOTE,
         PRE_VOTE_REPLY,
-        /** A candidate asks for the promise to take nothing below its epoch. */
+        /** Requests the promise to reject messages of epochs below the candidate's. */
         VOTE,
         VOTE_REPLY,
-        /** Asks for the control state. */
+        /** Requests the control state. */
         FETCH,
         FETCH_REPLY,
-        /** A control state to be synced. */
+        /** A state update to be synced. */
         REPLICATE,
         REPLICATE_REPLY,
-        /** A membership to be synced, so that it takes effect. */
+        /** A membership to be synced; it takes effect once a quorum has synced it. */
         ACCEPT,
         ACCEPT_REPLY,
-        /** Asks for promises and the latest membership; from a replica that lost its disk, or is new. */
+        /** Requests the promise and the latest membership; sent by replicas that lost their disk or have no vote. */
         RECOVERY,
         RECOVERY_REPLY,
-        /** The sender is about to end, and wants to hold no data and, if a standby can take it, no vote. */
+        /** The sender is about to shut down: its data, and its vote if a standby is available, should move elsewhere. */
         LEAVING,
-        /** The primary is about to end: the receiver is to start an election at once. */
+        /** The primary is about to shut down: the receiver should start an election immediately. */
         HANDOVER
     }
 
@@ -83,7 +85,7 @@
                 NO_BODY);
     }
 
-    /** An update to be synced, for a disk of the given generation. */
+    /** An update to be synced by a replica whose disk has the given generation. */
     static ReplicaMessage replicate(StateUpdate update, long generation) {
         return of(Kind.REPLICATE, update.epoch())
                 .withLogPosition(update.epoch(), update.index())
@@ -91,7 +93,7 @@
                 .withBody(update.bytes());
     }
 
-    /** Whether both senders report the same end of the log on the same disk. */
+    /** Whether both messages report the same log position and disk generation. */
     boolean hasSameLogPosition(ReplicaMessage other) {
         return logEpoch.equals(other.logEpoch) && logIndex == other.logIndex && generation == other.generation;
     }
@@ -152,7 +154,7 @@
         return copy.build();
     }
 
-    /** A copy of a message, of which single fields are changed before it is built. */
+    /** Builds a modified copy of a message. */
     private static final class Builder {
         private final Kind kind;
         private final Epoch epoch;
--- a/src/main/java/quartzspan/replication/ReplicaRole.java
+++ b/src/main/java/quartzspan/replication/ReplicaRole.java
@@ -1,18 +1,18 @@
 package quartzspan.replication;
 
-/** What a replica does at present. */
+/** The current role of a replica. */
 public enum ReplicaRole {
-    /** The disk was lost, and with it what the replica had promised; it takes no part until it has recovered. */
+    /** Has lost its disk with its promises; does not take part until it has recovered. */
     RECOVERING("BLANK"),
-    /** It has no vote, and asks to be taken in. */
+    /** Has no vote and requests to join. */
     STANDBY("STANDBY"),
-    /** It accepts changes and answers reads. */
+    /** Accepts changes and serves reads. */
     PRIMARY("PRIMARY"),
-    /** It tries to become primary, or to change the membership. */
+    /** Runs an election to become primary or to change the membership. */
     CANDIDATE("CANDIDATE"),
-    /** It holds the control state and syncs each change before that is answered. */
+    /** Votes, holds the control state and syncs each change before it is acknowledged. */
     BACKUP("BACKUP"),
-    /** It votes and holds no control state. */
+    /** Votes, but holds no control state. */
     WITNESS("WITNESS");
 
     private final String statusName;
@@ -21,7 +21,7 @@
         this.statusName = statusName;
     }
 
-    /** The name in the status that operators read; it never changes. */
+    /** The name in the status shown to operators, which stays the same across versions. */
     public String statusName() {
         return statusName;
     }
--- a/src/main/java/quartzspan/replication/ReplicaStore.java
+++ b/src/main/java/quartzspan/replication/ReplicaStore.java
@@ -7,13 +7,13 @@
 import quartzspan.store.SlotStore;
 
 /**
- * Keeps a replica's records in a {@link SlotStore}: the latest voter record, the latest snapshot of the control state and the
- * entries since. Blocks.
+ * Stores a replica's records in a {@link SlotStore}: the latest voter record, the latest snapshot of the control state and the
+ * entries after it. Calls block on the disk.
  */
 public final class ReplicaStore {
-    /** The log is short: a start reads all of it. */
+    /** Bounds the log, since all of it is read at startup. */
     private static final long MAX_LOG_BYTES = 1024 * 1024;
-    /** A record larger than this goes into a slot at once. */
+    /** A larger record is written as a checkpoint and not appended to the log. */
     private static final int MAX_APPENDED_BYTES = 256 * 1024;
 
     private final SlotStore store;
@@ -23,11 +23,12 @@
     private boolean hasCheckpoint;
     private boolean discarded;
 
+    /** Creates a store; {@link #open} has to be called first. */
     public ReplicaStore(SlotStore store) {
         this.store = store;
     }
 
-    /** The records to begin with, oldest first. */
+    /** Opens the store and returns its records, oldest first. */
     public List<byte[]> open() {
         List<byte[]> all = new ArrayList<>();
         SlotStore.Contents contents = store.open();
@@ -52,7 +53,7 @@
         return records;
     }
 
-    /** Gives up what can't be read. */
+    /** Discards a store that can't be read. */
     public void discard() {
         store.discard();
         voterRecord = new byte[0];
@@ -62,7 +63,7 @@
         discarded = true;
     }
 
-    /** Whether what was kept could not be read, and was given up. */
+    /** Whether the stored records could not be read and were discarded. */
     public boolean discarded() {
         return discarded;
     }
@@ -79,9 +80,9 @@
     }
 
     /**
-     * Keeps a record for good.
+     * Writes a record durably.
      *
-     * @return whether the disk took it
+     * @return whether the write succeeded
      */
     public boolean persist(byte[] record) {
         byte[] previousVoterRecord = voterRecord;
--- a/src/main/java/quartzspan/replication/ReplyFactory.java
+++ b/src/main/java/quartzspan/replication/ReplyFactory.java
@@ -2,7 +2,7 @@
 
 import quartzspan.replication.ReplicaMessage.Kind;
 
-/** Makes replies that say what this replica has promised and how far its log reaches. */
+/** Creates replies with the promised epoch and the log position of this replica. */
 final class ReplyFactory {
     private final VoterState voter;
     private final ReplicaLog log;
@@ -12,7 +12,7 @@
         this.log = log;
     }
 
-    /** A reply; others learn of promises only once they are durable. */
+    /** A reply that reports only durable promises. */
     ReplicaMessage reply(Kind kind, Epoch epoch, boolean granted) {
         return ReplicaMessage.of(kind, epoch)
                 .withGranted(granted)
@@ -22,7 +22,7 @@
                 .withGenerations(voter.generations());
     }
 
-    /** A refusal, with the promise that it is made for. */
+    /** A rejection, which reports the current promise even if that is not durable yet. */
     ReplicaMessage rejection(Kind kind, Epoch epoch) {
         return reply(kind, epoch, false).withPromisedEpoch(voter.promisedEpoch(), voter.isRecovering());
     }
--- a/src/main/java/quartzspan/replication/StateUpdate.java
+++ b/src/main/java/quartzspan/replication/StateUpdate.java
@@ -9,13 +9,13 @@
 import quartzspan.replication.ChangeHistory.Entry;
 
 /**
- * An update of a replica's log: a snapshot of the control state, or the entries that lead to it from another state. It is the
- * record on disk and the body of messages between replicas.
+ * An update of a replica's log: a snapshot of the control state, or the entries that lead to it from another state. Used as the
+ * record on disk and as the body of messages between replicas.
  *
- * @param epoch with {@code index}: identifies the state that results
- * @param snapshot the complete state; null where there are entries
- * @param baseIndex with {@code baseEpoch}: identifies the state that the entries begin from
- * @param entries the entries, in order, up to {@code index}; empty where there is a snapshot
+ * @param epoch with {@code index}: identifies the resulting state
+ * @param snapshot the complete state; null if the update has entries
+ * @param baseIndex with {@code baseEpoch}: identifies the state to which the entries apply
+ * @param entries the entries, in order, up to {@code index}; empty if the update is a snapshot
  */
 public record StateUpdate(
         Epoch epoch, long index, byte[] snapshot, Epoch baseEpoch, long baseIndex, List<Entry> entries) {
@@ -25,12 +25,12 @@
     private static final byte CHANGE_TAG = 1;
     private static final int MIN_ENTRY_BYTES = 8 + 2 + 1;
 
-    /** A complete state. */
+    /** An update with a complete state. */
     static StateUpdate ofSnapshot(Epoch epoch, long index, ControlState state) {
         return new StateUpdate(epoch, index, state.bytes(), Epoch.NONE, -1, List.of());
     }
 
-    /** The entries after another state; there is one at least. */
+    /** An update with the entries after another state; there has to be at least one. */
     static StateUpdate ofEntries(Epoch baseEpoch, long baseIndex, List<Entry> entries) {
         Entry last = entries.get(entries.size() - 1);
         return new StateUpdate(last.epoch(), last.index(), null, baseEpoch, baseIndex, List.copyOf(entries));
@@ -40,7 +40,7 @@
         return snapshot != null;
     }
 
-    /** Binary form. */
+    /** Binary encoding, used on disk and in messages. */
     byte[] bytes() {
         byte[] epochText = utf8(epoch);
         byte[] baseText = utf8(baseEpoch);
@@ -89,9 +89,9 @@
     }
 
     /**
-     * Reads {@link #bytes}.
+     * Parses {@link #bytes}.
      *
-     * @throws FleetException if the bytes are no update
+     * @throws FleetException if the bytes are not a valid update
      */
     static StateUpdate parse(byte[] bytes) {
         try {
@@ -145,6 +145,8 @@
 
     private static FleetException malformed() {
         return new FleetException(
-                FleetException.Code.MESSAGE_INVALID, "a state update can't be read", "run the same version everywhere");
+                FleetException.Code.MESSAGE_INVALID,
+                "the encoded state update is truncated or malformed",
+                "run the same version everywhere");
     }
 }
--- a/src/main/java/quartzspan/replication/Timing.java
+++ b/src/main/java/quartzspan/replication/Timing.java
@@ -1,38 +1,41 @@
 package quartzspan.replication;
 
-/** The times of the replication protocol, in milliseconds of a steady clock. */
+/** Timeouts and intervals of the replication protocol, in milliseconds of a steady clock. */
 final class Timing {
-    /** Time between heartbeats. */
+    /** Interval between heartbeats. */
     static final long HEARTBEAT_MS = 150;
-    /** Time between retries of a request that was not answered. */
+    /** Interval between retries of an unanswered request. */
     static final long RETRY_MS = 250;
-    /** A primary without a quorum for so long steps down; longer than one heartbeat that was lost and one that was late. */
+    /** A primary steps down after this time without a quorum; allows for one lost and one late heartbeat. */
     static final long QUORUM_TIMEOUT_MS = 700;
-    /** A replica grants no vote while it has heard the primary within this time (leader stickiness). */
+    /** A replica grants no vote if it had contact with the primary within this time (leader stickiness). */
     static final long VOTE_STICKINESS_MS = 500;
-    /** Time without a heartbeat after which an election may be started, and the most that is added at random. */
+    /** Time without contact to a primary after which an election may be started. */
     static final long ELECTION_TIMEOUT_MS = 700;
-
+    /** Upper bound of the random delay before an election. */
     static final long ELECTION_TIMEOUT_JITTER_MS = 500;
-    /** A granted vote counts as a heartbeat that is already so old: it defers other elections for a moment. */
+    /** A granted vote counts as a heartbeat of this age, which briefly defers elections by the voter. */
     static final long ELECTION_DEFERRAL_AGE_MS = 350;
-    /** A backup that was not heard for so long is replaced by another replica. */
+    /** A backup without contact for this time is replaced by another replica. */
     static final long BACKUP_TIMEOUT_MS = 600;
-    /** A voter that was not heard for so long is replaced by a standby for good. */
+    /** A voter without contact for this time is permanently replaced by a standby. */
     static final long VOTER_TIMEOUT_MS = 2_000;
-    /** The same where there is one voter more than needed, and none replaces it: an even set has no slack. */
+    /**
+     * The same if there is a spare voter, so that the voter can be removed without a replacement. Shorter, since an even number of
+     * voters leaves no slack.
+     */
     static final long SPARE_VOTER_TIMEOUT_MS = 1_000;
-    /** A standby becomes a spare voter after this; by then it has replaced any voter that is not heard. */
+    /** A standby becomes a spare voter after this time, by when it would have replaced any unresponsive voter. */
     static final long STANDBY_PROMOTION_DELAY_MS = 2_500;
-    /** Time allowed for one step of an election. */
+    /** Timeout of one step of an election. */
     static final long ELECTION_STEP_TIMEOUT_MS = 900;
-    /** Time allowed for a step that transfers a complete control state. */
+    /** Timeout of an election step that transfers a complete control state. */
     static final long STATE_TRANSFER_TIMEOUT_MS = 2_500;
-    /** A disk that takes longer than this for a record makes its replica step down. */
+    /** A replica steps down if its disk takes longer than this to write a record. */
     static final long DISK_TIMEOUT_MS = 800;
-    /** Large states take longer to write, send and read: bytes that add one millisecond. */
+    /** State size that extends a timeout by one millisecond, since large states take longer to write, send and read. */
     static final long STATE_BYTES_PER_MS = 4096;
-    /** Time without elections after the own disk refused a record. */
+    /** Time for which a replica starts no elections after its disk failed or was too slow. */
     static final long ELECTION_PAUSE_MS = 1_500;
 
     private Timing() {}
--- a/src/main/java/quartzspan/replication/VoterState.java
+++ b/src/main/java/quartzspan/replication/VoterState.java
@@ -5,24 +5,24 @@
 import java.util.TreeMap;
 
 /**
- * What a replica has promised and which membership it knows, in memory and on its disk.
+ * The promised epoch and the newest known membership of a replica, in memory and on disk.
  *
- * <p>A replica whose disk is lost begins a new <em>generation</em>. The others note it durably before they help it to recover,
- * and name the generations that they know in each vote and acceptance. A vote that was given before the loss is thereby known
- * to be void to any candidate that would count it together with one of theirs.
+ * <p>A replica that lost its disk begins a new disk <em>generation</em>. The other replicas record it durably before they help the
+ * replica to recover, and report the generations they know with each vote and acceptance. A candidate thus detects a vote that
+ * was granted before the disk loss, and does not count it together with such a reply.
  */
 final class VoterState {
-    /** The tag of the record on disk. */
+    /** First byte of the record on disk. */
     static final byte RECORD_TAG = 'V';
 
     private static final String LINE_SEPARATOR = "\n";
     private static final int FIELDS = 5;
 
     /**
-     * One incarnation of a disk.
+     * Identifies the contents of a disk from one loss to the next.
      *
-     * @param generation how often the disk was lost before
-     * @param nonce drawn at random at the first start with an empty disk
+     * @param generation number of times that the disk was lost before
+     * @param nonce random number drawn when recovery with an empty disk begins
      */
     record DiskIncarnation(long generation, long nonce) {
         static final DiskIncarnation FIRST = new DiskIncarnation(0, 0);
@@ -55,17 +55,17 @@
         return promisedEpoch;
     }
 
-    /** The newest membership known here. */
+    /** The newest known membership. */
     Membership membership() {
         return membership;
     }
 
-    /** The highest promise that is on the disk: other replicas learn of no other. */
+    /** The highest promise on disk; replies that grant a request report no other. */
     Epoch durablePromisedEpoch() {
         return durablePromisedEpoch;
     }
 
-    /** The newest membership that is on the disk: other replicas learn of no other. */
+    /** The newest membership on disk; replies report no other. */
     Membership durableMembership() {
         return durableMembership;
     }
@@ -78,7 +78,7 @@
         return diskIncarnation.nonce();
     }
 
-    /** Whether the disk was lost, and what was promised has not been learnt again. */
+    /** Whether the disk was lost and the promises on it have not been recovered yet. */
     boolean isRecovering() {
         return recovering;
     }
@@ -91,19 +91,19 @@
         recovering = value;
     }
 
-    /** Promises to take nothing below an epoch; takes effect for others once it is persisted. */
+    /** Promises to reject requests below an epoch; the promise may be reported once it is persisted. */
     void promise(Epoch epoch) {
         promisedEpoch = Epoch.max(promisedEpoch, epoch);
     }
 
-    /** Learns a membership if it is newer than the one known. */
+    /** Adopts a membership if it supersedes the known one. */
     void adoptIfNewer(Membership newer) {
         if (newer.supersedes(membership)) {
             membership = newer;
         }
     }
 
-    /** How often the disks of others were lost, as far as is known here. */
+    /** Known disk generations of the other replicas, by name. */
     Map<String, Long> generations() {
         Map<String, Long> all = new TreeMap<>();
         peerIncarnations.forEach((name, known) -> all.put(name, known.generation()));
@@ -111,9 +111,9 @@
     }
 
     /**
-     * Notes that another replica's disk was lost; to be persisted before that replica is answered.
+     * Records that another replica lost its disk; has to be persisted before the reply to that replica is sent.
      *
-     * @return whether this incarnation is the newest known of that disk
+     * @return whether the claimed incarnation is the newest known one of that disk
      */
     boolean recordIncarnation(String name, DiskIncarnation claimed) {
         DiskIncarnation known = peerIncarnations.get(name);
@@ -124,7 +124,7 @@
         return claimed.equals(known);
     }
 
-    /** Writes all of this to the disk. */
+    /** Writes the promise, the membership and the known incarnations to disk. */
     void persist(long nowMs, DiskQueue.Completion completion) {
         Epoch promise = promisedEpoch;
         Membership known = membership;
@@ -148,7 +148,7 @@
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Forgets everything. */
+    /** Resets all fields except the recovering flag. */
     void clear() {
         promisedEpoch = Epoch.NONE;
         membership = Membership.NONE;
@@ -158,7 +158,7 @@
         peerIncarnations.clear();
     }
 
-    /** Reads a record of {@link #persist} at a start. */
+    /** Loads a record written by {@link #persist}. */
     void restore(byte[] record) {
         String[] fields = new String(record, StandardCharsets.UTF_8).split(LINE_SEPARATOR, -1);
         if (fields.length != FIELDS) {
--- a/src/main/java/quartzspan/replication/package-info.java
+++ b/src/main/java/quartzspan/replication/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The replicated control state: epochs, elections, memberships, the log. No clock, no I/O.
+ * The replicated control state and its consensus protocol: epochs, elections, memberships, the log. No clock; only
+ * {@link quartzspan.replication.ReplicaStore} does I/O.
  *
  * <p>Owns the control state of one core machine. May import {@code common}, {@code configuration} and {@code store}.
  */
