--- a/src/main/java/quartzspan/replication/CandidateState.java
+++ b/src/main/java/quartzspan/replication/CandidateState.java
@@ -246,8 +246,7 @@
             countVotes();
         } else if (reply.membership().supersedes(latestMembership)
                 && !reply.membership().epoch().equals(epoch)) {
-            // The voter accepted this membership before its vote: the fetched state may lack changes of that
-            // membership.
+            // The voter accepted this membership before its vote, so the fetched state may lack changes of it.
             voter.adoptIfNewer(reply.membership());
             listener.abandoned();
         }
--- a/src/main/java/quartzspan/replication/FollowerState.java
+++ b/src/main/java/quartzspan/replication/FollowerState.java
@@ -45,9 +45,8 @@
         this.peers = peers;
         this.replies = replies;
         this.transitions = transitions;
-        // A running primary sends a heartbeat within this shorter timeout. After a power loss of all replicas there is
-        // no
-        // primary to wait for.
+        // A running primary sends a heartbeat within this shorter timeout of two heartbeat intervals.
+        // After a power loss of all replicas there is no primary to wait for.
         this.lastPrimaryContactAtMs = context.nowMs() - Timing.ELECTION_TIMEOUT_MS + 2 * Timing.HEARTBEAT_MS;
     }
 
@@ -168,9 +167,8 @@
         replaceable = heartbeat.granted();
         peers.mergeReportedContacts(context.nowMs(), heartbeat.sinceLastContactMs());
         if (voter.isRecovering()) {
-            // The membership lists the replicas to send recovery requests to. A reply would acknowledge an epoch, which
-            // a
-            // recovering replica must not do.
+            // The membership lists the replicas to send recovery requests to.
+            // No reply is sent: it would acknowledge an epoch.
             voter.adoptIfNewer(membership);
             return;
         }
--- a/src/main/java/quartzspan/replication/PrimaryState.java
+++ b/src/main/java/quartzspan/replication/PrimaryState.java
@@ -197,8 +197,7 @@
             return;
         }
         if (!reply.granted()) {
-            // The voter promised a higher epoch that did not take effect. It accepts this primary only with a still
-            // higher one.
+            // The voter promised a higher epoch that did not take effect, so it only accepts a still higher one.
             if (reply.promisedEpoch().isAbove(voter.promisedEpoch())) {
                 voter.promise(reply.promisedEpoch());
                 listener.changeMembership(reconfigurationPolicy.election(null, Set.of()));
