--- a/src/main/java/quartzspan/replication/CandidateState.java
+++ b/src/main/java/quartzspan/replication/CandidateState.java
@@ -10,21 +10,21 @@
 import quartzspan.replication.ReplicaMessage.Kind;
 
 /**
- * One attempt of a replica to become primary, or of a primary to change its membership.
+ * An election: one attempt of a replica to become primary, or of a primary to change its membership.
  *
  * <ol>
- *   <li>Pre-vote: asks whether a quorum would grant an epoch; promises nothing, so that a replica that hears nobody deposes
- *       nobody.
- *   <li>Vote: a quorum promises, durably, to take nothing below the epoch, and names the latest membership it knows.
- *   <li>Fetch: the state of one data replica of that membership is taken over. It has all changes that were ever acknowledged,
- *       since a change is acknowledged only when every data replica has it, and this one takes nothing of the old membership any
- *       more.
+ *   <li>Pre-vote: checks whether a quorum would grant an epoch, without any promise, so that an isolated replica cannot depose
+ *       a working primary.
+ *   <li>Vote: a quorum durably promises to reject requests of lower epochs, and reports the latest membership it knows.
+ *   <li>Fetch: copies the state of one data replica of that membership. This replica has every acknowledged change, since a
+ *       change is acknowledged only once every data replica has synced it, and after its vote it accepts no further changes of
+ *       the old membership.
  *   <li>Replicate: the data replicas of the next membership sync the state.
- *   <li>Accept: a quorum of the next membership, and of the voters before it, syncs the membership. Then it is in effect.
+ *   <li>Accept: a quorum of the next membership, and of the voters before it, syncs the membership, which is then in effect.
  * </ol>
  */
 final class CandidateState {
-    /** The steps, in their order. */
+    /** The steps of an election, in order. */
     enum Step {
         PRE_VOTE,
         VOTE,
@@ -33,7 +33,7 @@
         ACCEPT
     }
 
-    /** The outcome of an election; called once. */
+    /** Receives the result of an election; called once. */
     interface Listener {
         /** The membership is in effect. */
         void elected(Membership membership);
@@ -41,8 +41,8 @@
         /** The election has failed. */
         void abandoned();
 
-        /** The own disk refused a record. */
-        void diskRefused();
+        /** A write to the local disk failed. */
+        void diskFailed();
     }
 
     private final ReplicaContext context;
@@ -53,69 +53,69 @@
     private final Listener listener;
 
     private Step step;
-    private long stepSinceMs;
+    private long stepStartedAtMs;
     private long retryAtMs;
     private Epoch epoch;
     private final ElectionReplies replies;
-    /** The log positions that the next data replicas have reported. */
+    /** The last log position reported by each voter. */
     private final Map<String, ReplicaMessage> reportedPositions = new TreeMap<>();
 
-    private final Set<String> synced = new TreeSet<>();
-    /** The latest membership that the votes have named. */
-    private Membership latest;
+    private final Set<String> syncedReplicas = new TreeSet<>();
+    /** The latest membership reported with the votes. */
+    private Membership latestMembership;
 
-    private Membership next;
-    private List<String> wantedVoters;
-    /** The replica whose state is taken over. */
-    private String source;
+    private Membership nextMembership;
+    private List<String> targetVoters;
+    /** The data replica whose state is fetched. */
+    private String stateSource;
 
     CandidateState(ReplicaContext context, VoterState voter, ReplicaLog log, ElectionPlan plan, Listener listener) {
         this.context = context;
         this.voter = voter;
         this.log = log;
         this.plan = plan;
-        this.planner = new MembershipPlanner(context.self(), context.losses(), plan);
+        this.planner = new MembershipPlanner(context.self(), context.toleratedFailures(), plan);
         this.replies = new ElectionReplies(voter);
         this.listener = listener;
-        this.wantedVoters = plan.voters();
-        this.latest = voter.membership();
+        this.targetVoters = plan.voters();
+        this.latestMembership = voter.membership();
     }
 
-    private void enter(Step entered) {
-        step = entered;
-        stepSinceMs = context.now();
-        retryAtMs = context.now() + Timing.RETRY_MS;
+    private void enterStep(Step newStep) {
+        step = newStep;
+        stepStartedAtMs = context.nowMs();
+        retryAtMs = context.nowMs() + Timing.RETRY_MS;
         replies.clear();
     }
 
     void onTick() {
-        long now = context.now();
+        long nowMs = context.nowMs();
         boolean transfersState = step == Step.FETCH || step == Step.REPLICATE;
         long timeoutMs = transfersState ? Timing.STATE_TRANSFER_TIMEOUT_MS : Timing.ELECTION_STEP_TIMEOUT_MS;
-        if (now - stepSinceMs > timeoutMs) {
+        if (nowMs - stepStartedAtMs > timeoutMs) {
             listener.abandoned();
-        } else if (now >= retryAtMs) {
-            retryAtMs = now + Timing.RETRY_MS;
+        } else if (nowMs >= retryAtMs) {
+            retryAtMs = nowMs + Timing.RETRY_MS;
             resend();
         }
     }
 
-    /** Sends the current step's request again to those it may not have reached. */
+    /** Resends the request of the current step to the replicas that have not replied. */
     private void resend() {
         switch (step) {
-            case PRE_VOTE -> requestFromSilent(Kind.PRE_VOTE);
+            case PRE_VOTE -> requestMissingReplies(Kind.PRE_VOTE);
             case VOTE -> {
                 if (replies.contains(context.self())) {
-                    requestFromSilent(Kind.VOTE);
+                    requestMissingReplies(Kind.VOTE);
                 }
             }
             case FETCH -> {
-                remindVoters();
+                resendVoteRequests();
                 fetch();
             }
             case REPLICATE -> {
-                remindVoters();
-                if (synced.contains(context.self())) {
+                resendVoteRequests();
+                if (syncedReplicas.contains(context.self())) {
                     replicateToAll();
                 }
             }
@@ -124,11 +124,11 @@
                     sendAccept();
                 }
             }
-            default -> throw new IllegalStateException("unknown step " + step);
+            default -> throw new IllegalStateException("unknown election step " + step);
         }
     }
 
-    private void requestFromSilent(Kind kind) {
+    private void requestMissingReplies(Kind kind) {
         for (String name : electorate()) {
             if (!replies.contains(name)) {
                 context.send(name, request(kind));
@@ -137,32 +137,30 @@
     }
 
     private ReplicaMessage request(Kind kind) {
-        return ReplicaMessage.of(kind, epoch).withGranted(plan.handedOver()).withMembership(latest);
+        return ReplicaMessage.of(kind, epoch).withGranted(plan.handedOver()).withMembership(latestMembership);
     }
 
-    /** Voters that hear of this election again and again start none themselves. */
-    private void remindVoters() {
+    /** Repeated vote requests keep the voters from starting elections of their own. */
+    private void resendVoteRequests() {
         electorate().forEach(name -> context.send(name, request(Kind.VOTE)));
     }
 
-    /** All replicas whose vote may count, but this one. */
+    /** All other replicas whose vote may count. */
     private Set<String> electorate() {
-        Set<String> all = new LinkedHashSet<>(latest.electorate());
+        Set<String> all = new LinkedHashSet<>(latestMembership.electorate());
         all.addAll(voter.membership().electorate());
-        if (wantedVoters != null) {
-            all.addAll(wantedVoters);
+        if (targetVoters != null) {
+            all.addAll(targetVoters);
         }
         all.remove(context.self());
         return all;
     }
 
-    // ---- pre-vote ------------------------------------------------------------------------------------
-
     void startWithPreVote() {
-        enter(Step.PRE_VOTE);
+        enterStep(Step.PRE_VOTE);
         epoch = nextEpoch();
         replies.put(context.self(), ownReply(Kind.PRE_VOTE_REPLY));
-        requestFromSilent(Kind.PRE_VOTE);
+        requestMissingReplies(Kind.PRE_VOTE);
         countPreVotes();
     }
 
@@ -171,8 +169,8 @@
     }
 
     private void onPreVoteReply(String from, ReplicaMessage reply) {
-        voter.learn(reply.membership());
-        latest = voter.membership();
+        voter.adoptIfNewer(reply.membership());
+        latestMembership = voter.membership();
         replies.put(from, reply);
         if (!isVoter()) {
             listener.abandoned();
@@ -184,36 +182,34 @@
         }
     }
 
-    /** Whether the latest membership has this replica among its voters; else it has been removed. */
+    /** Whether this replica is a voter of the latest membership; if not, it has been removed. */
     private boolean isVoter() {
-        return latest.voters().contains(context.self());
+        return latestMembership.voters().contains(context.self());
     }
 
     private void countPreVotes() {
-        if (step == Step.PRE_VOTE && latest.isQuorum(replies.granting())) {
+        if (step == Step.PRE_VOTE && latestMembership.isQuorum(replies.granting())) {
             startWithVote();
         }
     }
 
-    // ---- vote ----------------------------------------------------------------------------------------
-
     void startWithVote() {
-        enter(Step.VOTE);
+        enterStep(Step.VOTE);
         epoch = nextEpoch();
         voter.promise(epoch);
-        persistVoter(Step.VOTE, () -> {
+        persistVoterState(Step.VOTE, () -> {
             replies.put(context.self(), ownReply(Kind.VOTE_REPLY));
-            requestFromSilent(Kind.VOTE);
+            requestMissingReplies(Kind.VOTE);
             countVotes();
         });
     }
 
-    /** Persists what this replica promises and knows, and goes on if the election is still at the step. */
-    private void persistVoter(Step atStep, Runnable whenDurable) {
-        voter.persist(context.now(), continueAt(atStep, whenDurable));
+    /** Persists the voter state, then continues if the election is still at this step. */
+    private void persistVoterState(Step atStep, Runnable whenDurable) {
+        voter.persist(context.nowMs(), ifStillAt(atStep, whenDurable));
     }
 
-    private DiskQueue.Completion continueAt(Step atStep, Runnable whenDurable) {
+    private DiskQueue.Completion ifStillAt(Step atStep, Runnable whenDurable) {
         Epoch atEpoch = epoch;
         return durable -> {
             boolean current = context.isCurrent(this) && step == atStep && epoch.equals(atEpoch);
@@ -223,7 +219,7 @@
             if (durable) {
                 whenDurable.run();
             } else {
-                listener.diskRefused();
+                listener.diskFailed();
             }
         };
     }
@@ -248,10 +244,10 @@
         if (step == Step.VOTE) {
             replies.put(from, reply);
             countVotes();
-        } else if (reply.membership().supersedes(latest)
+        } else if (reply.membership().supersedes(latestMembership)
                 && !reply.membership().epoch().equals(epoch)) {
-            // It was accepted before this vote: the state taken over may lack what it has acknowledged.
-            voter.learn(reply.membership());
+            // The voter accepted this membership before its vote, so the fetched state may lack changes of it.
+            voter.adoptIfNewer(reply.membership());
             listener.abandoned();
         }
     }
@@ -263,18 +259,18 @@
         Set<String> granting = replies.granting();
         adoptLatestMembership(granting);
         if (!isVoter()) {
-            voter.learn(latest);
+            voter.adoptIfNewer(latestMembership);
             listener.abandoned();
             return;
         }
-        if (!latest.isQuorum(granting)) {
+        if (!latestMembership.isQuorum(granting)) {
             return;
         }
-        String mostComplete = planner.mostCompleteReplica(latest, granting, replies.byReplica());
+        String mostComplete = planner.mostCompleteReplica(latestMembership, granting, replies.byReplica());
         if (mostComplete != null) {
             reportedPositions.clear();
             reportedPositions.putAll(replies.byReplica());
-            takeOver(mostComplete, granting);
+            startFetch(mostComplete, granting);
         }
     }
 
@@ -284,36 +280,34 @@
             Membership reported = replies.byReplica().get(name).membership();
             newest = reported.supersedes(newest) ? reported : newest;
         }
-        if (!newest.epoch().equals(latest.epoch())) {
-            // The wanted voters were worked out from another membership.
-            wantedVoters = null;
+        if (!newest.epoch().equals(latestMembership.epoch())) {
+            // The target voters were derived from another membership.
+            targetVoters = null;
         }
-        latest = newest;
+        latestMembership = newest;
     }
 
-    // ---- fetch ---------------------------------------------------------------------------------------
-
-    private void takeOver(String from, Set<String> granting) {
-        Membership planned = planner.next(epoch, latest, wantedVoters, granting);
-        if (planned == null) {
+    private void startFetch(String from, Set<String> granting) {
+        Membership plannedMembership = planner.nextMembership(epoch, latestMembership, targetVoters, granting);
+        if (plannedMembership == null) {
             return;
         }
-        next = planned;
-        source = from;
-        enter(Step.FETCH);
+        nextMembership = plannedMembership;
+        stateSource = from;
+        enterStep(Step.FETCH);
         fetch();
     }
 
     private void fetch() {
-        if (source.equals(context.self())) {
+        if (stateSource.equals(context.self())) {
             replicate(null);
             return;
         }
-        context.send(source, ReplicaMessage.of(Kind.FETCH, epoch).withLogPosition(log.epoch(), log.index()));
+        context.send(stateSource, ReplicaMessage.of(Kind.FETCH, epoch).withLogPosition(log.epoch(), log.index()));
     }
 
     private void onFetchReply(String from, ReplicaMessage reply) {
-        if (step != Step.FETCH || !from.equals(source) || reply.logEpoch().isBelow(latest.epoch())) {
+        if (step != Step.FETCH || !from.equals(stateSource) || reply.logEpoch().isBelow(latestMembership.epoch())) {
             return;
         }
         StateUpdate update = StateUpdate.parse(reply.body());
@@ -322,24 +316,22 @@
         }
     }
 
-    // ---- replicate -----------------------------------------------------------------------------------
-
-    /** Writes the state taken over, in the new epoch, here first and then at the other data replicas. */
+    /** Writes the fetched state under the new epoch, first to the local disk and then to the other data replicas. */
     private void replicate(StateUpdate fetched) {
         if (log.isAppending()) {
             return;
         }
-        enter(Step.REPLICATE);
-        synced.clear();
-        StateUpdate update = inNewEpoch(fetched);
-        log.append(context.now(), update, log.stateAfter(update), continueAt(Step.REPLICATE, () -> {
-            synced.add(context.self());
+        enterStep(Step.REPLICATE);
+        syncedReplicas.clear();
+        StateUpdate update = withEpochEntry(fetched);
+        log.append(context.nowMs(), update, log.stateAfter(update), ifStillAt(Step.REPLICATE, () -> {
+            syncedReplicas.add(context.self());
             replicateToAll();
             countSynced();
         }));
     }
 
-    private StateUpdate inNewEpoch(StateUpdate fetched) {
+    private StateUpdate withEpochEntry(StateUpdate fetched) {
         if (fetched == null) {
             return log.nextEntry(epoch, null);
         }
@@ -352,7 +344,9 @@
     }
 
     private void replicateToAll() {
-        next.dataReplicas().stream().filter(name -> !synced.contains(name)).forEach(this::replicateTo);
+        nextMembership.dataReplicas().stream()
+                .filter(name -> !syncedReplicas.contains(name))
+                .forEach(this::replicateTo);
     }
 
     private void replicateTo(String to) {
@@ -366,33 +360,31 @@
             return;
         }
         if (reply.granted()) {
-            if (reply.logIndex() == log.index() && synced.contains(context.self())) {
-                synced.add(from);
+            if (reply.logIndex() == log.index() && syncedReplicas.contains(context.self())) {
+                syncedReplicas.add(from);
                 countSynced();
             }
         } else if (reply.promisedEpoch().isAbove(epoch)) {
             voter.promise(reply.promisedEpoch());
             listener.abandoned();
         } else if (reportedPositions.containsKey(from)) {
-            boolean changed = !reportedPositions.put(from, reply).hasSameLogPosition(reply);
-            if (changed && synced.contains(context.self())) {
+            boolean positionChanged = !reportedPositions.put(from, reply).hasSameLogPosition(reply);
+            if (positionChanged && syncedReplicas.contains(context.self())) {
                 replicateTo(from);
             }
         }
     }
 
     private void countSynced() {
-        if (step == Step.REPLICATE && synced.containsAll(next.dataReplicas())) {
+        if (step == Step.REPLICATE && syncedReplicas.containsAll(nextMembership.dataReplicas())) {
             accept();
         }
     }
 
-    // ---- accept --------------------------------------------------------------------------------------
-
     private void accept() {
-        enter(Step.ACCEPT);
-        voter.learn(next);
-        persistVoter(Step.ACCEPT, () -> {
+        enterStep(Step.ACCEPT);
+        voter.adoptIfNewer(nextMembership);
+        persistVoterState(Step.ACCEPT, () -> {
             replies.put(context.self(), ownReply(Kind.ACCEPT_REPLY));
             sendAccept();
             countAcceptances();
@@ -400,9 +392,9 @@
     }
 
     private void sendAccept() {
-        for (String name : next.electorate()) {
+        for (String name : nextMembership.electorate()) {
             if (!replies.contains(name)) {
-                context.send(name, ReplicaMessage.of(Kind.ACCEPT, epoch).withMembership(next));
+                context.send(name, ReplicaMessage.of(Kind.ACCEPT, epoch).withMembership(nextMembership));
             }
         }
     }
@@ -421,12 +413,12 @@
     }
 
     private void countAcceptances() {
-        if (step == Step.ACCEPT && next.isQuorum(replies.granting())) {
-            listener.elected(next);
+        if (step == Step.ACCEPT && nextMembership.isQuorum(replies.granting())) {
+            listener.elected(nextMembership);
         }
     }
 
-    /** A reply to one of this election's requests; replies to others are ignored. */
+    /** Handles a reply to a request of this election; replies to other elections are ignored. */
     void onReply(String from, ReplicaMessage reply) {
         if (!reply.epoch().equals(epoch)) {
             return;
@@ -441,7 +433,7 @@
             case FETCH_REPLY -> onFetchReply(from, reply);
             case REPLICATE_REPLY -> onReplicateReply(from, reply);
             case ACCEPT_REPLY -> onAcceptReply(from, reply);
-            default -> throw new IllegalStateException("not a reply to a candidate: " + reply.kind());
+            default -> throw new IllegalStateException("unexpected reply kind for a candidate: " + reply.kind());
         }
     }
 }
--- a/src/main/java/quartzspan/replication/Change.java
+++ b/src/main/java/quartzspan/replication/Change.java
@@ -7,11 +7,14 @@
 /**
  * A requested change of the control state.
  *
- * @param base the configuration version that it builds on; 0 where it builds on none
- * @param body the request's body, as it was sent
+ * @param baseVersion the configuration version that the change is based on; 0 if it is based on none
+ * @param body the unmodified body of the request
  */
-public record Change(Kind kind, long base, byte[] body) {
-    /** What is changed: the complete configuration, some items of it, named weights, or the holder of the rollout lease. */
+public record Change(Kind kind, long baseVersion, byte[] body) {
+    /**
+     * The changed part: the complete configuration, some items of it, a weights version, or the holder of the weights rollout.
+     * The ordinal is part of the encoding, so the order has to stay.
+     */
     public enum Kind {
         REPLACE,
         UPDATE,
@@ -19,18 +22,18 @@
         ROLLOUT_CLAIM
     }
 
-    private static final int HEAD_BYTES = 1 + 8 + 4;
+    private static final int HEADER_BYTES = 1 + 8 + 4;
 
-    /** Number of bytes that {@link #writeTo} writes. */
+    /** Size in bytes of the encoding written by {@link #writeTo}. */
     int size() {
-        return HEAD_BYTES + body.length;
+        return HEADER_BYTES + body.length;
     }
 
     void writeTo(ByteBuffer out) {
-        out.put((byte) kind.ordinal()).putLong(base).putInt(body.length).put(body);
+        out.put((byte) kind.ordinal()).putLong(baseVersion).putInt(body.length).put(body);
     }
 
-    /** Binary form, used on disk and between processes. */
+    /** Binary encoding, used on disk and in messages. */
     public byte[] bytes() {
         ByteBuffer out = ByteBuffer.allocate(size());
         writeTo(out);
@@ -38,9 +41,9 @@
     }
 
     /**
-     * Reads {@link #bytes}.
+     * Parses {@link #bytes}.
      *
-     * @throws FleetException if the bytes are no change
+     * @throws FleetException if the bytes are not a valid change
      */
     public static Change parse(byte[] bytes) {
         return readFrom(ByteBuffer.wrap(bytes));
@@ -49,21 +52,23 @@
     static Change readFrom(ByteBuffer in) {
         try {
             int kind = in.get();
-            long base = in.getLong();
+            long baseVersion = in.getLong();
             int length = in.getInt();
             if (kind < 0 || kind >= Kind.values().length || length < 0 || length > in.remaining()) {
-                throw unreadable();
+                throw malformed();
             }
             byte[] body = new byte[length];
             in.get(body);
-            return new Change(Kind.values()[kind], base, body);
+            return new Change(Kind.values()[kind], baseVersion, body);
         } catch (BufferUnderflowException e) {
-            throw unreadable();
+            throw malformed();
         }
     }
 
-    private static FleetException unreadable() {
+    private static FleetException malformed() {
         return new FleetException(
-                FleetException.Code.MESSAGE_INVALID, "a change can't be read", "run the same version everywhere");
+                FleetException.Code.MESSAGE_INVALID,
+                "the encoded change is truncated or malformed",
+                "run the same version everywhere");
     }
 }
--- a/src/main/java/quartzspan/replication/ControlState.java
+++ b/src/main/java/quartzspan/replication/ControlState.java
@@ -17,19 +17,19 @@
 import quartzspan.configuration.JsonFields;
 
 /**
- * The control state, as an immutable value: the configuration in effect, the digest of the change accepted under each version,
- * the weights named, and the claim of the weights rollout.
+ * The replicated control state, an immutable value: the configuration in effect, the digests of accepted changes by version, the
+ * current weights version of each model, and the holder of the weights rollout.
  */
 public final class ControlState {
-    /** Number of accepted versions whose digests are kept, to recognise a change that is sent again. */
+    /** Number of retained digests of accepted changes, which identify a change that is submitted again. */
     private static final int MAX_ACCEPTED_DIGESTS = 4096;
-    /** Before the first change. */
+    /** The state before the first change. */
     public static final ControlState EMPTY =
             new ControlState(Configuration.NONE, new TreeMap<>(), 0, new TreeMap<>(), "", 0);
 
     private final Configuration configuration;
     private final NavigableMap<Long, Long> acceptedDigests;
-    /** The highest version whose digest was dropped. */
+    /** The highest version whose digest is no longer retained. */
     private final long highestDroppedVersion;
 
     private final Map<String, Long> weights;
@@ -56,25 +56,25 @@
         return configuration;
     }
 
-    /** Versions of weights that were named, by model. */
+    /** Current weights version of each model. */
     public Map<String, Long> weights() {
         return weights;
     }
 
-    /** The replica that last claimed the rollout of weights; empty if none did. */
+    /** The replica that last claimed the weights rollout; empty if none has. */
     public String rolloutHolder() {
         return rolloutHolder;
     }
 
-    /** Rises with every claim of the rollout, so that no two claims share one. */
+    /** Incremented with every claim of the rollout, so that each claim has a token of its own. */
     public long fencingToken() {
         return fencingToken;
     }
 
     /**
-     * The state after a change; this same object if the change is in it already.
+     * The state after a change; this object itself if the change has already been applied.
      *
-     * @throws FleetException if the change is invalid or builds on another version
+     * @throws FleetException if the change is invalid or is based on another version
      */
     public ControlState with(Change change) {
         if (change.kind() == Change.Kind.ROLLOUT_CLAIM) {
@@ -90,29 +90,30 @@
         long digest = Hashing.xxh3_64()
                 .hashStream()
                 .putLong(change.kind().ordinal())
-                .putLong(change.base())
+                .putLong(change.baseVersion())
                 .putBytes(change.body())
                 .getAsLong();
-        Long before = acceptedDigests.get(version);
-        if (before != null && before == digest) {
+        Long acceptedDigest = acceptedDigests.get(version);
+        if (acceptedDigest != null && acceptedDigest == digest) {
             return this;
         }
-        if (before == null && version <= highestDroppedVersion) {
+        if (acceptedDigest == null && version <= highestDroppedVersion) {
             throw new FleetException(
                     FleetException.Code.ORDER_FORGOTTEN,
-                    "version " + version + " is older than the changes that are remembered",
+                    "version " + version + " is older than the retained history of accepted changes",
                     "read the configuration in effect with Configuration.Describe");
         }
-        if (change.base() != configuration.version()) {
+        if (change.baseVersion() != configuration.version()) {
             throw new FleetException(
                     FleetException.Code.CONFIG_STALE,
-                    "version " + configuration.version() + " is in effect, not " + change.base(),
-                    "read it with Configuration.Describe and build on it");
+                    "the change is based on version " + change.baseVersion() + ", but version "
+                            + configuration.version() + " is in effect",
+                    "read the configuration in effect with Configuration.Describe and base the change on its version");
         }
         if (version <= configuration.version()) {
             throw new FleetException(
                     FleetException.Code.CONFIG_INVALID,
-                    "version " + version + " is not above " + configuration.version(),
+                    "version " + version + " is not above version " + configuration.version() + ", which is in effect",
                     "give the change a higher version");
         }
         Configuration next =
@@ -132,8 +133,8 @@
         if (model.isEmpty() || version < 1) {
             throw new FleetException(
                     FleetException.Code.CONFIG_INVALID,
-                    "model or version is missing",
-                    "send model as a text and version as a whole number from 1 up");
+                    "field model or version is missing or invalid",
+                    "send model as a non-empty string and version as an integer of at least 1");
         }
         if (weights.getOrDefault(model, 0L) >= version) {
             return this;
@@ -144,27 +145,27 @@
                 configuration, acceptedDigests, highestDroppedVersion, next, rolloutHolder, fencingToken);
     }
 
-    /** About as many bytes as {@link #bytes} has. */
+    /** Approximate size of {@link #bytes}; leaves out the weights. */
     long size() {
         return configuration.bytes().length + (long) acceptedDigests.size() * 2 * Long.BYTES;
     }
 
-    /** Binary form, written to disk and sent to other replicas. */
+    /** Binary encoding, written to disk and sent to other replicas. */
     public byte[] bytes() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
-            byte[] document = configuration.bytes();
-            out.writeInt(document.length);
-            out.write(document);
+            byte[] configurationBytes = configuration.bytes();
+            out.writeInt(configurationBytes.length);
+            out.write(configurationBytes);
             out.writeInt(acceptedDigests.size());
-            for (Map.Entry<Long, Long> t : acceptedDigests.entrySet()) {
-                out.writeLong(t.getKey());
-                out.writeLong(t.getValue());
+            for (Map.Entry<Long, Long> digest : acceptedDigests.entrySet()) {
+                out.writeLong(digest.getKey());
+                out.writeLong(digest.getValue());
             }
             out.writeInt(weights.size());
-            for (Map.Entry<String, Long> w : weights.entrySet()) {
-                out.writeUTF(w.getKey());
-                out.writeLong(w.getValue());
+            for (Map.Entry<String, Long> weight : weights.entrySet()) {
+                out.writeUTF(weight.getKey());
+                out.writeLong(weight.getValue());
             }
             out.writeUTF(rolloutHolder);
             out.writeLong(fencingToken);
@@ -175,12 +176,12 @@
         return bytes.toByteArray();
     }
 
-    /** Reads {@link #bytes}. */
+    /** Parses {@link #bytes}. */
     public static ControlState parse(byte[] bytes) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             int length = in.readInt();
             if (length < 0 || length > bytes.length) {
-                throw unreadable(null);
+                throw malformed(null);
             }
             Configuration configuration = Configuration.read(in.readNBytes(length));
             TreeMap<Long, Long> acceptedDigests = new TreeMap<>();
@@ -196,14 +197,14 @@
             return new ControlState(
                     configuration, acceptedDigests, in.readLong(), weights, rolloutHolder, fencingToken);
         } catch (IOException e) {
-            throw unreadable(e);
+            throw malformed(e);
         }
     }
 
-    private static FleetException unreadable(IOException why) {
+    private static FleetException malformed(IOException cause) {
         return new FleetException(
                 FleetException.Code.STORE_DAMAGED,
-                "a control state can't be read" + (why == null ? "" : ": " + why),
+                "the encoded control state is truncated or malformed" + (cause == null ? "" : ": " + cause),
                 "move the data directory aside and start again");
     }
 }
--- a/src/main/java/quartzspan/replication/DiskQueue.java
+++ b/src/main/java/quartzspan/replication/DiskQueue.java
@@ -2,35 +2,35 @@
 
 import java.util.TreeMap;
 
-/** Records on their way to the disk, which takes them in order and reports each once it is durable or refused. */
+/** Pending disk writes. Records are written in order, and each is reported once it is durable or has failed. */
 final class DiskQueue {
-    /** Called once a record is durable or refused. */
+    /** Called once a record is durable or its write has failed. */
     interface Completion {
         void done(boolean durable);
     }
 
     private final Replica.Output output;
     private final TreeMap<Long, Completion> pending = new TreeMap<>();
-    private long lastNumber;
-    /** Since when the oldest record has been waiting. */
-    private long oldestSinceMs;
+    private long lastRecordNumber;
+    /** Time since which the oldest record has been waiting. */
+    private long oldestWaitingSinceMs;
 
     DiskQueue(Replica.Output output) {
         this.output = output;
     }
 
-    void write(long now, byte[] record, Completion completion) {
+    void write(long nowMs, byte[] record, Completion completion) {
         if (pending.isEmpty()) {
-            oldestSinceMs = now;
+            oldestWaitingSinceMs = nowMs;
         }
-        lastNumber++;
-        pending.put(lastNumber, completion);
-        output.persist(lastNumber, record);
+        lastRecordNumber++;
+        pending.put(lastRecordNumber, completion);
+        output.persist(lastRecordNumber, record);
     }
 
-    void onPersisted(long now, long number, boolean durable) {
-        Completion completion = pending.remove(number);
-        oldestSinceMs = now;
+    void onPersisted(long nowMs, long recordNumber, boolean durable) {
+        Completion completion = pending.remove(recordNumber);
+        oldestWaitingSinceMs = nowMs;
         if (completion != null) {
             completion.done(durable);
         }
@@ -40,8 +40,8 @@
         return pending.isEmpty();
     }
 
-    /** How long the oldest record has been waiting; 0 if there is none. */
-    long waitingFor(long now) {
-        return pending.isEmpty() ? 0 : now - oldestSinceMs;
+    /** Waiting time of the oldest pending record; 0 if there is none. */
+    long oldestWriteAgeMs(long nowMs) {
+        return pending.isEmpty() ? 0 : nowMs - oldestWaitingSinceMs;
     }
 }
--- a/src/main/java/quartzspan/replication/MembershipRequests.java
+++ b/src/main/java/quartzspan/replication/MembershipRequests.java
@@ -5,47 +5,47 @@
 import java.util.Set;
 import quartzspan.replication.ReplicaMessage.Kind;
 
-/** Asks other replicas to take this one in, or to release it before it ends. */
+/** Sends requests to join the membership, or to leave it before this replica shuts down. */
 final class MembershipRequests {
     private final ReplicaContext context;
     private final VoterState voter;
-    private final List<String> seeds;
+    private final List<String> seedNodes;
 
-    MembershipRequests(ReplicaContext context, VoterState voter, List<String> seeds) {
+    MembershipRequests(ReplicaContext context, VoterState voter, List<String> seedNodes) {
         this.context = context;
         this.voter = voter;
-        this.seeds = seeds;
+        this.seedNodes = seedNodes;
     }
 
-    /** The disk was lost: asks what this replica had promised. */
+    /** Requests the promises and generations that the other replicas know, after the disk was lost. */
     void requestRecovery(DiskLossRecovery recovery) {
-        others().forEach(name -> context.send(name, recovery.request()));
+        knownPeers().forEach(name -> context.send(name, recovery.request()));
     }
 
-    /** This replica has no vote: it makes itself known as a standby. */
-    void requestVote() {
+    /** Announces this replica, which has no vote, as a standby. */
+    void requestJoin() {
         ReplicaMessage request = ReplicaMessage.of(Kind.RECOVERY, Epoch.NONE)
                 .withNonce(voter.incarnationNonce())
                 .withGeneration(voter.generation());
-        others().forEach(name -> context.send(name, request));
+        knownPeers().forEach(name -> context.send(name, request));
     }
 
-    /** This replica is about to end: the primary had better do without it. */
-    void requestRelease() {
+    /** Announces that this replica is about to shut down and should be replaced. */
+    void requestRemoval() {
         Epoch epoch = voter.membership().epoch();
-        others().forEach(name -> context.send(name, ReplicaMessage.of(Kind.LEAVING, epoch)));
+        knownPeers().forEach(name -> context.send(name, ReplicaMessage.of(Kind.LEAVING, epoch)));
     }
 
-    /** This primary is about to end: a backup is to start an election at once. */
+    /** Requests that a backup starts an election immediately, as this primary is about to shut down. */
     void requestElection(String successor) {
         context.send(
                 successor, ReplicaMessage.of(Kind.HANDOVER, voter.membership().epoch()));
     }
 
-    private Set<String> others() {
+    private Set<String> knownPeers() {
         Set<String> all = new LinkedHashSet<>(voter.membership().electorate());
         all.add(voter.membership().primary());
-        all.addAll(seeds);
+        all.addAll(seedNodes);
         all.remove(context.self());
         all.remove("");
         return all;
--- a/src/main/java/quartzspan/replication/PeerLiveness.java
+++ b/src/main/java/quartzspan/replication/PeerLiveness.java
@@ -7,75 +7,79 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** When each other replica was last heard, which ones are standbys without a vote, and which ones are about to end. */
+/** Tracks the last contact with each other replica, the standbys, and the replicas that are about to shut down. */
 final class PeerLiveness {
-    /** A standby asks every {@link Timing#RETRY_MS}; after some of these without a request it is not counted on. */
+    /** Standbys send a request every {@link Timing#RETRY_MS}; one that has missed several in a row is no longer counted. */
     private static final long STANDBY_TIMEOUT_MS = 1_000;
-    /** A replica that ends says so every {@link Timing#RETRY_MS}; so long after the last time it has ended or come back. */
+    /**
+     * A replica that shuts down announces it every {@link Timing#RETRY_MS}; this long after the last announcement it has ended or
+     * has been restarted.
+     */
     private static final long LEAVING_TIMEOUT_MS = 1_000;
 
-    /** Since when a replica has been a standby, and when it last said so. */
-    private record Standby(long since, long heardAt) {}
+    /** Start of a replica's time as a standby, and the time of its last request. */
+    private record Standby(long sinceMs, long lastContactAtMs) {}
 
     private final String self;
-    private final long startedAt;
-    private final Map<String, Long> heardAt = new TreeMap<>();
+    private final long startedAtMs;
+    private final Map<String, Long> lastContactAtMs = new TreeMap<>();
     private final Map<String, Standby> standbys = new TreeMap<>();
     private final Map<String, Long> leaving = new TreeMap<>();
 
-    PeerLiveness(String self, long startedAt) {
+    PeerLiveness(String self, long startedAtMs) {
         this.self = self;
-        this.startedAt = startedAt;
+        this.startedAtMs = startedAtMs;
     }
 
-    void onMessageFrom(long now, String name) {
-        heardAt.put(name, now);
+    void onMessageFrom(long nowMs, String name) {
+        lastContactAtMs.put(name, nowMs);
     }
 
-    /** Time since a replica was heard, by this one or by a primary that reported it. */
-    long sinceHeardMs(long now, String name) {
-        return name.equals(self) ? 0 : now - heardAt.getOrDefault(name, startedAt);
+    /** Time since the last contact with a replica, by this replica or as reported by a primary. */
+    long sinceLastContactMs(long nowMs, String name) {
+        return name.equals(self) ? 0 : nowMs - lastContactAtMs.getOrDefault(name, startedAtMs);
     }
 
-    /** Learns how long ago another replica heard the others. */
-    void learnSinceHeard(long now, Map<String, Long> sinceHeard) {
-        sinceHeard.forEach((name, elapsedMs) -> heardAt.merge(name, now - elapsedMs, Math::max));
+    /** Merges the contact times that another replica reports. */
+    void mergeReportedContacts(long nowMs, Map<String, Long> sinceLastContact) {
+        sinceLastContact.forEach(
+                (name, sinceContactMs) -> lastContactAtMs.merge(name, nowMs - sinceContactMs, Math::max));
     }
 
-    Map<String, Long> allSinceHeardMs(long now, Collection<String> names) {
+    Map<String, Long> allSinceLastContactMs(long nowMs, Collection<String> names) {
         Map<String, Long> all = new TreeMap<>();
-        names.forEach(name -> all.put(name, sinceHeardMs(now, name)));
+        names.forEach(name -> all.put(name, sinceLastContactMs(nowMs, name)));
         return all;
     }
 
-    void onStandby(long now, String name) {
+    void onStandby(long nowMs, String name) {
         Standby known = standbys.get(name);
-        boolean steady = known != null && now - known.heardAt() <= STANDBY_TIMEOUT_MS;
-        standbys.put(name, new Standby(steady ? known.since() : now, now));
+        boolean stillStandby = known != null && nowMs - known.lastContactAtMs() <= STANDBY_TIMEOUT_MS;
+        standbys.put(name, new Standby(stillStandby ? known.sinceMs() : nowMs, nowMs));
     }
 
-    /** Replicas that ask to be taken in and have no vote. */
-    List<String> standbys(long now, Membership membership) {
-        standbys.values().removeIf(standby -> now - standby.heardAt() > STANDBY_TIMEOUT_MS);
+    /** Replicas without a vote that request to join and are not about to shut down. */
+    List<String> standbys(long nowMs, Membership membership) {
+        standbys.values().removeIf(standby -> nowMs - standby.lastContactAtMs() > STANDBY_TIMEOUT_MS);
         return standbys.keySet().stream()
-                .filter(name ->
-                        !membership.electorate().contains(name) && !leaving(now).contains(name))
+                .filter(name -> !membership.electorate().contains(name)
+                        && !leaving(nowMs).contains(name))
                 .toList();
     }
 
-    /** How long a replica has been a standby without a break. */
-    long standbyForMs(long now, String name) {
+    /** Time for which a replica has been a standby without interruption. */
+    long standbyDurationMs(long nowMs, String name) {
         Standby standby = standbys.get(name);
-        return standby == null ? 0 : now - standby.since();
+        return standby == null ? 0 : nowMs - standby.sinceMs();
     }
 
-    void onLeaving(long now, String name) {
-        leaving.put(name, now);
+    void onLeaving(long nowMs, String name) {
+        leaving.put(name, nowMs);
     }
 
-    /** Replicas that are about to end. */
-    Set<String> leaving(long now) {
-        leaving.values().removeIf(at -> now - at > LEAVING_TIMEOUT_MS);
+    /** Replicas that are about to shut down. */
+    Set<String> leaving(long nowMs) {
+        leaving.values().removeIf(at -> nowMs - at > LEAVING_TIMEOUT_MS);
         return new TreeSet<>(leaving.keySet());
     }
 }
--- a/src/main/java/quartzspan/replication/Replica.java
+++ b/src/main/java/quartzspan/replication/Replica.java
@@ -4,41 +4,41 @@
 import quartzspan.common.FleetException;
 
 /**
- * The replica of the control state on one core machine, without clock, thread or I/O. It owns the role objects and is the only
- * one that makes transitions between roles:
+ * The replica of the control state on one core machine, without clock, thread or I/O. It owns the role objects and makes all
+ * transitions between roles:
  *
  * <pre>
- * RECOVERING  disk lost           to STANDBY, BACKUP, WITNESS   enough others have reported what was promised
- * STANDBY     no vote             to BACKUP, WITNESS            a primary's membership names it as voter
- * BACKUP,     follow the primary  to CANDIDATE                  the primary is not heard, or hands over
+ * RECOVERING  disk lost           to STANDBY, BACKUP, WITNESS   enough peers have reported their promises
+ * STANDBY     no vote             to BACKUP, WITNESS            a primary's membership lists it as a voter
+ * BACKUP,     follow the primary  to CANDIDATE                  the primary timed out, or hands over
  * WITNESS
  * CANDIDATE   runs an election    to PRIMARY                    its membership is in effect
- *                                 to BACKUP, WITNESS            another one has a higher epoch, a step timed out
+ *                                 to BACKUP, WITNESS            a higher epoch was promised, or a step timed out
  * PRIMARY     accepts changes     to CANDIDATE                  its membership has to change
- *                                 to BACKUP, WITNESS            another one has a higher epoch, no quorum, a slow disk
+ *                                 to BACKUP, WITNESS            a higher epoch was promised, quorum lost, or slow disk
  * </pre>
  *
- * <p>An {@link Epoch} forms one {@link Membership} at most: a primary, the backups that hold data, and the voters. A change is
- * acknowledged when the disks of the primary and of all backups have it. There is no log that a majority replicates: voters
- * without data keep promises and memberships only.
+ * <p>Each {@link Epoch} forms at most one {@link Membership}: a primary, the backups that hold data, and the voters. A change is
+ * acknowledged once the primary and all backups have it on disk. Unlike in Raft, the log is not replicated to a majority of the
+ * voters: witnesses store promises and memberships only.
  *
  * <p>Not thread-safe: all calls come from one event loop. All times are milliseconds of a steady clock.
  */
 public final class Replica {
-    /** The decisions of a replica; called only from within an event. */
+    /** Receives the outputs of a replica; called only while the replica handles an event. */
     public interface Output {
         /** Sends a message, which may be lost. */
         void send(String to, ReplicaMessage message);
 
-        /** Makes a record durable, in the order of the calls; {@link Replica#onPersisted} reports each. */
-        void persist(long number, byte[] record);
+        /** Writes a record durably, in the order of the calls; the host reports each with {@link Replica#onPersisted}. */
+        void persist(long recordNumber, byte[] record);
 
-        /** The answer to {@link Replica#submit} or {@link Replica#read}; the refusal is null if it is granted. */
-        void completed(long requestId, FleetException refusal, ControlState state);
+        /** The result of {@link Replica#submit} or {@link Replica#read}; {@code rejection} is null on success. */
+        void completed(long requestId, FleetException rejection, ControlState state);
 
         /**
-         * A state is committed; only a primary says so. Committed indexes only rise, and each identifies one state: they form
-         * one line over all memberships.
+         * A state is committed; reported by the primary only. Committed indexes increase, and each identifies one state:
+         * committed states form a single sequence across all memberships.
          */
         void committed(long index, ControlState state, ChangeHistory history);
     }
@@ -49,55 +49,61 @@
     private final VoterState voter;
     private final ReplicaLog log;
     private final PeerLiveness peers;
-    private final List<String> seeds;
+    private final List<String> seedNodes;
     private final FollowerState follower;
     private final RecoveryResponder recoveryResponder;
-    private final MembershipRequests requests;
+    private final MembershipRequests membershipRequests;
     private DiskLossRecovery recovery;
     private PrimaryState primary;
-    private long nextElectionAtMs;
-    private long nextRequestAtMs;
+    private long earliestElectionAtMs;
+    private long nextMembershipRequestAtMs;
     private boolean handingOver;
 
     /**
      * Starts a replica.
      *
-     * @param self own name, as other replicas send to it
-     * @param seeds names of the replicas that found the system, the same everywhere; later only whom to ask first
-     * @param losses number of replicas that may be lost at once
-     * @param found whether to found the system if the disk is empty
-     * @param records the records found on disk, oldest first; empty for none
-     * @param seed seed of the replica's random numbers
-     * @param now the present time
+     * @param self name of this replica, to which other replicas send messages
+     * @param seedNodes names of the replicas of the initial membership, the same on all replicas; after bootstrap only the
+     *     initial contacts
+     * @param toleratedFailures number of replicas that may fail at the same time
+     * @param bootstrap whether to create the initial membership if the disk is empty
+     * @param records the records read from disk, oldest first
+     * @param randomSeed seed of the replica's random numbers
+     * @param nowMs the current time
      */
     public Replica(
             String self,
-            List<String> seeds,
-            int losses,
-            boolean found,
+            List<String> seedNodes,
+            int toleratedFailures,
+            boolean bootstrap,
             List<byte[]> records,
-            long seed,
-            long now,
+            long randomSeed,
+            long nowMs,
             Output output) {
         this.output = output;
-        this.seeds = seeds.stream().distinct().toList();
-        this.context = new ReplicaContext(self, losses, seed, now, output);
+        this.seedNodes = seedNodes.stream().distinct().toList();
+        this.context = new ReplicaContext(self, toleratedFailures, randomSeed, nowMs, output);
         this.disk = new DiskQueue(output);
         this.voter = new VoterState(disk);
         this.log = new ReplicaLog(disk);
-        this.peers = new PeerLiveness(self, now);
+        this.peers = new PeerLiveness(self, nowMs);
         ReplyFactory replies = new ReplyFactory(voter, log);
         this.follower = new FollowerState(context, voter, log, peers, replies, new FollowerTransitions());
         this.recoveryResponder = new RecoveryResponder(context, voter, peers, replies);
-        this.requests = new MembershipRequests(context, voter, this.seeds);
-        boolean damaged = !restore(records);
-        if (damaged || voter.membership().epoch().equals(Epoch.NONE)) {
-            begin(found && !damaged);
+        this.membershipRequests = new MembershipRequests(context, voter, this.seedNodes);
+        boolean storeDamaged = !restore(records);
+        if (storeDamaged || voter.membership().epoch().equals(Epoch.NONE)) {
+            initialize(bootstrap && !storeDamaged);
         }
         becomeFollower();
     }
 
-    /** Whether all records could be read; damage is as good as an empty disk, for the others know what was promised. */
+    /**
+     * Loads the stored records. A damaged store is treated as a lost disk, since the promises can be recovered from the other
+     * replicas.
+     *
+     * @return whether all records could be parsed
+     */
     private boolean restore(List<byte[]> records) {
         try {
             for (byte[] record : records) {
@@ -108,28 +114,32 @@
                 }
             }
             return true;
-        } catch (RuntimeException unreadable) {
-            // Whatever a parser throws at damaged bytes: none of the records can be used then.
+        } catch (RuntimeException malformedRecord) {
+            // Parsers throw various exceptions on damaged bytes. After any of them no record can be trusted.
             voter.clear();
             log.clear();
             return false;
         }
     }
 
-    /** The founding membership is a function of the settings alone: whoever founds, and however often, founds the same. */
-    private void begin(boolean found) {
-        List<String> founders = seeds.stream().sorted().toList();
-        if (!found || !founders.contains(context.self())) {
+    /**
+     * Bootstraps or recovers. The initial membership depends on the settings alone, so that every replica that bootstraps, even
+     * repeatedly, creates the same one.
+     */
+    private void initialize(boolean bootstrap) {
+        List<String> initialVoters = seedNodes.stream().sorted().toList();
+        if (!bootstrap || !initialVoters.contains(context.self())) {
             beginRecovery();
             return;
         }
-        List<String> dataReplicas = founders.subList(0, Math.min(context.losses() + 1, founders.size()));
-        voter.promise(Epoch.FOUNDING);
-        voter.learn(new Membership(Epoch.FOUNDING, founders.get(0), dataReplicas, founders, List.of()));
+        List<String> dataReplicas =
+                initialVoters.subList(0, Math.min(context.toleratedFailures() + 1, initialVoters.size()));
+        voter.promise(Epoch.INITIAL);
+        voter.adoptIfNewer(new Membership(Epoch.INITIAL, initialVoters.get(0), dataReplicas, initialVoters, List.of()));
         if (dataReplicas.contains(context.self())) {
-            log.found(context.now(), durable -> {});
+            log.initialize(context.nowMs(), durable -> {});
         }
-        voter.persist(context.now(), durable -> {});
+        voter.persist(context.nowMs(), durable -> {});
     }
 
     private void beginRecovery() {
@@ -137,13 +147,11 @@
         recovery = new DiskLossRecovery(context.self(), voter, context.randomLong());
     }
 
-    // ---- state ---------------------------------------------------------------------------------------
-
     public boolean isPrimary() {
         return primary != null;
     }
 
-    /** The newest membership known here. */
+    /** The newest membership known to this replica. */
     public Membership membership() {
         return voter.membership();
     }
@@ -152,12 +160,12 @@
         return voter.promisedEpoch();
     }
 
-    /** Whether the disk was lost, and what it had promised has not been learnt again. */
+    /** Whether the disk was lost and the promises on it have not been recovered yet. */
     public boolean isRecovering() {
         return voter.isRecovering();
     }
 
-    /** What this replica does at present. */
+    /** The current role of this replica. */
     public ReplicaRole role() {
         if (voter.isRecovering()) {
             return ReplicaRole.RECOVERING;
@@ -182,18 +190,18 @@
         return membership().dataReplicas().contains(context.self());
     }
 
-    /** The primary, as far as heard of late; null if unknown. */
-    public String knownPrimary(long now) {
+    /** The primary, if this replica had contact with it within the quorum timeout; otherwise null. */
+    public String knownPrimary(long nowMs) {
         if (isPrimary()) {
             return context.self();
         }
-        context.advance(now);
-        String named = membership().primary();
-        boolean heard = follower.isPrimaryHeardWithin(Timing.QUORUM_TIMEOUT_MS);
-        return heard && !named.isEmpty() && !named.equals(context.self()) ? named : null;
+        context.advance(nowMs);
+        String primaryName = membership().primary();
+        boolean hasPrimaryContact = follower.hasPrimaryContactWithin(Timing.QUORUM_TIMEOUT_MS);
+        return hasPrimaryContact && !primaryName.isEmpty() && !primaryName.equals(context.self()) ? primaryName : null;
     }
 
-    /** The latest time at which this primary's state was surely the newest; far in the past if it is not primary. */
+    /** The latest time for which a quorum confirmed this replica as the primary; far in the past if it is not primary. */
     public long confirmedAtMs() {
         return isPrimary() ? primary.confirmedAtMs() : Long.MIN_VALUE / 2;
     }
@@ -206,16 +214,14 @@
         return log.index();
     }
 
-    /** The committed state at a primary; elsewhere the end of the log, which may be behind or ahead of it. */
+    /** The committed state on a primary; on other replicas the end of the log, which may be behind or ahead of it. */
     public ControlState state() {
         return isPrimary() ? primary.committedState() : log.state();
     }
 
-    // ---- requests ------------------------------------------------------------------------------------
-
-    /** Asks for a change of the control state; {@link Output#completed} answers. */
-    public void submit(long now, long requestId, Change change) {
-        context.advance(now);
+    /** Submits a change of the control state; the result is passed to {@link Output#completed}. */
+    public void submit(long nowMs, long requestId, Change change) {
+        context.advance(nowMs);
         if (isPrimary()) {
             primary.submit(requestId, change);
         } else {
@@ -223,9 +229,12 @@
         }
     }
 
-    /** Asks for the newest state; {@link Output#completed} answers once a quorum has confirmed that it is the newest. */
-    public void read(long now, long requestId) {
-        context.advance(now);
+    /**
+     * Reads the control state with linearizable consistency. The state is passed to {@link Output#completed} once a quorum has
+     * confirmed this replica as the primary.
+     */
+    public void read(long nowMs, long requestId) {
+        context.advance(nowMs);
         if (isPrimary()) {
             primary.read(requestId);
         } else {
@@ -237,116 +246,116 @@
         return new FleetException(
                 FleetException.Code.NOT_PRIMARY,
                 "this machine is not the primary",
-                "ask another machine of the core, or retry in a moment");
+                "send the request to another core machine, or retry after a moment");
     }
 
-    /** Begins to hand over what others need of this replica: the lead, its data, and its vote where a standby can take it. */
-    public void beginHandover(long now) {
-        context.advance(now);
+    /**
+     * Begins to hand over the responsibilities of this replica: leadership, its data, and its vote if a standby can replace
+     * it.
+     */
+    public void beginHandover(long nowMs) {
+        context.advance(nowMs);
         handingOver = true;
-        nextRequestAtMs = now;
-        onTick(now);
+        nextMembershipRequestAtMs = nowMs;
+        onTick(nowMs);
     }
 
-    /** Whether nothing is lost when a replica that hands over ends now. */
-    public boolean isHandoverComplete(long now) {
-        context.advance(now);
+    /** Whether a replica that hands over can shut down now without reducing availability or durability. */
+    public boolean isHandoverComplete(long nowMs) {
+        context.advance(nowMs);
         if (voter.isRecovering()) {
-            // It vouches for nothing, so nobody counts on it.
+            // A recovering replica grants no votes, so no quorum depends on it.
             return handingOver;
         }
         if (!handingOver || isPrimary() || !follower.isMembershipActive()) {
             return false;
         }
-        boolean heard = follower.isPrimaryHeardWithin(Timing.QUORUM_TIMEOUT_MS);
-        boolean needed = holdsData() || follower.isReplaceable();
-        return !isVoter() || heard && !needed;
+        boolean hasPrimaryContact = follower.hasPrimaryContactWithin(Timing.QUORUM_TIMEOUT_MS);
+        boolean voteOrDataNeeded = holdsData() || follower.isReplaceable();
+        return !isVoter() || hasPrimaryContact && !voteOrDataNeeded;
     }
 
-    // ---- time ----------------------------------------------------------------------------------------
-
-    /** To be called every 50 ms or so. */
-    public void onTick(long now) {
-        context.advance(now);
-        if (now >= nextRequestAtMs) {
-            nextRequestAtMs = now + Timing.RETRY_MS;
+    /** Runs timers; to be called about every 50 ms. */
+    public void onTick(long nowMs) {
+        context.advance(nowMs);
+        if (nowMs >= nextMembershipRequestAtMs) {
+            nextMembershipRequestAtMs = nowMs + Timing.RETRY_MS;
             requestMembershipChange();
         }
         if (voter.isRecovering()) {
             return;
         }
-        if (disk.waitingFor(now) > Timing.DISK_TIMEOUT_MS && context.candidate() != null) {
+        if (disk.oldestWriteAgeMs(nowMs) > Timing.DISK_TIMEOUT_MS && context.candidate() != null) {
             pauseElections();
         }
         if (primary != null) {
             primary.onTick();
         } else if (context.candidate() != null) {
             context.candidate().onTick();
-        } else if (mayStartElection(now)) {
-            startElection(ElectionPlan.TAKE_OVER).startWithPreVote();
+        } else if (mayStartElection(nowMs)) {
+            startElection(ElectionPlan.FAILOVER).startWithPreVote();
         }
     }
 
-    private boolean mayStartElection(long now) {
+    private boolean mayStartElection(long nowMs) {
         return !handingOver
-                && now >= nextElectionAtMs
-                && !follower.isPrimaryHeardWithin(Timing.ELECTION_TIMEOUT_MS)
+                && nowMs >= earliestElectionAtMs
+                && !follower.hasPrimaryContactWithin(Timing.ELECTION_TIMEOUT_MS)
                 && isVoter()
                 && disk.isIdle();
     }
 
-    /** A replica that recovers or has no vote asks to be taken in; one that hands over asks to be released. */
+    /** A recovering replica or a standby requests to join; a replica that hands over requests its removal. */
     private void requestMembershipChange() {
         if (voter.isRecovering()) {
-            requests.requestRecovery(recovery);
+            membershipRequests.requestRecovery(recovery);
         } else if (handingOver && primary == null) {
-            requests.requestRelease();
+            membershipRequests.requestRemoval();
         } else if (handingOver) {
             String successor = primary.successor();
             if (successor != null) {
-                requests.requestElection(successor);
+                membershipRequests.requestElection(successor);
             }
         } else if (!isVoter()) {
-            // Also one of the previous voters of a joint membership: nobody notifies it when that is committed.
-            requests.requestVote();
+            // This includes removed voters of a joint membership: the primary does not notify them of its commit.
+            membershipRequests.requestJoin();
         }
     }
 
-    // ---- transitions ---------------------------------------------------------------------------------
-
-    /** Stops being primary or candidate. */
+    /** Stops acting as primary or candidate. */
     private void becomeFollower() {
         long jitterMs = Timing.ELECTION_TIMEOUT_JITTER_MS / (holdsData() ? 2 : 1);
-        nextElectionAtMs = context.now() + context.randomBelow(jitterMs);
+        earliestElectionAtMs = context.nowMs() + context.randomBelow(jitterMs);
         context.setCandidate(null);
-        endPrimary();
+        stopPrimary();
     }
 
-    private void endPrimary() {
-        PrimaryState ended = primary;
+    private void stopPrimary() {
+        PrimaryState stopped = primary;
         primary = null;
-        if (ended != null) {
-            ended.end(notPrimary());
+        if (stopped != null) {
+            stopped.stop(notPrimary());
         }
     }
 
-    /** The disk does not keep up, or refuses: another replica had better be primary. */
+    /** Starts no election for a while after a slow or failed disk write, so that another replica can become primary. */
     private void pauseElections() {
         becomeFollower();
-        nextElectionAtMs = context.now() + Timing.ELECTION_PAUSE_MS;
+        earliestElectionAtMs = context.nowMs() + Timing.ELECTION_PAUSE_MS;
     }
 
     private CandidateState startElection(ElectionPlan plan) {
-        endPrimary();
-        ElectionPlan avoidingLeaving = plan.avoiding(peers.leaving(context.now()));
-        CandidateState candidate = new CandidateState(context, voter, log, avoidingLeaving, new ElectionOutcome());
+        stopPrimary();
+        ElectionPlan planAvoidingLeaving = plan.avoiding(peers.leaving(context.nowMs()));
+        CandidateState candidate =
+                new CandidateState(context, voter, log, planAvoidingLeaving, new CandidateListener());
         context.setCandidate(candidate);
         return candidate;
     }
 
     private void becomePrimary(Membership membership) {
         context.setCandidate(null);
-        primary = new PrimaryState(context, voter, log, peers, membership, new PrimaryDecisions());
+        primary = new PrimaryState(context, voter, log, peers, membership, new PrimaryListener());
         primary.begin();
     }
 
@@ -363,11 +372,11 @@
 
         @Override
         public boolean isConfirmedPrimary() {
-            return primary != null && context.now() - primary.unconfirmedSinceMs() < Timing.VOTE_STICKINESS_MS;
+            return primary != null && context.nowMs() - primary.unconfirmedSinceMs() < Timing.VOTE_STICKINESS_MS;
         }
     }
 
-    private final class ElectionOutcome implements CandidateState.Listener {
+    private final class CandidateListener implements CandidateState.Listener {
         @Override
         public void elected(Membership membership) {
             becomePrimary(membership);
@@ -379,12 +388,12 @@
         }
 
         @Override
-        public void diskRefused() {
+        public void diskFailed() {
             pauseElections();
         }
     }
 
-    private final class PrimaryDecisions implements PrimaryState.Listener {
+    private final class PrimaryListener implements PrimaryState.Listener {
         @Override
         public void changeMembership(ElectionPlan plan) {
             startElection(plan).startWithVote();
@@ -396,7 +405,7 @@
         }
 
         @Override
-        public void diskRefused() {
+        public void diskFailed() {
             pauseElections();
         }
 
@@ -406,17 +415,15 @@
         }
 
         @Override
-        public void completed(long requestId, FleetException refusal, ControlState state) {
-            output.completed(requestId, refusal, state);
+        public void completed(long requestId, FleetException rejection, ControlState state) {
+            output.completed(requestId, rejection, state);
         }
     }
 
-    // ---- messages ------------------------------------------------------------------------------------
-
-    /** A message came from another replica. */
-    public void onMessage(long now, String from, ReplicaMessage message) {
-        context.advance(now);
-        peers.onMessageFrom(now, from);
+    /** Handles a message from another replica. */
+    public void onMessage(long nowMs, String from, ReplicaMessage message) {
+        context.advance(nowMs);
+        peers.onMessageFrom(nowMs, from);
         switch (message.kind()) {
             case HEARTBEAT -> follower.onHeartbeat(from, message);
             case PRE_VOTE -> follower.onPreVote(from, message);
@@ -433,19 +440,19 @@
                 if (primary != null) {
                     primary.onReplicateReply(from, message);
                 } else {
-                    toCandidate(from, message);
+                    forwardToCandidate(from, message);
                 }
             }
-            case PRE_VOTE_REPLY, VOTE_REPLY, FETCH_REPLY, ACCEPT_REPLY -> toCandidate(from, message);
+            case PRE_VOTE_REPLY, VOTE_REPLY, FETCH_REPLY, ACCEPT_REPLY -> forwardToCandidate(from, message);
             case RECOVERY -> recoveryResponder.onRequest(from, message);
             case RECOVERY_REPLY -> onRecoveryReply(from, message);
-            case LEAVING -> peers.onLeaving(now, from);
+            case LEAVING -> peers.onLeaving(nowMs, from);
             case HANDOVER -> onHandover(from, message);
-            default -> throw new IllegalStateException("unknown message " + message.kind());
+            default -> throw new IllegalStateException("unknown message kind " + message.kind());
         }
     }
 
-    private void toCandidate(String from, ReplicaMessage message) {
+    private void forwardToCandidate(String from, ReplicaMessage message) {
         if (context.candidate() != null) {
             context.candidate().onReply(from, message);
         }
@@ -454,7 +461,7 @@
     private void onRecoveryReply(String from, ReplicaMessage reply) {
         if (!voter.isRecovering()) {
             if (!isVoter()) {
-                voter.learn(reply.membership());
+                voter.adoptIfNewer(reply.membership());
             }
             return;
         }
@@ -464,7 +471,7 @@
         recovery = null;
         voter.setRecovering(false);
         follower.restartElectionTimeout();
-        voter.persist(context.now(), durable -> {
+        voter.persist(context.nowMs(), durable -> {
             if (!durable) {
                 becomeFollower();
                 beginRecovery();
@@ -473,20 +480,18 @@
     }
 
     private void onHandover(String from, ReplicaMessage message) {
-        peers.onLeaving(context.now(), from);
-        boolean current = message.epoch().equals(membership().epoch())
+        peers.onLeaving(context.nowMs(), from);
+        boolean fromCurrentPrimary = message.epoch().equals(membership().epoch())
                 && membership().primary().equals(from);
-        boolean able = !voter.isRecovering() && !handingOver && disk.isIdle() && holdsData();
-        if (current && able && context.candidate() == null && primary == null) {
+        boolean canTakeOver = !voter.isRecovering() && !handingOver && disk.isIdle() && holdsData();
+        if (fromCurrentPrimary && canTakeOver && context.candidate() == null && primary == null) {
             startElection(ElectionPlan.HANDOVER).startWithVote();
         }
     }
 
-    // ---- the disk ------------------------------------------------------------------------------------
-
-    /** A record is durable, or was refused. Records are reported in their order. */
-    public void onPersisted(long now, long number, boolean durable) {
-        context.advance(now);
-        disk.onPersisted(now, number, durable);
+    /** Handles the result of {@link Output#persist}; results arrive in the order of the records. */
+    public void onPersisted(long nowMs, long recordNumber, boolean durable) {
+        context.advance(nowMs);
+        disk.onPersisted(nowMs, recordNumber, durable);
     }
 }
--- a/src/main/java/quartzspan/replication/ReplicaContext.java
+++ b/src/main/java/quartzspan/replication/ReplicaContext.java
@@ -2,20 +2,20 @@
 
 import java.util.SplittableRandom;
 
-/** What the role objects of a replica share: its name, the time of the current event, random numbers, and the output. */
+/** State shared by the role objects of a replica: its name, the time of the current event, random numbers, the output. */
 final class ReplicaContext {
     private final String self;
-    private final int losses;
+    private final int toleratedFailures;
     private final SplittableRandom random;
     private final Replica.Output output;
-    private long now;
+    private long nowMs;
     private CandidateState candidate;
 
-    ReplicaContext(String self, int losses, long seed, long now, Replica.Output output) {
+    ReplicaContext(String self, int toleratedFailures, long randomSeed, long nowMs, Replica.Output output) {
         this.self = self;
-        this.losses = losses;
-        this.random = new SplittableRandom(seed);
-        this.now = now;
+        this.toleratedFailures = toleratedFailures;
+        this.random = new SplittableRandom(randomSeed);
+        this.nowMs = nowMs;
         this.output = output;
     }
 
@@ -23,17 +23,17 @@
         return self;
     }
 
-    /** How many replicas may be lost at once. */
-    int losses() {
-        return losses;
+    /** Number of replicas that may fail at the same time. */
+    int toleratedFailures() {
+        return toleratedFailures;
     }
 
-    long now() {
-        return now;
+    long nowMs() {
+        return nowMs;
     }
 
-    void advance(long to) {
-        now = to;
+    void advance(long toMs) {
+        nowMs = toMs;
     }
 
     long randomLong() {
@@ -57,7 +57,7 @@
         candidate = current;
     }
 
-    /** Whether an election is still the one in progress, for completions that come later. */
+    /** Whether an election is still in progress; checked by completions that may arrive after its end. */
     boolean isCurrent(CandidateState election) {
         return candidate == election;
     }
--- a/src/main/java/quartzspan/replication/ReplicaStore.java
+++ b/src/main/java/quartzspan/replication/ReplicaStore.java
@@ -7,41 +7,42 @@
 import quartzspan.store.SlotStore;
 
 /**
- * Keeps a replica's records in a {@link SlotStore}: the latest voter record, the latest snapshot of the control state and the
- * entries since. Blocks.
+ * Stores a replica's records in a {@link SlotStore}: the latest voter record, the latest snapshot of the control state and the
+ * entries after it. Calls block on the disk.
  */
 public final class ReplicaStore {
-    /** The log is short: a start reads all of it. */
+    /** Bounds the log, since all of it is read at startup. */
     private static final long MAX_LOG_BYTES = 1024 * 1024;
-    /** A record larger than this goes into a slot at once. */
+    /** A larger record is written as a checkpoint and not appended to the log. */
     private static final int MAX_APPENDED_BYTES = 256 * 1024;
 
     private final SlotStore store;
-    private byte[] vote = {};
-    private byte[] snapshot = {};
-    private final List<byte[]> entries = new ArrayList<>();
-    private boolean begun;
+    private byte[] voterRecord = {};
+    private byte[] snapshotRecord = {};
+    private final List<byte[]> entryRecords = new ArrayList<>();
+    private boolean hasCheckpoint;
     private boolean discarded;
 
+    /** Creates a store; {@link #open} has to be called first. */
     public ReplicaStore(SlotStore store) {
         this.store = store;
     }
 
-    /** The records to begin with, oldest first. */
+    /** Opens the store and returns its records, oldest first. */
     public List<byte[]> open() {
         List<byte[]> all = new ArrayList<>();
-        SlotStore.Contents found = store.open();
-        begun = found.state() != null;
-        if (begun) {
-            all.addAll(split(found.state()));
+        SlotStore.Contents contents = store.open();
+        hasCheckpoint = contents.state() != null;
+        if (hasCheckpoint) {
+            all.addAll(parseCheckpoint(contents.state()));
         }
-        all.addAll(found.records());
+        all.addAll(contents.records());
         all.removeIf(record -> record.length == 0);
-        all.forEach(this::note);
+        all.forEach(this::track);
         return all;
     }
 
-    private static List<byte[]> split(byte[] state) {
+    private static List<byte[]> parseCheckpoint(byte[] state) {
         List<byte[]> records = new ArrayList<>();
         ByteBuffer in = ByteBuffer.wrap(state);
         while (in.remaining() >= Integer.BYTES) {
@@ -52,66 +53,66 @@
         return records;
     }
 
-    /** Gives up what can't be read. */
+    /** Discards a store that can't be read. */
     public void discard() {
         store.discard();
-        vote = new byte[0];
-        snapshot = new byte[0];
-        entries.clear();
-        begun = false;
+        voterRecord = new byte[0];
+        snapshotRecord = new byte[0];
+        entryRecords.clear();
+        hasCheckpoint = false;
         discarded = true;
     }
 
-    /** Whether what was kept could not be read, and was given up. */
+    /** Whether the stored records could not be read and were discarded. */
     public boolean discarded() {
         return discarded;
     }
 
-    private void note(byte[] record) {
+    private void track(byte[] record) {
         switch (record[0]) {
-            case VoterState.RECORD_TAG -> vote = record;
+            case VoterState.RECORD_TAG -> voterRecord = record;
             case ReplicaLog.SNAPSHOT_RECORD -> {
-                snapshot = record;
-                entries.clear();
+                snapshotRecord = record;
+                entryRecords.clear();
             }
-            default -> entries.add(record);
+            default -> entryRecords.add(record);
         }
     }
 
     /**
-     * Keeps a record for good.
+     * Writes a record durably.
      *
-     * @return whether the disk took it
+     * @return whether the write succeeded
      */
-    public boolean keep(byte[] record) {
-        byte[] voteBefore = vote;
-        byte[] snapshotBefore = snapshot;
-        List<byte[]> entriesBefore = List.copyOf(entries);
-        note(record);
+    public boolean persist(byte[] record) {
+        byte[] previousVoterRecord = voterRecord;
+        byte[] previousSnapshotRecord = snapshotRecord;
+        List<byte[]> previousEntryRecords = List.copyOf(entryRecords);
+        track(record);
         try {
             write(record);
             return true;
-        } catch (FleetException refused) {
-            vote = voteBefore;
-            snapshot = snapshotBefore;
-            entries.clear();
-            entries.addAll(entriesBefore);
+        } catch (FleetException writeFailure) {
+            voterRecord = previousVoterRecord;
+            snapshotRecord = previousSnapshotRecord;
+            entryRecords.clear();
+            entryRecords.addAll(previousEntryRecords);
             return false;
         }
     }
 
     private void write(byte[] record) {
-        if (begun && store.logBytes() < MAX_LOG_BYTES && record.length <= MAX_APPENDED_BYTES) {
+        if (hasCheckpoint && store.logBytes() < MAX_LOG_BYTES && record.length <= MAX_APPENDED_BYTES) {
             store.append(record);
         } else {
-            store.checkpoint(join());
-            begun = true;
+            store.checkpoint(encodeCheckpoint());
+            hasCheckpoint = true;
         }
     }
 
-    private byte[] join() {
-        List<byte[]> all = new ArrayList<>(List.of(vote, snapshot));
-        all.addAll(entries);
+    private byte[] encodeCheckpoint() {
+        List<byte[]> all = new ArrayList<>(List.of(voterRecord, snapshotRecord));
+        all.addAll(entryRecords);
         int size =
                 all.stream().mapToInt(record -> Integer.BYTES + record.length).sum();
         ByteBuffer out = ByteBuffer.allocate(size);
