--- a/src/main/java/quartzspan/controlplane/ControlPlane.java
+++ b/src/main/java/quartzspan/controlplane/ControlPlane.java
@@ -241,7 +241,7 @@
         if (replica.isPrimary()) {
             registry.confirmFresh(replica.confirmedAtMs());
         }
-        return registry.freshAt();
+        return registry.freshAtMs();
     }
 
     /** Reports to the other core machines which servers and proxies were heard here. */
@@ -258,7 +258,7 @@
             heartbeats.restartTimeouts(now);
             return;
         }
-        List<RegistryEntry> lost = heartbeats.expireSilent(now);
+        List<RegistryEntry> lost = heartbeats.expireTimedOut(now);
         if (!lost.isEmpty()) {
             LOG.info("lost: {}", lost.stream().map(RegistryEntry::key).toList());
             gossip.broadcast(now, new Registry.Update(lost, false), null);
--- a/src/main/java/quartzspan/controlplane/HeartbeatHandler.java
+++ b/src/main/java/quartzspan/controlplane/HeartbeatHandler.java
@@ -85,7 +85,7 @@
             model = models.getJsonObject(0).getString("name", "");
             weights = JsonFields.wholeNumber(models.getJsonObject(0), "version", 0);
         }
-        String text = Server.text(
+        String text = Server.encode(
                 json.getString("service", ""),
                 json.getString("address", ""),
                 json.getString("zone", ""),
--- a/src/main/java/quartzspan/controlplane/LoadTracker.java
+++ b/src/main/java/quartzspan/controlplane/LoadTracker.java
@@ -68,7 +68,7 @@
     void update(long now, List<Server> servers) {
         for (Server server : servers) {
             Load load = loads.get(server.id());
-            if (load != null && server.weights() >= load.version()) {
+            if (load != null && server.weightsVersion() >= load.version()) {
                 loads.remove(server.id());
                 finished.add(new Finished(server, now - load.firstOrderedAt()));
             }
--- a/src/main/java/quartzspan/controlplane/OperatorApi.java
+++ b/src/main/java/quartzspan/controlplane/OperatorApi.java
@@ -96,7 +96,7 @@
             throw new FleetException(
                     FleetException.Code.NOT_PRIMARY, "no primary is known at present", "retry in a moment");
         }
-        RequestRouter.redirect(client, "http://" + CoreMachine.of(entry).control() + in.uri());
+        RequestRouter.redirect(client, "http://" + CoreMachine.of(entry).controlAddress() + in.uri());
         return true;
     }
 }
--- a/src/main/java/quartzspan/controlplane/RolloutActions.java
+++ b/src/main/java/quartzspan/controlplane/RolloutActions.java
@@ -159,7 +159,7 @@
         LOG.info(
                 "server {} has version {} of {}, {} ms after its first order",
                 load.server().id(),
-                load.server().weights(),
+                load.server().weightsVersion(),
                 load.server().model(),
                 load.tookMs());
     }
--- a/src/main/java/quartzspan/controlplane/RolloutPlanner.java
+++ b/src/main/java/quartzspan/controlplane/RolloutPlanner.java
@@ -74,8 +74,8 @@
     /** The servers that lack a version, the earliest deadline first. */
     private List<Server> behind(String model, long version, List<Server> servers) {
         return servers.stream()
-                .filter(server -> server.weights() < version)
-                .sorted(Comparator.comparingLong(server -> deadlines.deadline(model, server.weights())))
+                .filter(server -> server.weightsVersion() < version)
+                .sorted(Comparator.comparingLong(server -> deadlines.deadline(model, server.weightsVersion())))
                 .toList();
     }
 
@@ -92,7 +92,8 @@
         long soon = now + deadlines.share(WITHDRAWAL_FRACTION);
         List<Order> withdrawn = new ArrayList<>();
         named.forEach((model, version) -> loadable(model, servers).stream()
-                .filter(server -> server.loading() == 0 && deadlines.deadline(model, server.weights()) <= soon)
+                .filter(server ->
+                        server.loadingVersion() == 0 && deadlines.deadline(model, server.weightsVersion()) <= soon)
                 .forEach(server -> withdrawn.add(new Order(server, model, version))));
         return withdrawn;
     }
--- a/src/main/java/quartzspan/controlplane/RolloutRound.java
+++ b/src/main/java/quartzspan/controlplane/RolloutRound.java
@@ -20,7 +20,7 @@
         }
 
         boolean isLackedBy(Server server) {
-            return server.weights() < version;
+            return server.weightsVersion() < version;
         }
     }
 
@@ -30,7 +30,7 @@
     RolloutRound(long now, WeightsDeadlines deadlines, String model, List<Server> servers) {
         deadlines.of(model).forEach((version, deadline) -> {
             int lacking = (int) servers.stream()
-                    .filter(server -> server.weights() < version)
+                    .filter(server -> server.weightsVersion() < version)
                     .count();
             double elapsed = deadlines.elapsedFraction(now, deadline);
             namings.add(new Naming(version, lacking, new RolloutPace(servers.size(), lacking, elapsed)));
--- a/src/main/java/quartzspan/controlplane/StatusReport.java
+++ b/src/main/java/quartzspan/controlplane/StatusReport.java
@@ -30,7 +30,7 @@
                 .append(",\"version\":")
                 .append(registry.state().configuration().version())
                 .append(",\"fresh_ms\":")
-                .append(now - registry.freshAt());
+                .append(now - registry.freshAtMs());
         for (RegistryEntry.Subject subject : RegistryEntry.Subject.values()) {
             entries(json, subject, registry);
         }
--- a/src/main/java/quartzspan/frontend/EndpointDirectory.java
+++ b/src/main/java/quartzspan/frontend/EndpointDirectory.java
@@ -72,7 +72,7 @@
      */
     long expectedWeights(String server) {
         long has = weights(server);
-        return has == 0 ? 0 : Math.max(has, servers.get(server).loading());
+        return has == 0 ? 0 : Math.max(has, servers.get(server).loadingVersion());
     }
 
     /**
@@ -84,7 +84,7 @@
     boolean onVersionMismatch(String server) {
         long has = weights(server);
         Server known = servers.get(server);
-        if (known == null || known.loading() > has) {
+        if (known == null || known.loadingVersion() > has) {
             return false;
         }
         if (has > 0) {
@@ -103,7 +103,7 @@
 
     /** Number of proxies that share the servers, this one included. */
     int proxies() {
-        return Math.max(1, registry.ready(RegistryEntry.Subject.PROXY).size());
+        return Math.max(1, registry.readyKeys(RegistryEntry.Subject.PROXY).size());
     }
 
     private Configuration configuration() {
@@ -115,7 +115,7 @@
     /** The registry was updated. */
     void onUpdate(Registry.Update update) {
         update.entries().forEach(this::onEntry);
-        if (update.state() && !configuration().services().equals(services)) {
+        if (update.stateAdvanced() && !configuration().services().equals(services)) {
             // The bounds of connections come from the configuration.
             services = configuration().services();
             registry.servers().forEach(this::onServer);
@@ -160,8 +160,8 @@
             connectionPool.closeIdle(endpoint);
         }
         endpoint.listed(socketAddress(server.address()), ready, maxConnections(server));
-        placement.onListed(clockUs.getAsLong(), server.id(), server.service(), ready, server.loading() > 0);
-        weights.put(server.id(), server.weights());
+        placement.onListed(clockUs.getAsLong(), server.id(), server.service(), ready, server.loadingVersion() > 0);
+        weights.put(server.id(), server.weightsVersion());
     }
 
     private static InetSocketAddress socketAddress(String address) {
--- a/src/main/java/quartzspan/frontend/FrontendProxy.java
+++ b/src/main/java/quartzspan/frontend/FrontendProxy.java
@@ -267,9 +267,9 @@
             return false;
         }
         if (!settings.bounds().strictRevocation()) {
-            return registry.freshAt() > 0;
+            return registry.freshAtMs() > 0;
         }
-        long ageMs = nowMs() - registry.freshAt();
+        long ageMs = nowMs() - registry.freshAtMs();
         return ageMs < settings.bounds().revocationMs() - FRESHNESS_MARGIN_MS;
     }
 
--- a/src/main/java/quartzspan/registry/AcknowledgementTracker.java
+++ b/src/main/java/quartzspan/registry/AcknowledgementTracker.java
@@ -14,7 +14,7 @@
  */
 final class AcknowledgementTracker {
     /** Pause before entries are sent again to machines that have not acknowledged them. */
-    private static final long RETRY_MS = 150;
+    private static final long RETRY_INTERVAL_MS = 150;
     /** Receipts waited for at once; beyond that the oldest is given up. */
     static final int MAX_PENDING = 1_024;
 
@@ -92,7 +92,7 @@
     List<Retry> takeDueRetries(long now, List<String> cores) {
         List<Retry> due = new ArrayList<>();
         pendingByNonce.forEach((nonce, pending) -> {
-            if (now - pending.sentAtMs >= RETRY_MS) {
+            if (now - pending.sentAtMs >= RETRY_INTERVAL_MS) {
                 pending.sentAtMs = now;
                 pending.recipients.addAll(cores);
                 due.add(new Retry(
--- a/src/main/java/quartzspan/registry/Gossip.java
+++ b/src/main/java/quartzspan/registry/Gossip.java
@@ -25,7 +25,7 @@
     /** A core machine whose state is older than this counts as failing: another one may have it fresher. */
     private static final long MAX_STALENESS_MS = 900;
     /** A process that sent a query within this time is sent updates at once. */
-    private static final long SUBSCRIPTION_MS = 1_500;
+    private static final long SUBSCRIPTION_TTL_MS = 1_500;
 
     private static final int PEER_COUNT = 3;
     /** Updates within this time of the last broadcast are collected and sent together at the next tick. */
@@ -39,10 +39,10 @@
         void send(String to, GossipMessage message);
     }
 
-    private record Query(String to, long at, boolean full) {}
+    private record Query(String to, long sentAtMs, boolean full) {}
 
     private final String self;
-    private final boolean core;
+    private final boolean isCoreMachine;
     private List<String> seeds;
     private final Registry registry;
     private final Sender sender;
@@ -54,33 +54,33 @@
 
     private boolean statePending;
     /** Whether the pending state was published by this process. */
-    private boolean publishes;
+    private boolean pendingStateIsOwn;
     /** Index of the state that was last broadcast. */
-    private long broadcastIndex = -1;
+    private long lastBroadcastIndex = -1;
 
-    private final StateFetch fetches;
-    private long broadcastAtMs = Long.MIN_VALUE / 2;
+    private final StateFetch stateFetch;
+    private long lastBroadcastAtMs = Long.MIN_VALUE / 2;
     /** Number of queries in a row that a core machine has not answered well. */
     private final Map<String, Integer> failureCounts = new HashMap<>();
 
     private long lastNonce;
     private long nextCoreQueryAtMs;
     private long nextPeerQueryAtMs;
-    private int rotation;
-    private boolean acknowledgesNothing;
+    private int roundRobin;
+    private boolean acknowledgementsStopped;
     /** Ranked lists, kept until what they come from changes. */
     private List<String> rankedCores = List.of();
 
     /** The zone whose core machines are preferred; null for none. */
-    private String zone;
+    private String preferredZone;
 
     private long rankedCoresVersion = -1;
     private List<String> rankedPeers = List.of();
     private long rankedPeersVersion = -1;
 
     /** As below, with queries numbered from 1 on: for a process without an earlier incarnation. */
-    public Gossip(String self, boolean core, List<String> seeds, Registry registry, Sender sender) {
-        this(self, core, seeds, registry, sender, 0);
+    public Gossip(String self, boolean isCoreMachine, List<String> seeds, Registry registry, Sender sender) {
+        this(self, isCoreMachine, seeds, registry, sender, 0);
     }
 
     /**
@@ -90,13 +90,14 @@
      * @param firstNonce the number before that of the first query: a reply to a query of an earlier incarnation of this
      *     process must match none of this one, or old state would count as fresh
      */
-    public Gossip(String self, boolean core, List<String> seeds, Registry registry, Sender sender, long firstNonce) {
+    public Gossip(
+            String self, boolean isCoreMachine, List<String> seeds, Registry registry, Sender sender, long firstNonce) {
         this.self = self;
-        this.core = core;
+        this.isCoreMachine = isCoreMachine;
         this.seeds = seeds;
         this.registry = registry;
         this.sender = sender;
-        this.fetches = new StateFetch(registry.states(), firstNonce, sender);
+        this.stateFetch = new StateFetch(registry.stateFollower(), firstNonce, sender);
         this.lastNonce = firstNonce;
     }
 
@@ -106,37 +107,39 @@
     }
 
     /** Other core machines to begin with. */
-    public void setSeeds(List<String> changed) {
-        seeds = changed;
+    public void setSeeds(List<String> newSeeds) {
+        seeds = newSeeds;
         rankedCoresVersion = -1;
     }
 
     /** Prefers the core machines of a zone, so that updates cross between zones once, not for each proxy. */
-    public void preferZone(String preferred) {
-        zone = preferred;
+    public void preferZone(String zone) {
+        preferredZone = zone;
         rankedCoresVersion = -1;
     }
 
     /** The core machines known, best first. */
     public List<String> cores() {
-        long changes = registry.version(RegistryEntry.Subject.CORE);
-        if (rankedCoresVersion != changes) {
-            rankedCoresVersion = changes;
+        long version = registry.version(RegistryEntry.Subject.CORE);
+        if (rankedCoresVersion != version) {
+            rankedCoresVersion = version;
             List<String> ranked = new ArrayList<>(Registry.rendezvousSelect(self, knownCores(), Integer.MAX_VALUE));
-            ranked.sort(Comparator.comparing(address -> !near(address)));
+            ranked.sort(Comparator.comparing(address -> !isInPreferredZone(address)));
             rankedCores = List.copyOf(ranked);
         }
         if (failureCounts.values().stream().allMatch(p -> p == 0)) {
             return rankedCores;
         }
-        List<String> best = new ArrayList<>(rankedCores);
-        best.sort(Comparator.comparingInt(c -> failureCounts.getOrDefault(c, 0)));
-        return best;
+        List<String> byFailures = new ArrayList<>(rankedCores);
+        byFailures.sort(Comparator.comparingInt(c -> failureCounts.getOrDefault(c, 0)));
+        return byFailures;
     }
 
-    private boolean near(String address) {
+    private boolean isInPreferredZone(String address) {
         RegistryEntry entry = registry.entry(RegistryEntry.Subject.CORE, address);
-        return zone != null && entry != null && CoreMachine.of(entry).zone().equals(zone);
+        return preferredZone != null
+                && entry != null
+                && CoreMachine.of(entry).zone().equals(preferredZone);
     }
 
     private List<String> knownCores() {
@@ -153,23 +156,23 @@
 
     /** The other proxies that this process exchanges updates with. */
     public List<String> peers() {
-        long changes = registry.version(RegistryEntry.Subject.PROXY);
-        if (rankedPeersVersion != changes) {
-            rankedPeersVersion = changes;
-            rankedPeers = Registry.rendezvousSelect(self, registry.ready(RegistryEntry.Subject.PROXY), PEER_COUNT);
+        long version = registry.version(RegistryEntry.Subject.PROXY);
+        if (rankedPeersVersion != version) {
+            rankedPeersVersion = version;
+            rankedPeers = Registry.rendezvousSelect(self, registry.readyKeys(RegistryEntry.Subject.PROXY), PEER_COUNT);
         }
         return rankedPeers;
     }
 
-    /** To be called every 50 to 100 ms; {@code leader}: on a core machine the primary, if known and another one. */
-    public void onTick(long now, String leader) {
-        broadcastCollected(now);
-        String unresponsive = fetches.onTick(now);
+    /** To be called every 50 to 100 ms; {@code primary}: on a core machine the primary, if known and another one. */
+    public void onTick(long now, String primary) {
+        broadcastIfDue(now);
+        String unresponsive = stateFetch.onTick(now);
         if (unresponsive != null) {
             failureCounts.merge(unresponsive, 1, Integer::sum);
         }
         openQueries.entrySet().removeIf(e -> {
-            boolean late = now - e.getValue().at() > QUERY_TIMEOUT_MS;
+            boolean late = now - e.getValue().sentAtMs() > QUERY_TIMEOUT_MS;
             if (late) {
                 failureCounts.merge(e.getValue().to(), 1, Integer::sum);
             }
@@ -181,24 +184,24 @@
         if (now >= nextCoreQueryAtMs) {
             nextCoreQueryAtMs = now + CORE_QUERY_INTERVAL_MS;
             List<String> cores = cores();
-            if (leader != null) {
-                query(now, leader, false);
+            if (primary != null) {
+                query(now, primary, false);
             } else if (!cores.isEmpty()) {
                 query(now, cores.get(0), false);
                 // The first choice is still queried, and another one beside it: it may have recovered.
                 if (failureCounts.getOrDefault(cores.get(0), 0) > 0 && cores.size() > 1) {
-                    query(now, cores.get(1 + rotation++ % (cores.size() - 1)), false);
+                    query(now, cores.get(1 + roundRobin++ % (cores.size() - 1)), false);
                 }
             }
         }
         if (now >= nextPeerQueryAtMs) {
             nextPeerQueryAtMs = now + PEER_QUERY_INTERVAL_MS;
-            List<String> peers = core ? cores() : peers();
+            List<String> peers = isCoreMachine ? cores() : peers();
             if (!peers.isEmpty()) {
-                query(now, peers.get(rotation++ % peers.size()), false);
+                query(now, peers.get(roundRobin++ % peers.size()), false);
             }
-            subscribers.values().removeIf(at -> now - at > SUBSCRIPTION_MS);
-            if (failureCounts.size() > 0 && rotation % 8 == 0) {
+            subscribers.values().removeIf(at -> now - at > SUBSCRIPTION_TTL_MS);
+            if (failureCounts.size() > 0 && roundRobin % 8 == 0) {
                 failureCounts.replaceAll((k, v) -> v / 2);
             }
         }
@@ -210,14 +213,14 @@
     }
 
     /** A message came; what was new in it has been forwarded already. */
-    public Registry.Update onGossip(long now, String from, GossipMessage in) {
+    public Registry.Update onGossip(long now, String from, GossipMessage message) {
         Registry.Update update =
-                switch (in.kind()) {
-                    case QUERY -> onQuery(now, from, in);
-                    case REPLY -> onReply(now, from, in);
-                    case FETCH -> onFetch(from, in);
-                    case FETCH_REPLY -> onFetchReply(now, from, in);
-                    default -> onUpdate(now, from, in);
+                switch (message.kind()) {
+                    case QUERY -> onQuery(now, from, message);
+                    case REPLY -> onReply(now, from, message);
+                    case FETCH -> onFetch(from, message);
+                    case FETCH_REPLY -> onFetchReply(now, from, message);
+                    default -> onUpdate(now, from, message);
                 };
         if (!update.isEmpty()) {
             broadcast(now, update, from);
@@ -227,69 +230,72 @@
 
     /** This process is about to end: it acknowledges no more entries. */
     public void stopAcknowledging() {
-        acknowledgesNothing = true;
+        acknowledgementsStopped = true;
     }
 
-    private Registry.Update onQuery(long now, String from, GossipMessage in) {
+    private Registry.Update onQuery(long now, String from, GossipMessage message) {
         subscribers.put(from, now);
-        sender.send(from, registry.reply(now, in));
+        sender.send(from, registry.reply(now, message));
         return NO_UPDATE;
     }
 
-    private Registry.Update onReply(long now, String from, GossipMessage in) {
-        Query query = openQueries.get(in.nonce());
+    private Registry.Update onReply(long now, String from, GossipMessage message) {
+        Query query = openQueries.get(message.nonce());
         if (query != null && query.to().equals(from)) {
-            openQueries.remove(in.nonce());
+            openQueries.remove(message.nonce());
         } else {
             query = null;
         }
-        acknowledgements.onAcknowledgement(in.nonce(), from);
+        acknowledgements.onAcknowledgement(message.nonce(), from);
         if (query != null) {
             failureCounts.put(
                     from,
-                    in.ageMs() < 0 || in.ageMs() > MAX_STALENESS_MS ? failureCounts.getOrDefault(from, 0) + 1 : 0);
+                    message.ageMs() < 0 || message.ageMs() > MAX_STALENESS_MS
+                            ? failureCounts.getOrDefault(from, 0) + 1
+                            : 0);
         }
-        Registry.Update update = registry.merge(now, in, query == null ? NEVER : query.at());
-        if (query != null && in.buckets().length == Registry.BUCKETS) {
+        Registry.Update update = registry.merge(now, message, query == null ? NEVER : query.sentAtMs());
+        if (query != null && message.digests().length == Registry.BUCKETS) {
             if (query.full()) {
-                sendLacking(from, in.buckets());
+                sendMissing(from, message.digests());
             } else {
                 query(now, from, true);
             }
         }
-        fetches.onIndex(now, from, in.stateIndex(), false);
+        stateFetch.onIndex(now, from, message.stateIndex(), false);
         return update;
     }
 
-    private Registry.Update onUpdate(long now, String from, GossipMessage in) {
-        Registry.Update update = registry.merge(now, in, NEVER);
-        if (in.nonce() != 0 && !acknowledgesNothing) {
-            sender.send(from, GossipMessage.acknowledgement(in.nonce()));
+    private Registry.Update onUpdate(long now, String from, GossipMessage message) {
+        Registry.Update update = registry.merge(now, message, NEVER);
+        if (message.nonce() != 0 && !acknowledgementsStopped) {
+            sender.send(from, GossipMessage.acknowledgement(message.nonce()));
         }
-        fetches.onIndex(now, from, in.stateIndex(), !in.deltas().isEmpty());
+        stateFetch.onIndex(now, from, message.stateIndex(), !message.deltas().isEmpty());
         return update;
     }
 
     /** Sends the deltas from the requester's state to the one here, or a chunk of a snapshot where the deltas are not known. */
-    private Registry.Update onFetch(String from, GossipMessage in) {
-        StateFollower states = registry.states();
-        boolean anyWill = in.chunk().index() == SnapshotChunk.ANY;
-        List<StateDelta> steps = anyWill ? states.since(in.stateIndex()) : List.of();
-        SnapshotChunk chunk = steps.isEmpty() ? states.chunk(in.stateIndex(), in.chunk()) : SnapshotChunk.NONE;
-        sender.send(from, GossipMessage.fetchReply(in.nonce(), states.index(), steps, chunk));
+    private Registry.Update onFetch(String from, GossipMessage message) {
+        StateFollower stateFollower = registry.stateFollower();
+        boolean acceptsDeltas = message.chunk().index() == SnapshotChunk.DELTAS_OR_SNAPSHOT;
+        List<StateDelta> deltas = acceptsDeltas ? stateFollower.deltasSince(message.stateIndex()) : List.of();
+        SnapshotChunk chunk =
+                deltas.isEmpty() ? stateFollower.chunk(message.stateIndex(), message.chunk()) : SnapshotChunk.NONE;
+        sender.send(from, GossipMessage.fetchReply(message.nonce(), stateFollower.index(), deltas, chunk));
         return NO_UPDATE;
     }
 
-    private Registry.Update onFetchReply(long now, String from, GossipMessage in) {
-        boolean newer = fetches.onFetchReply(now, from, in);
+    private Registry.Update onFetchReply(long now, String from, GossipMessage message) {
+        boolean newer = stateFetch.onFetchReply(now, from, message);
         return newer ? new Registry.Update(List.of(), true) : NO_UPDATE;
     }
 
     /** Sends the entries that the other process lacks, or has older. */
-    private void sendLacking(String to, long[] buckets) {
-        List<RegistryEntry> lacking = registry.differing(buckets);
-        if (!lacking.isEmpty()) {
-            sender.send(to, GossipMessage.update(0, registry.stateIndex(), lacking, List.of()));
+    private void sendMissing(String to, long[] otherDigests) {
+        List<RegistryEntry> missing = registry.entriesInDifferingBuckets(otherDigests);
+        if (!missing.isEmpty()) {
+            sender.send(to, GossipMessage.update(0, registry.stateIndex(), missing, List.of()));
         }
     }
 
@@ -309,11 +315,11 @@
      * sends the deltas of the state; other processes only send its index, and a process that lacks it fetches it.
      */
     public void broadcast(long now, Registry.Update update, String except) {
-        boolean alone = !isUpdatePending();
+        boolean nothingPending = !isUpdatePending();
         update.entries().forEach(entry -> pendingEntries.put(entry.subject().ordinal() + entry.key(), entry));
-        statePending |= update.state();
-        if (now - broadcastAtMs >= BATCH_WINDOW_MS) {
-            broadcastPending(now, alone ? except : null);
+        statePending |= update.stateAdvanced();
+        if (now - lastBroadcastAtMs >= BATCH_WINDOW_MS) {
+            broadcastPending(now, nothingPending ? except : null);
         }
     }
 
@@ -321,8 +327,8 @@
         return statePending || !pendingEntries.isEmpty();
     }
 
-    private void broadcastCollected(long now) {
-        if (isUpdatePending() && now - broadcastAtMs >= BATCH_WINDOW_MS) {
+    private void broadcastIfDue(long now) {
+        if (isUpdatePending() && now - lastBroadcastAtMs >= BATCH_WINDOW_MS) {
             broadcastPending(now, null);
         }
     }
@@ -335,26 +341,28 @@
     }
 
     private void broadcastNow(long now, Registry.Update update, String except) {
-        broadcastAtMs = now;
-        Set<String> to = new LinkedHashSet<>(core ? subscribers.keySet() : peers());
-        if (core) {
-            to.addAll(cores());
+        lastBroadcastAtMs = now;
+        Set<String> recipients = new LinkedHashSet<>(isCoreMachine ? subscribers.keySet() : peers());
+        if (isCoreMachine) {
+            recipients.addAll(cores());
         }
-        List<StateDelta> steps = core && update.state() ? registry.states().since(broadcastIndex) : List.of();
-        broadcastIndex = registry.stateIndex();
-        GossipMessage index = GossipMessage.update(0, broadcastIndex, update.entries(), List.of());
-        GossipMessage full = GossipMessage.update(0, broadcastIndex, update.entries(), steps);
-        for (String other : to) {
-            if (!other.equals(except) && !other.equals(self)) {
-                sender.send(other, publishes || !cores().contains(other) ? full : index);
+        List<StateDelta> deltas = isCoreMachine && update.stateAdvanced()
+                ? registry.stateFollower().deltasSince(lastBroadcastIndex)
+                : List.of();
+        lastBroadcastIndex = registry.stateIndex();
+        GossipMessage withIndex = GossipMessage.update(0, lastBroadcastIndex, update.entries(), List.of());
+        GossipMessage withDeltas = GossipMessage.update(0, lastBroadcastIndex, update.entries(), deltas);
+        for (String recipient : recipients) {
+            if (!recipient.equals(except) && !recipient.equals(self)) {
+                sender.send(recipient, pendingStateIsOwn || !cores().contains(recipient) ? withDeltas : withIndex);
             }
         }
-        publishes = false;
+        pendingStateIsOwn = false;
     }
 
     /** This process has published a new state: it is the only one that sends it to the other core machines. */
     public void onPublished(long now) {
-        publishes = true;
+        pendingStateIsOwn = true;
         broadcast(now, new Registry.Update(List.of(), true), null);
     }
 
@@ -362,31 +370,32 @@
      * Broadcasts entries until enough other core machines have acknowledged them: then they outlive this process and others
      * with it. They are sent again to the other ones until then, or until {@link #cancelBroadcast}.
      *
-     * @param wanted number of other core machines that must have them, at least one
+     * @param required number of other core machines that must have them, at least one
      * @return the argument of {@link #cancelBroadcast}
      */
-    public long broadcastUntilAcknowledged(long now, List<RegistryEntry> update, int wanted, Runnable onAcknowledged) {
+    public long broadcastUntilAcknowledged(
+            long now, List<RegistryEntry> update, int required, Runnable onAcknowledged) {
         List<String> cores = cores();
         List<String> others = new ArrayList<>(subscribers.keySet());
-        if (!core) {
+        if (!isCoreMachine) {
             peers().stream().filter(p -> !others.contains(p)).forEach(others::add);
         }
         others.removeAll(cores);
-        GossipMessage plain = GossipMessage.update(0, registry.stateIndex(), update, List.of());
-        others.forEach(to -> sender.send(to, plain));
+        GossipMessage message = GossipMessage.update(0, registry.stateIndex(), update, List.of());
+        others.forEach(to -> sender.send(to, message));
         long nonce = ++lastNonce;
-        acknowledgements.track(now, nonce, wanted, cores, update, onAcknowledged);
+        acknowledgements.track(now, nonce, required, cores, update, onAcknowledged);
         sendForAcknowledgement(nonce, update, cores);
         return nonce;
     }
 
     /** The acknowledgements of a broadcast are not needed any more. */
-    public void cancelBroadcast(long receipt) {
-        acknowledgements.cancel(receipt);
+    public void cancelBroadcast(long nonce) {
+        acknowledgements.cancel(nonce);
     }
 
     private void sendForAcknowledgement(long nonce, List<RegistryEntry> update, List<String> to) {
-        GossipMessage asking = GossipMessage.update(nonce, registry.stateIndex(), update, List.of());
-        to.forEach(c -> sender.send(c, asking));
+        GossipMessage message = GossipMessage.update(nonce, registry.stateIndex(), update, List.of());
+        to.forEach(c -> sender.send(c, message));
     }
 }
--- a/src/main/java/quartzspan/registry/HeartbeatTracker.java
+++ b/src/main/java/quartzspan/registry/HeartbeatTracker.java
@@ -21,7 +21,7 @@
     /** Time between checks for servers and proxies that have timed out. */
     private static final long CHECK_INTERVAL_MS = 200;
 
-    private record LastHeartbeat(long at, long count) {}
+    private record LastHeartbeat(long atMs, long count) {}
 
     private final Registry registry;
     private final long heartbeatMs;
@@ -51,9 +51,9 @@
         unreported.put(id, new RegistryEntry(RegistryEntry.Subject.SERVER, id, count, state, ""));
         RegistryEntry old = registry.entry(RegistryEntry.Subject.SERVER, id);
         // The heartbeat doesn't name the weights that the server is loading: they stay until it has them.
-        Server before = old == null ? null : Server.of(old);
-        long loading = Math.max(reported.loading(), before == null ? 0 : before.loading());
-        String text = reported.text(reported.weights(), loading);
+        Server previous = old == null ? null : Server.of(old);
+        long loadingVersion = Math.max(reported.loadingVersion(), previous == null ? 0 : previous.loadingVersion());
+        String text = reported.encodeWith(reported.weightsVersion(), loadingVersion);
         if (old != null && old.state() == state && old.text().equals(text)) {
             return null;
         }
@@ -78,28 +78,30 @@
                 id,
                 old == null ? 1 : old.seq() + 1,
                 RegistryEntry.State.GONE,
-                old == null ? Server.text("", "", "", "", 0, 0) : old.text());
+                old == null ? Server.encode("", "", "", "", 0, 0) : old.text());
         servers.remove(id);
         return registry.merge(now, next) ? next : null;
     }
 
     /** Weights that a server has reported; the updated entry, or null. What it loads stays until it has it. */
-    public RegistryEntry onWeightsReported(long now, String id, long weights) {
-        return withWeights(now, id, weights, -1);
+    public RegistryEntry onWeightsReported(long now, String id, long weightsVersion) {
+        return updateWeights(now, id, weightsVersion, -1);
     }
 
     /** Weights that a server is ordered to load; the updated entry, or null. */
-    public RegistryEntry onLoadOrdered(long now, String id, long loading) {
-        return withWeights(now, id, -1, loading);
+    public RegistryEntry onLoadOrdered(long now, String id, long loadingVersion) {
+        return updateWeights(now, id, -1, loadingVersion);
     }
 
-    private RegistryEntry withWeights(long now, String id, long weights, long loading) {
+    private RegistryEntry updateWeights(long now, String id, long weightsVersion, long loadingVersion) {
         RegistryEntry old = registry.entry(RegistryEntry.Subject.SERVER, id);
-        Server before = old == null ? null : Server.of(old);
-        if (before == null || old.state() == RegistryEntry.State.GONE) {
+        Server previous = old == null ? null : Server.of(old);
+        if (previous == null || old.state() == RegistryEntry.State.GONE) {
             return null;
         }
-        String text = before.text(weights < 0 ? before.weights() : weights, loading < 0 ? before.loading() : loading);
+        String text = previous.encodeWith(
+                weightsVersion < 0 ? previous.weightsVersion() : weightsVersion,
+                loadingVersion < 0 ? previous.loadingVersion() : loadingVersion);
         if (old.text().equals(text)) {
             return null;
         }
@@ -139,50 +141,54 @@
 
     /** A report of another core machine. */
     public void onPeerReport(long now, List<RegistryEntry> reported) {
-        for (RegistryEntry f : reported) {
-            Map<String, LastHeartbeat> of = f.subject() == RegistryEntry.Subject.SERVER ? servers : proxies;
-            LastHeartbeat last = of.get(f.key());
-            if (last == null || f.seq() >= last.count()) {
-                of.put(f.key(), new LastHeartbeat(now, f.seq()));
+        for (RegistryEntry entry : reported) {
+            Map<String, LastHeartbeat> heartbeats = entry.subject() == RegistryEntry.Subject.SERVER ? servers : proxies;
+            LastHeartbeat last = heartbeats.get(entry.key());
+            if (last == null || entry.seq() >= last.count()) {
+                heartbeats.put(entry.key(), new LastHeartbeat(now, entry.seq()));
             }
         }
     }
 
     /** The entries of servers and proxies that have timed out; only while this machine is connected to the rest of the core. */
-    public List<RegistryEntry> expireSilent(long now) {
+    public List<RegistryEntry> expireTimedOut(long now) {
         if (now < nextCheckAtMs) {
             return List.of();
         }
         nextCheckAtMs = now + CHECK_INTERVAL_MS;
         List<RegistryEntry> expired = new ArrayList<>();
-        for (RegistryEntry f : registry.all(RegistryEntry.Subject.SERVER)) {
-            boolean there = f.state() == RegistryEntry.State.READY || f.state() == RegistryEntry.State.DRAINING;
-            if (there && silent(now, servers, f.key(), (long) (heartbeatMs * MAX_MISSED_HEARTBEATS))) {
+        for (RegistryEntry entry : registry.all(RegistryEntry.Subject.SERVER)) {
+            boolean registered =
+                    entry.state() == RegistryEntry.State.READY || entry.state() == RegistryEntry.State.DRAINING;
+            if (registered && hasTimedOut(now, servers, entry.key(), (long) (heartbeatMs * MAX_MISSED_HEARTBEATS))) {
                 // One that was draining has ended: nothing may bring it back as ready.
-                RegistryEntry.State end =
-                        f.state() == RegistryEntry.State.DRAINING ? RegistryEntry.State.GONE : RegistryEntry.State.LOST;
-                expired.add(new RegistryEntry(f.subject(), f.key(), f.seq() + 1, end, f.text()));
+                RegistryEntry.State end = entry.state() == RegistryEntry.State.DRAINING
+                        ? RegistryEntry.State.GONE
+                        : RegistryEntry.State.LOST;
+                expired.add(new RegistryEntry(entry.subject(), entry.key(), entry.seq() + 1, end, entry.text()));
             }
         }
-        for (RegistryEntry f : registry.all(RegistryEntry.Subject.PROXY)) {
-            if (f.state() == RegistryEntry.State.READY && silent(now, proxies, f.key(), PROXY_TIMEOUT_MS)) {
-                expired.add(new RegistryEntry(f.subject(), f.key(), f.seq() + 1, RegistryEntry.State.LOST, f.text()));
+        for (RegistryEntry entry : registry.all(RegistryEntry.Subject.PROXY)) {
+            if (entry.state() == RegistryEntry.State.READY
+                    && hasTimedOut(now, proxies, entry.key(), PROXY_TIMEOUT_MS)) {
+                expired.add(new RegistryEntry(
+                        entry.subject(), entry.key(), entry.seq() + 1, RegistryEntry.State.LOST, entry.text()));
             }
         }
-        expired.removeIf(f -> !registry.merge(now, f));
-        expired.forEach(f -> proxyReportedAtMs.remove(f.key()));
+        expired.removeIf(entry -> !registry.merge(now, entry));
+        expired.forEach(entry -> proxyReportedAtMs.remove(entry.key()));
         return expired;
     }
 
     /** The timeout of one that was never heard here starts now. */
-    private static boolean silent(long now, Map<String, LastHeartbeat> of, String key, long ms) {
-        LastHeartbeat last = of.computeIfAbsent(key, k -> new LastHeartbeat(now, 0));
-        return now - last.at() > ms;
+    private static boolean hasTimedOut(long now, Map<String, LastHeartbeat> heartbeats, String key, long timeoutMs) {
+        LastHeartbeat last = heartbeats.computeIfAbsent(key, absent -> new LastHeartbeat(now, 0));
+        return now - last.atMs() > timeoutMs;
     }
 
     /** All timeouts start again: nothing could be heard while this machine was disconnected. */
     public void restartTimeouts(long now) {
-        servers.replaceAll((k, l) -> new LastHeartbeat(now, l.count()));
-        proxies.replaceAll((k, l) -> new LastHeartbeat(now, l.count()));
+        servers.replaceAll((key, last) -> new LastHeartbeat(now, last.count()));
+        proxies.replaceAll((key, last) -> new LastHeartbeat(now, last.count()));
     }
 }
--- a/src/main/java/quartzspan/registry/PublishedState.java
+++ b/src/main/java/quartzspan/registry/PublishedState.java
@@ -35,10 +35,10 @@
         if (patch == null || !later.weights.keySet().containsAll(weights.keySet())) {
             return null;
         }
-        Map<String, Long> named = new TreeMap<>(later.weights);
-        named.entrySet().removeIf(weight -> weight.getValue().equals(weights.get(weight.getKey())));
+        Map<String, Long> changedWeights = new TreeMap<>(later.weights);
+        changedWeights.entrySet().removeIf(weight -> weight.getValue().equals(weights.get(weight.getKey())));
         boolean sameConfiguration = later.configuration.version() == configuration.version();
-        return encode(sameConfiguration ? NOTHING : JsonFields.toBytes(patch), named, later.rolloutHolder);
+        return encode(sameConfiguration ? NO_PATCH : JsonFields.toBytes(patch), changedWeights, later.rolloutHolder);
     }
 
     /**
@@ -46,7 +46,7 @@
      *
      * @throws FleetException if it doesn't fit this state
      */
-    PublishedState with(byte[] delta) {
+    PublishedState withDelta(byte[] delta) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(delta))) {
             byte[] patch = readBytes(in, delta.length);
             Map<String, Long> next = new TreeMap<>(weights);
@@ -56,7 +56,7 @@
                     Map.copyOf(next),
                     in.readUTF());
         } catch (IOException e) {
-            throw unreadable(e);
+            throw malformed(e);
         }
     }
 
@@ -73,17 +73,17 @@
             readWeights(in, weights);
             return new PublishedState(configuration, Map.copyOf(weights), in.readUTF());
         } catch (IOException e) {
-            throw unreadable(e);
+            throw malformed(e);
         }
     }
 
-    private static final byte[] NOTHING = {};
+    private static final byte[] NO_PATCH = {};
 
-    private static byte[] encode(byte[] document, Map<String, Long> weights, String rolloutHolder) {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream(document.length + 64);
+    private static byte[] encode(byte[] configurationBytes, Map<String, Long> weights, String rolloutHolder) {
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream(configurationBytes.length + 64);
         try (DataOutputStream out = new DataOutputStream(bytes)) {
-            out.writeInt(document.length);
-            out.write(document);
+            out.writeInt(configurationBytes.length);
+            out.write(configurationBytes);
             out.writeInt(weights.size());
             for (Map.Entry<String, Long> weight : weights.entrySet()) {
                 out.writeUTF(weight.getKey());
@@ -96,24 +96,24 @@
         return bytes.toByteArray();
     }
 
-    private static byte[] readBytes(DataInputStream in, int atMost) throws IOException {
+    private static byte[] readBytes(DataInputStream in, int maxLength) throws IOException {
         int length = in.readInt();
-        if (length < 0 || length > atMost) {
-            throw unreadable(null);
+        if (length < 0 || length > maxLength) {
+            throw malformed(null);
         }
         return in.readNBytes(length);
     }
 
-    private static void readWeights(DataInputStream in, Map<String, Long> into) throws IOException {
+    private static void readWeights(DataInputStream in, Map<String, Long> target) throws IOException {
         for (int n = in.readInt(); n > 0; n--) {
-            into.put(in.readUTF(), in.readLong());
+            target.put(in.readUTF(), in.readLong());
         }
     }
 
-    private static FleetException unreadable(IOException why) {
+    private static FleetException malformed(IOException cause) {
         return new FleetException(
                 FleetException.Code.MESSAGE_INVALID,
-                "a published state can't be read" + (why == null ? "" : ": " + why),
+                "a published state can't be read" + (cause == null ? "" : ": " + cause),
                 "run the same version on all machines");
     }
 }
--- a/src/main/java/quartzspan/registry/Registry.java
+++ b/src/main/java/quartzspan/registry/Registry.java
@@ -24,42 +24,43 @@
     /** How long ended entries are kept, so that an old update does not bring them back. */
     private static final long TOMBSTONE_TTL_MS = 120_000;
 
-    private final Map<RegistryEntry.Subject, SubjectEntries> bySubject = new EnumMap<>(RegistryEntry.Subject.class);
+    private final Map<RegistryEntry.Subject, SubjectEntries> entriesBySubject =
+            new EnumMap<>(RegistryEntry.Subject.class);
     /** The same entries by bucket, so that an answer looks only at what differs. */
-    private final List<Map<String, RegistryEntry>> byBucket = new ArrayList<>();
+    private final List<Map<String, RegistryEntry>> entriesByBucket = new ArrayList<>();
 
     private final Map<String, Long> endedAtMs = new HashMap<>();
-    private final long[] buckets = new long[BUCKETS];
+    private final long[] bucketDigests = new long[BUCKETS];
     private List<Server> servers = List.of();
     private long serversVersion;
     /** Digest of all entries. */
     private long digest;
 
-    private final StateFollower states = new StateFollower();
+    private final StateFollower stateFollower = new StateFollower();
     /** The latest time at which the state here was surely the newest. */
-    private long freshAt = Long.MIN_VALUE / 2;
+    private long freshAtMs = Long.MIN_VALUE / 2;
     /** Claims about states that have not arrived here yet. */
-    private final ArrayDeque<FreshnessClaim> claims = new ArrayDeque<>();
+    private final ArrayDeque<FreshnessClaim> freshnessClaims = new ArrayDeque<>();
 
     /** The state at an index was surely the newest at a time: a process with it or a later one is as fresh as that. */
-    private record FreshnessClaim(long index, long at) {}
+    private record FreshnessClaim(long stateIndex, long atMs) {}
 
     /** A name with the hash that orders it. */
-    private record Ranked(String name, long hash) {}
+    private record RankedName(String name, long hash) {}
 
     /** The entries of one subject; lists derived from them are kept until the next change. */
     private static final class SubjectEntries {
         final Map<String, RegistryEntry> entries = new HashMap<>();
         long version;
         List<RegistryEntry> all = List.of();
-        List<String> ready = List.of();
+        List<String> readyKeys = List.of();
         long listedVersion;
 
-        void list() {
+        void refreshLists() {
             if (listedVersion != version) {
                 listedVersion = version;
                 all = List.copyOf(entries.values());
-                ready = all.stream()
+                readyKeys = all.stream()
                         .filter(e -> e.state() == RegistryEntry.State.READY)
                         .map(RegistryEntry::key)
                         .toList();
@@ -70,43 +71,43 @@
     /** An empty registry. */
     public Registry() {
         for (RegistryEntry.Subject subject : RegistryEntry.Subject.values()) {
-            bySubject.put(subject, new SubjectEntries());
+            entriesBySubject.put(subject, new SubjectEntries());
         }
         for (int i = 0; i < BUCKETS; i++) {
-            byBucket.add(new HashMap<>());
+            entriesByBucket.add(new HashMap<>());
         }
     }
 
     /** Names an entry among those of all subjects: the subject's digit, then the key. */
-    private static String id(RegistryEntry entry) {
+    private static String entryId(RegistryEntry entry) {
         return entry.subject().ordinal() + entry.key();
     }
 
     private SubjectEntries subjectEntries(String id) {
-        return bySubject.get(RegistryEntry.Subject.values()[id.charAt(0) - '0']);
+        return entriesBySubject.get(RegistryEntry.Subject.values()[id.charAt(0) - '0']);
     }
 
-    private static int bucket(String key) {
+    private static int bucketOf(String key) {
         int mixed = key.hashCode() * 0x9e3779b9;
         return mixed >>> 16 & BUCKETS - 1;
     }
 
     public RegistryEntry entry(RegistryEntry.Subject subject, String key) {
-        return bySubject.get(subject).entries.get(key);
+        return entriesBySubject.get(subject).entries.get(key);
     }
 
     /** All entries of a subject, as of now. */
     public List<RegistryEntry> all(RegistryEntry.Subject subject) {
-        SubjectEntries subjectEntries = bySubject.get(subject);
-        subjectEntries.list();
+        SubjectEntries subjectEntries = entriesBySubject.get(subject);
+        subjectEntries.refreshLists();
         return subjectEntries.all;
     }
 
     /** Keys of the entries of a subject that are ready, as of now. */
-    public List<String> ready(RegistryEntry.Subject subject) {
-        SubjectEntries subjectEntries = bySubject.get(subject);
-        subjectEntries.list();
-        return subjectEntries.ready;
+    public List<String> readyKeys(RegistryEntry.Subject subject) {
+        SubjectEntries subjectEntries = entriesBySubject.get(subject);
+        subjectEntries.refreshLists();
+        return subjectEntries.readyKeys;
     }
 
     /** All servers whose entries can be read, as of now. */
@@ -124,20 +125,20 @@
 
     /** Rises with every change of a subject's entries: what is derived from them is valid as long as this stays. */
     public long version(RegistryEntry.Subject subject) {
-        return bySubject.get(subject).version;
+        return entriesBySubject.get(subject).version;
     }
 
     /** Merges an entry; whether it was newer than the one here. */
     public boolean merge(long now, RegistryEntry entry) {
-        SubjectEntries subjectEntries = bySubject.get(entry.subject());
+        SubjectEntries subjectEntries = entriesBySubject.get(entry.subject());
         RegistryEntry old = subjectEntries.entries.get(entry.key());
         if (!entry.supersedes(old)) {
             return false;
         }
-        String id = id(entry);
-        int b = bucket(entry.key());
-        toggle(b, (old == null ? 0 : old.digest()) ^ entry.digest());
-        byBucket.get(b).put(id, entry);
+        String id = entryId(entry);
+        int bucket = bucketOf(entry.key());
+        xorIntoDigests(bucket, (old == null ? 0 : old.digest()) ^ entry.digest());
+        entriesByBucket.get(bucket).put(id, entry);
         subjectEntries.entries.put(entry.key(), entry);
         subjectEntries.version++;
         if (entry.state() == RegistryEntry.State.GONE || entry.state() == RegistryEntry.State.LOST) {
@@ -148,8 +149,8 @@
         return true;
     }
 
-    private void toggle(int bucket, long digests) {
-        buckets[bucket] ^= digests;
+    private void xorIntoDigests(int bucket, long digests) {
+        bucketDigests[bucket] ^= digests;
         digest ^= digests;
     }
 
@@ -160,63 +161,63 @@
                 return false;
             }
             SubjectEntries subjectEntries = subjectEntries(e.getKey());
-            RegistryEntry forgotten = subjectEntries.entries.remove(e.getKey().substring(1));
+            RegistryEntry expired = subjectEntries.entries.remove(e.getKey().substring(1));
             subjectEntries.version++;
-            int b = bucket(forgotten.key());
-            byBucket.get(b).remove(e.getKey());
-            toggle(b, forgotten.digest());
+            int bucket = bucketOf(expired.key());
+            entriesByBucket.get(bucket).remove(e.getKey());
+            xorIntoDigests(bucket, expired.digest());
             return true;
         });
     }
 
     /** Publishes a committed state of the replica at this process; whether it is newer than the one here. */
     public boolean publish(long index, ControlState committed) {
-        return states.publish(index, committed);
+        return stateFollower.publish(index, committed);
     }
 
     /** The published state and its steps. */
-    StateFollower states() {
-        return states;
+    StateFollower stateFollower() {
+        return stateFollower;
     }
 
     /** The newest published state known here. */
     public PublishedState state() {
-        return states.state();
+        return stateFollower.state();
     }
 
     /** The committed index of {@link #state}; -1 if there is none. */
     public long stateIndex() {
-        return states.index();
+        return stateFollower.index();
     }
 
     /** When the state here was last surely the newest. */
-    public long freshAt() {
-        for (FreshnessClaim claim : claims) {
-            if (claim.index() <= states.index()) {
-                confirmFresh(claim.at());
+    public long freshAtMs() {
+        for (FreshnessClaim claim : freshnessClaims) {
+            if (claim.stateIndex() <= stateFollower.index()) {
+                confirmFresh(claim.atMs());
             }
         }
-        claims.removeIf(claim -> claim.index() <= states.index());
-        return freshAt;
+        freshnessClaims.removeIf(claim -> claim.stateIndex() <= stateFollower.index());
+        return freshAtMs;
     }
 
-    public void confirmFresh(long at) {
-        freshAt = Math.max(freshAt, at);
+    public void confirmFresh(long atMs) {
+        freshAtMs = Math.max(freshAtMs, atMs);
     }
 
-    private long age(long now) {
-        long at = freshAt();
-        return at < 0 && at < now - Integer.MAX_VALUE ? -1 : now - at;
+    private long ageMs(long now) {
+        long atMs = freshAtMs();
+        return atMs < 0 && atMs < now - Integer.MAX_VALUE ? -1 : now - atMs;
     }
 
     /** A query that names what is known here; {@code full}: bucket by bucket, else by one digest of all. */
     GossipMessage query(long now, long nonce, boolean full) {
-        long[] digests = full ? buckets.clone() : new long[] {digest};
+        long[] digests = full ? bucketDigests.clone() : new long[] {digest};
         return new GossipMessage(
                 GossipMessage.Kind.QUERY,
                 nonce,
-                age(now),
-                states.index(),
+                ageMs(now),
+                stateFollower.index(),
                 digests,
                 List.of(),
                 List.of(),
@@ -225,50 +226,50 @@
 
     /** The reply to a query: the entries that differ, or the digests by which they can be queried. */
     GossipMessage reply(long now, GossipMessage query) {
-        boolean same = query.buckets().length == 1 && query.buckets()[0] == digest;
+        boolean same = query.digests().length == 1 && query.digests()[0] == digest;
         return new GossipMessage(
                 GossipMessage.Kind.REPLY,
                 query.nonce(),
-                age(now),
-                states.index(),
-                same ? GossipMessage.UNCOMPARED : buckets.clone(),
-                differing(query.buckets()),
+                ageMs(now),
+                stateFollower.index(),
+                same ? GossipMessage.NO_DIGESTS : bucketDigests.clone(),
+                entriesInDifferingBuckets(query.digests()),
                 List.of(),
                 SnapshotChunk.NONE);
     }
 
     /** The entries here in those buckets whose digests differ. */
-    List<RegistryEntry> differing(long[] others) {
-        List<RegistryEntry> differ = new ArrayList<>();
-        for (int b = 0; b < BUCKETS && others.length == BUCKETS; b++) {
-            if (buckets[b] != others[b]) {
-                differ.addAll(byBucket.get(b).values());
+    List<RegistryEntry> entriesInDifferingBuckets(long[] otherDigests) {
+        List<RegistryEntry> differing = new ArrayList<>();
+        for (int bucket = 0; bucket < BUCKETS && otherDigests.length == BUCKETS; bucket++) {
+            if (bucketDigests[bucket] != otherDigests[bucket]) {
+                differing.addAll(entriesByBucket.get(bucket).values());
             }
         }
-        return differ;
+        return differing;
     }
 
     /** What was new in a message. */
-    public record Update(List<RegistryEntry> entries, boolean state) {
+    public record Update(List<RegistryEntry> entries, boolean stateAdvanced) {
         public boolean isEmpty() {
-            return !state && entries.isEmpty();
+            return !stateAdvanced && entries.isEmpty();
         }
     }
 
-    /** Merges a message, but for chunks of snapshots; {@code askedAt}: when the query of a reply was sent. */
-    Update merge(long now, GossipMessage in, long askedAt) {
-        boolean stateAdvanced = states.apply(in.deltas());
+    /** Merges a message, but for chunks of snapshots; {@code queriedAtMs}: when the query of a reply was sent. */
+    Update merge(long now, GossipMessage message, long queriedAtMs) {
+        boolean stateAdvanced = stateFollower.apply(message.deltas());
         List<RegistryEntry> newer = new ArrayList<>();
-        for (RegistryEntry f : in.entries()) {
-            if (merge(now, f)) {
-                newer.add(f);
+        for (RegistryEntry entry : message.entries()) {
+            if (merge(now, entry)) {
+                newer.add(entry);
             }
         }
         // Its state was the newest so long before it replied, and it replied after the query was sent.
-        if (in.kind() == GossipMessage.Kind.REPLY && in.ageMs() >= 0) {
-            claims.add(new FreshnessClaim(in.stateIndex(), askedAt - in.ageMs()));
-            if (claims.size() > MAX_FRESHNESS_CLAIMS) {
-                claims.poll();
+        if (message.kind() == GossipMessage.Kind.REPLY && message.ageMs() >= 0) {
+            freshnessClaims.add(new FreshnessClaim(message.stateIndex(), queriedAtMs - message.ageMs()));
+            if (freshnessClaims.size() > MAX_FRESHNESS_CLAIMS) {
+                freshnessClaims.poll();
             }
         }
         return new Update(newer, stateAdvanced);
@@ -280,22 +281,22 @@
      */
     public static List<String> rendezvousSelect(String self, List<String> names, int count) {
         Hasher64 hasher = Hashing.xxh3_64();
-        List<Ranked> ranked = new ArrayList<>(names.size());
+        List<RankedName> ranked = new ArrayList<>(names.size());
         for (String name : names) {
             if (!name.equals(self)) {
-                ranked.add(new Ranked(name, hasher.hashLongLongToLong(self.hashCode(), name.hashCode())));
+                ranked.add(new RankedName(name, hasher.hashLongLongToLong(self.hashCode(), name.hashCode())));
             }
         }
         // One lambda: composed comparators are built by the JVM at every start, for the class-data archive can't
         // contain
         // them.
-        Comparator<Ranked> order = (one, other) -> one.hash() != other.hash()
+        Comparator<RankedName> order = (one, other) -> one.hash() != other.hash()
                 ? Long.compare(one.hash(), other.hash())
                 : one.name().compareTo(other.name());
         if (count == 1) {
-            return ranked.stream().min(order).map(Ranked::name).stream().toList();
+            return ranked.stream().min(order).map(RankedName::name).stream().toList();
         }
         ranked.sort(order);
-        return ranked.stream().limit(count).map(Ranked::name).toList();
+        return ranked.stream().limit(count).map(RankedName::name).toList();
     }
 }
--- a/src/main/java/quartzspan/registry/RegistryEntry.java
+++ b/src/main/java/quartzspan/registry/RegistryEntry.java
@@ -24,10 +24,10 @@
         LOST(0),
         GONE(2);
 
-        private final int finality;
+        private final int precedence;
 
-        State(int finality) {
-            this.finality = finality;
+        State(int precedence) {
+            this.precedence = precedence;
         }
     }
 
@@ -36,7 +36,7 @@
         if (other == null) {
             return true;
         }
-        int order = Integer.compare(state.finality, other.state.finality);
+        int order = Integer.compare(state.precedence, other.state.precedence);
         order = order != 0 ? order : Long.compare(seq, other.seq);
         order = order != 0 ? order : state.compareTo(other.state);
         order = order != 0 ? order : text.compareTo(other.text);
@@ -44,14 +44,14 @@
     }
 
     long digest() {
-        long h = 1125899906842597L;
+        long hash = 1125899906842597L;
         for (int i = 0; i < key.length(); i++) {
-            h = 31 * h + key.charAt(i);
+            hash = 31 * hash + key.charAt(i);
         }
-        h = h * 31 + seq;
-        h = h * 31 + state.ordinal();
-        h = h * 31 + text.hashCode();
-        h ^= h >>> 29;
-        return h * 0xbf58476d1ce4e5b9L;
+        hash = hash * 31 + seq;
+        hash = hash * 31 + state.ordinal();
+        hash = hash * 31 + text.hashCode();
+        hash ^= hash >>> 29;
+        return hash * 0xbf58476d1ce4e5b9L;
     }
 }
--- a/src/main/java/quartzspan/registry/Server.java
+++ b/src/main/java/quartzspan/registry/Server.java
@@ -6,8 +6,8 @@
  * What a server says of itself that others need.
  *
  * @param model the model whose weights it has; empty if it says none
- * @param weights version of those weights; 0 if unknown
- * @param loading version that it was ordered to load and does not have yet; 0 if none
+ * @param weightsVersion version of those weights; 0 if unknown
+ * @param loadingVersion version that it was ordered to load and does not have yet; 0 if none
  */
 public record Server(
         String id,
@@ -15,13 +15,14 @@
         String address,
         String zone,
         String model,
-        long weights,
-        long loading,
+        long weightsVersion,
+        long loadingVersion,
         long seq,
         RegistryEntry.State state) {
 
     /** As the text of a entry; fields have no tab in them, or are refused. */
-    public static String text(String service, String address, String zone, String model, long weights, long loading) {
+    public static String encode(
+            String service, String address, String zone, String model, long weightsVersion, long loadingVersion) {
         return service
                 + '\t'
                 + address
@@ -30,33 +31,33 @@
                 + '\t'
                 + model
                 + '\t'
-                + weights
+                + weightsVersion
                 + '\t'
-                + (loading > weights ? loading : 0);
+                + (loadingVersion > weightsVersion ? loadingVersion : 0);
     }
 
     /** The same server with other weights, or on its way to some. */
-    public String text(long hasWeights, long loads) {
-        return text(service, address, zone, model, hasWeights, loads);
+    public String encodeWith(long newWeightsVersion, long newLoadingVersion) {
+        return encode(service, address, zone, model, newWeightsVersion, newLoadingVersion);
     }
 
     /** Reads a entry; null if it is none about a server. */
-    public static Server of(RegistryEntry f) {
-        String[] t = f.text().split("\t", -1);
-        if (f.subject() != RegistryEntry.Subject.SERVER || t.length != 6) {
+    public static Server of(RegistryEntry entry) {
+        String[] fields = entry.text().split("\t", -1);
+        if (entry.subject() != RegistryEntry.Subject.SERVER || fields.length != 6) {
             return null;
         }
         try {
             return new Server(
-                    f.key(),
-                    t[0],
-                    t[1],
-                    t[2].toLowerCase(Locale.ROOT),
-                    t[3],
-                    Long.parseLong(t[4]),
-                    Long.parseLong(t[5]),
-                    f.seq(),
-                    f.state());
+                    entry.key(),
+                    fields[0],
+                    fields[1],
+                    fields[2].toLowerCase(Locale.ROOT),
+                    fields[3],
+                    Long.parseLong(fields[4]),
+                    Long.parseLong(fields[5]),
+                    entry.seq(),
+                    entry.state());
         } catch (NumberFormatException e) {
             return null;
         }
--- a/src/main/java/quartzspan/registry/Snapshot.java
+++ b/src/main/java/quartzspan/registry/Snapshot.java
@@ -42,13 +42,13 @@
             while (!inflater.finished()) {
                 int count = inflater.inflate(buffer);
                 if (count == 0 || out.size() > MAX_STATE_BYTES) {
-                    throw unreadable("it is cut short or too large");
+                    throw malformed("it is cut short or too large");
                 }
                 out.write(buffer, 0, count);
             }
             return PublishedState.parse(out.toByteArray());
         } catch (DataFormatException e) {
-            throw unreadable(e.getMessage());
+            throw malformed(e.getMessage());
         } finally {
             inflater.end();
         }
@@ -59,10 +59,10 @@
         return new SnapshotChunk(index, offset, bytes.length, Arrays.copyOfRange(bytes, offset, end));
     }
 
-    private static FleetException unreadable(String why) {
+    private static FleetException malformed(String reason) {
         return new FleetException(
                 FleetException.Code.MESSAGE_INVALID,
-                "a snapshot can't be read: " + why,
+                "a snapshot can't be read: " + reason,
                 "run the same version on all machines");
     }
 }
--- a/src/main/java/quartzspan/registry/StateDelta.java
+++ b/src/main/java/quartzspan/registry/StateDelta.java
@@ -6,4 +6,4 @@
  *
  * @param change see {@link PublishedState#with}
  */
-public record StateDelta(long from, long to, byte[] change) {}
+public record StateDelta(long fromIndex, long toIndex, byte[] change) {}
--- a/src/main/java/quartzspan/registry/StateFetch.java
+++ b/src/main/java/quartzspan/registry/StateFetch.java
@@ -13,7 +13,7 @@
 
     private static final int MAX_SNAPSHOT_BYTES = 16 * 1024 * 1024;
 
-    private final StateFollower states;
+    private final StateFollower stateFollower;
     private final Gossip.Sender sender;
     private long lastNonce;
     /** Whom the open request is put to; null if there is none. */
@@ -23,35 +23,35 @@
     /** The snapshot that is being read, as far as it came. */
     private long snapshotIndex = -1;
 
-    private ByteArrayOutputStream received = new ByteArrayOutputStream();
+    private ByteArrayOutputStream receivedBytes = new ByteArrayOutputStream();
     /** The deltas don't apply to the state here: only a snapshot helps. */
-    private boolean stepsFailed;
+    private boolean deltasFailed;
     /** The process that was last heard to have a newer state, and its index. */
-    private String newestHolder;
+    private String newestSource;
 
     private long newestIndex = -1;
 
     /** @param firstNonce one that no other incarnation of this process is likely to be near */
-    StateFetch(StateFollower states, long firstNonce, Gossip.Sender sender) {
-        this.states = states;
+    StateFetch(StateFollower stateFollower, long firstNonce, Gossip.Sender sender) {
+        this.stateFollower = stateFollower;
         this.lastNonce = firstNonce;
         this.sender = sender;
     }
 
     /**
      * Another process has the state at an index. Most often it is on its way here as well: unless there is none here yet, or
-     * steps came that don't fit ({@code gap}), the next tick sees whether it is still needed.
+     * steps came that don't fit ({@code missingDeltas}), the next tick sees whether it is still needed.
      */
-    void onIndex(long now, String from, long index, boolean gap) {
-        if (index <= states.index()) {
+    void onIndex(long now, String from, long index, boolean missingDeltas) {
+        if (index <= stateFollower.index()) {
             return;
         }
-        if (index > newestIndex || newestHolder == null) {
+        if (index > newestIndex || newestSource == null) {
             newestIndex = index;
-            newestHolder = from;
+            newestSource = from;
         }
-        if (gap || states.index() < 0) {
-            begin(now, from);
+        if (missingDeltas || stateFollower.index() < 0) {
+            startFetch(now, from);
         }
     }
 
@@ -62,19 +62,19 @@
             unresponsive = source;
             source = null;
         }
-        if (newestIndex > states.index() && newestHolder != null && source == null && unresponsive == null) {
-            String from = newestHolder;
-            newestHolder = null;
-            begin(now, from);
+        if (newestIndex > stateFollower.index() && newestSource != null && source == null && unresponsive == null) {
+            String from = newestSource;
+            newestSource = null;
+            startFetch(now, from);
         }
         return unresponsive;
     }
 
-    private void begin(long now, String from) {
+    private void startFetch(long now, String from) {
         if (source == null) {
             source = from;
-            snapshotIndex = stepsFailed ? SnapshotChunk.WITHOUT_STEPS : SnapshotChunk.ANY;
-            received = new ByteArrayOutputStream();
+            snapshotIndex = deltasFailed ? SnapshotChunk.SNAPSHOT_ONLY : SnapshotChunk.DELTAS_OR_SNAPSHOT;
+            receivedBytes = new ByteArrayOutputStream();
             request(now);
         }
     }
@@ -84,57 +84,61 @@
         sender.send(
                 source,
                 GossipMessage.fetch(
-                        ++lastNonce, states.index(), SnapshotChunk.request(snapshotIndex, received.size())));
+                        ++lastNonce,
+                        stateFollower.index(),
+                        SnapshotChunk.request(snapshotIndex, receivedBytes.size())));
     }
 
     /** The reply to a request; whether the state here advanced by it. */
-    boolean onFetchReply(long now, String from, GossipMessage in) {
-        if (!from.equals(source) || in.nonce() != lastNonce) {
+    boolean onFetchReply(long now, String from, GossipMessage message) {
+        if (!from.equals(source) || message.nonce() != lastNonce) {
             return false;
         }
-        if (in.chunk().total() > 0) {
-            return onChunk(now, in);
+        if (message.chunk().totalBytes() > 0) {
+            return onChunk(now, message);
         }
         source = null;
-        boolean newer = states.apply(in.deltas());
-        boolean behind = in.stateIndex() > states.index();
-        stepsFailed = behind && !newer && !in.deltas().isEmpty();
+        boolean newer = stateFollower.apply(message.deltas());
+        boolean behind = message.stateIndex() > stateFollower.index();
+        deltasFailed = behind && !newer && !message.deltas().isEmpty();
         if (behind) {
-            begin(now, from);
+            startFetch(now, from);
         }
         return newer;
     }
 
-    private boolean onChunk(long now, GossipMessage in) {
-        SnapshotChunk chunk = in.chunk();
+    private boolean onChunk(long now, GossipMessage message) {
+        SnapshotChunk chunk = message.chunk();
         if (chunk.offset() == 0) {
-            received.reset();
+            receivedBytes.reset();
             snapshotIndex = chunk.index();
         }
-        if (chunk.index() != snapshotIndex || chunk.offset() != received.size() || chunk.total() > MAX_SNAPSHOT_BYTES) {
+        if (chunk.index() != snapshotIndex
+                || chunk.offset() != receivedBytes.size()
+                || chunk.totalBytes() > MAX_SNAPSHOT_BYTES) {
             source = null;
             return false;
         }
-        received.write(chunk.bytes(), 0, chunk.bytes().length);
-        if (received.size() < chunk.total()) {
+        receivedBytes.write(chunk.bytes(), 0, chunk.bytes().length);
+        if (receivedBytes.size() < chunk.totalBytes()) {
             request(now);
             return false;
         }
         String from = source;
         source = null;
-        stepsFailed = false;
-        boolean newer = takeSnapshot();
-        if (newer && in.stateIndex() > states.index()) {
-            begin(now, from);
+        deltasFailed = false;
+        boolean newer = installSnapshot();
+        if (newer && message.stateIndex() > stateFollower.index()) {
+            startFetch(now, from);
         }
         return newer;
     }
 
-    private boolean takeSnapshot() {
-        byte[] bytes = received.toByteArray();
-        received = new ByteArrayOutputStream();
+    private boolean installSnapshot() {
+        byte[] bytes = receivedBytes.toByteArray();
+        receivedBytes = new ByteArrayOutputStream();
         try {
-            return states.take(new Snapshot(snapshotIndex, bytes));
+            return stateFollower.install(new Snapshot(snapshotIndex, bytes));
         } catch (FleetException e) {
             // Nothing is taken of a snapshot that can't be read; another process is asked when next heard.
             return false;
--- a/src/main/java/quartzspan/registry/StateFollower.java
+++ b/src/main/java/quartzspan/registry/StateFollower.java
@@ -10,11 +10,11 @@
  */
 final class StateFollower {
     /** A longer step is dearer to send than a compressed snapshot. */
-    private static final int MAX_STEP_BYTES = 64 * 1024;
+    private static final int MAX_DELTA_BYTES = 64 * 1024;
 
     private long index = -1;
     private PublishedState state = PublishedState.EMPTY;
-    private final StateHistory history = new StateHistory();
+    private final DeltaHistory history = new DeltaHistory();
     /** The snapshot that was last requested; later changes do not make a reader of its chunks start again. */
     private Snapshot snapshot;
 
@@ -33,7 +33,7 @@
         }
         PublishedState next = PublishedState.of(committed);
         byte[] change = index < 0 ? null : state.deltaTo(next);
-        if (change == null || change.length > MAX_STEP_BYTES) {
+        if (change == null || change.length > MAX_DELTA_BYTES) {
             history.clear();
         } else {
             history.append(new StateDelta(index, committedIndex, change));
@@ -44,27 +44,27 @@
     }
 
     /** Applies the deltas that follow the state here; whether there were any. */
-    boolean apply(List<StateDelta> steps) {
+    boolean apply(List<StateDelta> deltas) {
         boolean advanced = false;
-        for (StateDelta step : steps) {
-            if (step.from() != index || step.to() <= index) {
+        for (StateDelta delta : deltas) {
+            if (delta.fromIndex() != index || delta.toIndex() <= index) {
                 continue;
             }
             try {
-                state = state.with(step.change());
+                state = state.withDelta(delta.change());
             } catch (FleetException e) {
                 // Not the state of its sender: the state here stays, and a snapshot is requested.
                 return advanced;
             }
-            index = step.to();
-            history.append(step);
+            index = delta.toIndex();
+            history.append(delta);
             advanced = true;
         }
         return advanced;
     }
 
     /** Takes a snapshot; whether it is newer. */
-    boolean take(Snapshot newer) {
+    boolean install(Snapshot newer) {
         if (newer.index() <= index) {
             return false;
         }
@@ -76,30 +76,30 @@
     }
 
     /** The deltas from another process's state to the one here; empty if they are not known. */
-    List<StateDelta> since(long from) {
-        return history.since(from);
+    List<StateDelta> deltasSince(long fromIndex) {
+        return history.deltasSince(fromIndex);
     }
 
     /**
      * A chunk of a snapshot for a process with the state at an index: of the snapshot that it is reading, else of one that
      * is newer and from which the deltas to the state here are known.
      */
-    SnapshotChunk chunk(long after, SnapshotChunk wanted) {
-        if (index <= after) {
+    SnapshotChunk chunk(long afterIndex, SnapshotChunk requested) {
+        if (index <= afterIndex) {
             return SnapshotChunk.NONE;
         }
-        boolean reading = snapshot != null && wanted.index() == snapshot.index();
-        if (!reading && !usable(after)) {
+        boolean continuing = snapshot != null && requested.index() == snapshot.index();
+        if (!continuing && !canServe(afterIndex)) {
             snapshot = Snapshot.of(index, state);
         }
-        boolean within = reading && wanted.offset() >= 0 && wanted.offset() < snapshot.bytes().length;
-        return snapshot.chunk(within ? wanted.offset() : 0);
+        boolean within = continuing && requested.offset() >= 0 && requested.offset() < snapshot.bytes().length;
+        return snapshot.chunk(within ? requested.offset() : 0);
     }
 
-    private boolean usable(long after) {
+    private boolean canServe(long afterIndex) {
         return snapshot != null
-                && snapshot.index() > after
+                && snapshot.index() > afterIndex
                 && (snapshot.index() == index
-                        || !history.since(snapshot.index()).isEmpty());
+                        || !history.deltasSince(snapshot.index()).isEmpty());
     }
 }
--- a/src/main/java/quartzspan/transport/GossipCodec.java
+++ b/src/main/java/quartzspan/transport/GossipCodec.java
@@ -26,9 +26,9 @@
                 .stateIndex(message.stateIndex())
                 .snapshotIndex(chunk.index())
                 .snapshotOffset(chunk.offset())
-                .snapshotTotal(chunk.total());
-        GossipFrameEncoder.BucketsEncoder buckets = to.bucketsCount(message.buckets().length);
-        for (long digest : message.buckets()) {
+                .snapshotTotal(chunk.totalBytes());
+        GossipFrameEncoder.BucketsEncoder buckets = to.bucketsCount(message.digests().length);
+        for (long digest : message.digests()) {
             buckets.next().digest(digest);
         }
         GossipFrameEncoder.EntriesEncoder entries =
@@ -44,7 +44,10 @@
         GossipFrameEncoder.DeltasEncoder deltas =
                 to.deltasCount(message.deltas().size());
         for (StateDelta delta : message.deltas()) {
-            deltas.next().from(delta.from()).to(delta.to()).putChange(delta.change(), 0, delta.change().length);
+            deltas.next()
+                    .from(delta.fromIndex())
+                    .to(delta.toIndex())
+                    .putChange(delta.change(), 0, delta.change().length);
         }
         to.putSnapshotBytes(chunk.bytes(), 0, chunk.bytes().length);
         return to.limit();
--- a/src/test/java/quartzspan/controlplane/HeartbeatHandlerTest.java
+++ b/src/test/java/quartzspan/controlplane/HeartbeatHandlerTest.java
@@ -27,7 +27,7 @@
             new HeartbeatTracker(registry, 1_200),
             new Gossip("c1:1", true, List.of("c1:1", "c2:1"), registry, (to, message) -> {}),
             deadlines,
-            registry::freshAt);
+            registry::freshAtMs);
 
     private static byte[] body(long count, String state) {
         return ("{\"service\":\"s\",\"address\":\"10.0.0.9:80\",\"zone\":\"z\",\"state\":\"" + state
@@ -77,11 +77,11 @@
         deadlines.observe(0, Map.of("m", 2L));
         registry.confirmFresh(2 * APPLY_MS);
         receiver.heartbeat(APPLY_MS - 1, "i", body(1, "ready"));
-        assertEquals(0, listed("i").loading(), "not overdue yet");
+        assertEquals(0, listed("i").loadingVersion(), "not overdue yet");
         receiver.heartbeat(APPLY_MS, "j", body(1, "ready"));
-        assertEquals(2, listed("j").loading());
+        assertEquals(2, listed("j").loadingVersion());
         receiver.heartbeat(APPLY_MS, "i", body(2, "ready"));
-        assertEquals(2, listed("i").loading(), "overdue by now");
+        assertEquals(2, listed("i").loadingVersion(), "overdue by now");
     }
 
     private Server listed(String id) {
--- a/src/test/java/quartzspan/registry/AcknowledgementTrackerTest.java
+++ b/src/test/java/quartzspan/registry/AcknowledgementTrackerTest.java
@@ -18,138 +18,139 @@
     private final List<Sent> sent = new ArrayList<>();
     private final Gossip gossip =
             new Gossip("c1:1", true, CORES, new Registry(), (to, message) -> sent.add(new Sent(to, message)));
-    private int acknowledged;
+    private int acknowledgedCount;
 
-    private void answers(String from, long receipt) {
+    private void acknowledge(String from, long nonce) {
         gossip.onGossip(
                 10,
                 from,
                 new GossipMessage(
                         GossipMessage.Kind.REPLY,
-                        receipt,
+                        nonce,
                         -1,
                         -1,
-                        GossipMessage.UNCOMPARED,
+                        GossipMessage.NO_DIGESTS,
                         List.of(),
                         List.of(),
                         SnapshotChunk.NONE));
     }
 
-    private long broadcast(int wanted) {
-        return gossip.broadcastUntilAcknowledged(0, List.of(DRAINING), wanted, () -> acknowledged++);
+    private long broadcast(int required) {
+        return gossip.broadcastUntilAcknowledged(0, List.of(DRAINING), required, () -> acknowledgedCount++);
     }
 
     @Test
     void machineThatAcknowledgesTwiceCountsOnce() {
-        long receipt = broadcast(2);
-        answers("c2:1", receipt);
-        answers("c2:1", receipt);
-        assertEquals(0, acknowledged, "one machine is not two");
-        answers("c3:1", receipt);
-        assertEquals(1, acknowledged);
-        answers("c4:1", receipt);
-        assertEquals(1, acknowledged, "told once");
+        long nonce = broadcast(2);
+        acknowledge("c2:1", nonce);
+        acknowledge("c2:1", nonce);
+        assertEquals(0, acknowledgedCount, "one machine is not two");
+        acknowledge("c3:1", nonce);
+        assertEquals(1, acknowledgedCount);
+        acknowledge("c4:1", nonce);
+        assertEquals(1, acknowledgedCount, "told once");
     }
 
     @Test
-    void onlyRecipientsCount() {
-        long receipt = broadcast(1);
-        answers("p1:1", receipt);
-        answers("c2:1", receipt + 1);
-        assertEquals(0, acknowledged);
+    void acknowledgementsOfOtherMachinesAndOtherNoncesAreIgnored() {
+        long nonce = broadcast(1);
+        acknowledge("p1:1", nonce);
+        acknowledge("c2:1", nonce + 1);
+        assertEquals(0, acknowledgedCount);
     }
 
     @Test
     void onlyMachinesThatHaveNotAcknowledgedAreSentARetry() {
-        long receipt = broadcast(2);
-        answers("c2:1", receipt);
+        long nonce = broadcast(2);
+        acknowledge("c2:1", nonce);
         sent.clear();
         gossip.onTick(200, "c2:1");
-        List<String> again = sent.stream()
-                .filter(s -> s.message().nonce() == receipt)
+        List<String> retried = sent.stream()
+                .filter(s -> s.message().nonce() == nonce)
                 .map(Sent::to)
                 .sorted()
                 .toList();
-        assertEquals(List.of("c3:1", "c4:1", "c5:1"), again);
+        assertEquals(List.of("c3:1", "c4:1", "c5:1"), retried);
     }
 
     @Test
     void cancelledBroadcastIsNeitherRetriedNorReported() {
-        long receipt = broadcast(1);
-        gossip.cancelBroadcast(receipt);
+        long nonce = broadcast(1);
+        gossip.cancelBroadcast(nonce);
         sent.clear();
         gossip.onTick(200, "c2:1");
-        answers("c2:1", receipt);
-        assertEquals(0, acknowledged);
-        assertTrue(sent.stream().noneMatch(s -> s.message().nonce() == receipt));
+        acknowledge("c2:1", nonce);
+        assertEquals(0, acknowledgedCount);
+        assertTrue(sent.stream().noneMatch(s -> s.message().nonce() == nonce));
     }
 
     @Test
     void pendingAcknowledgementsAreBounded() {
         AcknowledgementTracker acknowledgements = new AcknowledgementTracker();
         for (int nonce = 1; nonce <= 3 * AcknowledgementTracker.MAX_PENDING; nonce++) {
-            acknowledgements.track(0, nonce, 1, CORES, List.of(DRAINING), () -> acknowledged++);
+            acknowledgements.track(0, nonce, 1, CORES, List.of(DRAINING), () -> acknowledgedCount++);
         }
         assertEquals(AcknowledgementTracker.MAX_PENDING, acknowledgements.size());
         acknowledgements.onAcknowledgement(1, "c2:1");
-        assertEquals(0, acknowledged, "the oldest was given up");
+        assertEquals(0, acknowledgedCount, "the oldest was given up");
         acknowledgements.onAcknowledgement(3L * AcknowledgementTracker.MAX_PENDING, "c2:1");
-        assertEquals(1, acknowledged);
+        assertEquals(1, acknowledgedCount);
     }
 
     @Test
     void entryIsAcknowledgedOnlyOnceMerged() {
         Registry registry = new Registry();
-        List<Sent> answers = new ArrayList<>();
-        Gossip other = new Gossip("c2:1", true, CORES, registry, (to, message) -> {
+        List<Sent> replies = new ArrayList<>();
+        Gossip receiver = new Gossip("c2:1", true, CORES, registry, (to, message) -> {
             if (message.kind() == GossipMessage.Kind.REPLY) {
                 assertEquals(DRAINING, registry.entry(RegistryEntry.Subject.SERVER, "i"), "held before the receipt");
-                answers.add(new Sent(to, message));
+                replies.add(new Sent(to, message));
             }
         });
-        long receipt = broadcast(1);
+        long nonce = broadcast(1);
         sent.stream()
-                .filter(s -> s.to().equals("c2:1") && s.message().nonce() == receipt)
-                .forEach(s -> other.onGossip(5, "c1:1", s.message()));
-        assertEquals(1, answers.size());
-        assertEquals(receipt, answers.get(0).message().nonce());
+                .filter(s -> s.to().equals("c2:1") && s.message().nonce() == nonce)
+                .forEach(s -> receiver.onGossip(5, "c1:1", s.message()));
+        assertEquals(1, replies.size());
+        assertEquals(nonce, replies.get(0).message().nonce());
     }
 
     @Test
-    void endingProcessAcknowledgesNothing() {
-        List<Sent> answers = new ArrayList<>();
-        Gossip other =
-                new Gossip("c2:1", true, CORES, new Registry(), (to, message) -> answers.add(new Sent(to, message)));
-        other.stopAcknowledging();
-        long receipt = broadcast(1);
+    void processThatIsShuttingDownAcknowledgesNothing() {
+        List<Sent> replies = new ArrayList<>();
+        Gossip receiver =
+                new Gossip("c2:1", true, CORES, new Registry(), (to, message) -> replies.add(new Sent(to, message)));
+        receiver.stopAcknowledging();
+        long nonce = broadcast(1);
         sent.stream()
-                .filter(s -> s.to().equals("c2:1") && s.message().nonce() == receipt)
-                .forEach(s -> other.onGossip(5, "c1:1", s.message()));
-        assertTrue(answers.stream().noneMatch(s -> s.message().kind() == GossipMessage.Kind.REPLY));
+                .filter(s -> s.to().equals("c2:1") && s.message().nonce() == nonce)
+                .forEach(s -> receiver.onGossip(5, "c1:1", s.message()));
+        assertTrue(replies.stream().noneMatch(s -> s.message().kind() == GossipMessage.Kind.REPLY));
     }
 
     @Test
     void replyToAnEarlierIncarnationDoesNotConfirmFreshness() {
-        List<GossipMessage> query = new ArrayList<>();
-        Gossip before = new Gossip("c1:1", true, CORES, new Registry(), (to, m) -> query.add(m), Gossip.firstNonce(1));
+        List<GossipMessage> queries = new ArrayList<>();
+        Gossip before =
+                new Gossip("c1:1", true, CORES, new Registry(), (to, m) -> queries.add(m), Gossip.firstNonce(1));
         before.onTick(0, "c2:1");
         Registry registry = new Registry();
         Gossip after = new Gossip("c1:1", true, CORES, registry, (to, m) -> {}, Gossip.firstNonce(2));
         after.onTick(0, "c2:1");
-        for (GossipMessage question : query) {
+        for (GossipMessage query : queries) {
             after.onGossip(
                     10,
                     "c2:1",
                     new GossipMessage(
                             GossipMessage.Kind.REPLY,
-                            question.nonce(),
+                            query.nonce(),
                             0,
                             -1,
-                            GossipMessage.UNCOMPARED,
+                            GossipMessage.NO_DIGESTS,
                             List.of(),
                             List.of(),
                             SnapshotChunk.NONE));
         }
-        assertTrue(registry.freshAt() < -1_000_000);
+        assertTrue(registry.freshAtMs() < -1_000_000);
     }
 }
--- a/src/test/java/quartzspan/registry/GossipBatchTest.java
+++ b/src/test/java/quartzspan/registry/GossipBatchTest.java
@@ -18,9 +18,9 @@
 
     private final Registry registry = new Registry();
     private final List<GossipMessage> toProxy = new ArrayList<>();
-    private final Gossip gossip = new Gossip("c1:1", true, List.of("c1:1", PEER), registry, this::sent);
+    private final Gossip gossip = new Gossip("c1:1", true, List.of("c1:1", PEER), registry, this::recordSent);
 
-    private void sent(String to, GossipMessage message) {
+    private void recordSent(String to, GossipMessage message) {
         if (to.equals(PROXY) && message.kind() == GossipMessage.Kind.UPDATE) {
             toProxy.add(message);
         }
@@ -38,13 +38,13 @@
         return entry;
     }
 
-    private static ControlState named(ControlState state, long version) {
+    private static ControlState withWeightsVersion(ControlState state, long version) {
         byte[] body = ("{\"model\":\"m\",\"version\":" + version + "}").getBytes(StandardCharsets.UTF_8);
         return state.with(new Change(Change.Kind.WEIGHTS, 0, body));
     }
 
     @Test
-    void updateThatWaitsGoesOutWithTheNextOneThoughItComesBeforeTheTick() {
+    void pendingUpdateIsSentWithTheNextUpdateBeforeTheTick() {
         subscribe(0);
         gossip.broadcast(0, entry("i-1", 1));
         gossip.broadcast(10, entry("i-2", 1));
@@ -58,12 +58,12 @@
     }
 
     @Test
-    void deltasOfAStateThatWaitsAreNotDroppedByAnEntryThatComesBeforeTheTick() {
+    void pendingDeltasAreSentWithAnEntryThatArrivesBeforeTheTick() {
         subscribe(0);
-        ControlState first = named(ControlState.EMPTY, 1);
+        ControlState first = withWeightsVersion(ControlState.EMPTY, 1);
         assertTrue(registry.publish(1, first));
         gossip.onPublished(0);
-        assertTrue(registry.publish(2, named(first, 2)));
+        assertTrue(registry.publish(2, withWeightsVersion(first, 2)));
         gossip.onPublished(10);
         gossip.broadcast(45, entry("i-1", 1));
         gossip.onTick(90, null);
--- a/src/test/java/quartzspan/registry/RegistryEntryTest.java
+++ b/src/test/java/quartzspan/registry/RegistryEntryTest.java
@@ -16,34 +16,36 @@
     }
 
     @Test
-    void laterEntriesOfOthersDoNotUndoDraining() {
+    void laterEntriesOfOtherMachinesDoNotUndoDraining() {
         // While one machine hears that it leaves, another one counts its weights twice.
-        Registry heard = new Registry();
-        HeartbeatTracker first = new HeartbeatTracker(heard, 1_000);
-        Registry missed = new Registry();
-        HeartbeatTracker second = new HeartbeatTracker(missed, 1_000);
-        Server said = new Server("i", "s", "10.0.0.9:80", "z", "m", 1, 0, 0, RegistryEntry.State.READY);
-        missed.merge(0, first.onServerHeartbeat(0, "i", 5, RegistryEntry.State.READY, said));
-        RegistryEntry draining = first.onServerHeartbeat(10, "i", 6, RegistryEntry.State.DRAINING, said);
-        second.onLoadOrdered(10, "i", 2);
-        RegistryEntry later = second.onWeightsReported(20, "i", 2);
+        Registry firstRegistry = new Registry();
+        HeartbeatTracker firstTracker = new HeartbeatTracker(firstRegistry, 1_000);
+        Registry secondRegistry = new Registry();
+        HeartbeatTracker secondTracker = new HeartbeatTracker(secondRegistry, 1_000);
+        Server reported = new Server("i", "s", "10.0.0.9:80", "z", "m", 1, 0, 0, RegistryEntry.State.READY);
+        secondRegistry.merge(0, firstTracker.onServerHeartbeat(0, "i", 5, RegistryEntry.State.READY, reported));
+        RegistryEntry draining = firstTracker.onServerHeartbeat(10, "i", 6, RegistryEntry.State.DRAINING, reported);
+        secondTracker.onLoadOrdered(10, "i", 2);
+        RegistryEntry later = secondTracker.onWeightsReported(20, "i", 2);
         assertNotNull(later);
         assertTrue(later.seq() > draining.seq());
-        assertFalse(heard.merge(30, later));
-        assertTrue(missed.merge(30, draining));
-        assertEquals(heard.entry(RegistryEntry.Subject.SERVER, "i"), missed.entry(RegistryEntry.Subject.SERVER, "i"));
+        assertFalse(firstRegistry.merge(30, later));
+        assertTrue(secondRegistry.merge(30, draining));
+        assertEquals(
+                firstRegistry.entry(RegistryEntry.Subject.SERVER, "i"),
+                secondRegistry.entry(RegistryEntry.Subject.SERVER, "i"));
     }
 
     @Test
     void drainingServerThatTimesOutIsGone() {
         Registry registry = new Registry();
         HeartbeatTracker tracker = new HeartbeatTracker(registry, 1_000);
-        Server said = new Server("i", "s", "10.0.0.9:80", "z", "m", 1, 0, 0, RegistryEntry.State.READY);
-        tracker.onServerHeartbeat(0, "i", 5, RegistryEntry.State.READY, said);
-        tracker.onServerHeartbeat(10, "i", 6, RegistryEntry.State.DRAINING, said);
+        Server reported = new Server("i", "s", "10.0.0.9:80", "z", "m", 1, 0, 0, RegistryEntry.State.READY);
+        tracker.onServerHeartbeat(0, "i", 5, RegistryEntry.State.READY, reported);
+        tracker.onServerHeartbeat(10, "i", 6, RegistryEntry.State.DRAINING, reported);
         assertEquals(
-                RegistryEntry.State.GONE, tracker.expireSilent(9_000).get(0).state());
-        tracker.onServerHeartbeat(9_100, "i", 7, RegistryEntry.State.READY, said);
+                RegistryEntry.State.GONE, tracker.expireTimedOut(9_000).get(0).state());
+        tracker.onServerHeartbeat(9_100, "i", 7, RegistryEntry.State.READY, reported);
         assertEquals(
                 RegistryEntry.State.GONE,
                 registry.entry(RegistryEntry.Subject.SERVER, "i").state());
@@ -53,13 +55,13 @@
     void lateDrainingHeartbeatIsApplied() {
         Registry registry = new Registry();
         HeartbeatTracker tracker = new HeartbeatTracker(registry, 1_000);
-        Server said = new Server("i", "s", "10.0.0.9:80", "z", "m", 1, 0, 0, RegistryEntry.State.READY);
-        tracker.onServerHeartbeat(0, "i", 9, RegistryEntry.State.READY, said);
-        assertNotNull(tracker.onServerHeartbeat(10, "i", 8, RegistryEntry.State.DRAINING, said));
+        Server reported = new Server("i", "s", "10.0.0.9:80", "z", "m", 1, 0, 0, RegistryEntry.State.READY);
+        tracker.onServerHeartbeat(0, "i", 9, RegistryEntry.State.READY, reported);
+        assertNotNull(tracker.onServerHeartbeat(10, "i", 8, RegistryEntry.State.DRAINING, reported));
     }
 
     @Test
-    void orderIsTotalSoThatAllConverge() {
+    void supersedesIsATotalOrder() {
         List<RegistryEntry> all = new ArrayList<>();
         for (RegistryEntry.State state : RegistryEntry.State.values()) {
             for (long seq = 1; seq < 4; seq++) {
@@ -78,13 +80,13 @@
     }
 
     @Test
-    void equalNumbersWithDifferentTextsAreRepaired() {
-        Registry one = new Registry();
-        Registry other = new Registry();
-        one.merge(0, entry(4, RegistryEntry.State.READY, "a"));
-        other.merge(0, entry(4, RegistryEntry.State.READY, "b"));
-        GossipMessage answer = other.reply(0, one.query(0, 1, true));
-        assertFalse(one.merge(0, answer, 0).isEmpty());
-        assertEquals("b", one.entry(RegistryEntry.Subject.SERVER, "i").text());
+    void entriesWithEqualSeqAndDifferentTextsConverge() {
+        Registry firstRegistry = new Registry();
+        Registry secondRegistry = new Registry();
+        firstRegistry.merge(0, entry(4, RegistryEntry.State.READY, "a"));
+        secondRegistry.merge(0, entry(4, RegistryEntry.State.READY, "b"));
+        GossipMessage reply = secondRegistry.reply(0, firstRegistry.query(0, 1, true));
+        assertFalse(firstRegistry.merge(0, reply, 0).isEmpty());
+        assertEquals("b", firstRegistry.entry(RegistryEntry.Subject.SERVER, "i").text());
     }
 }
--- a/src/test/java/quartzspan/registry/RegistryTest.java
+++ b/src/test/java/quartzspan/registry/RegistryTest.java
@@ -22,7 +22,7 @@
 /** How entries win over each other, gossip, and are repaired; and who counts as lost. */
 class RegistryTest {
     /** A message that is on its way. */
-    private record Flying(String from, String to, GossipMessage message) {}
+    private record InFlight(String from, String to, GossipMessage message) {}
 
     private static Server server(String id, long weights) {
         return new Server(id, "s", "10.0.0.9:80", "z", "m", weights, 0, 0, RegistryEntry.State.READY);
@@ -30,67 +30,67 @@
 
     @Test
     void goneServerStaysGone() {
-        Registry r = new Registry();
-        HeartbeatTracker g = new HeartbeatTracker(r, 1_000);
-        assertNotNull(g.onServerHeartbeat(0, "i", 5, RegistryEntry.State.READY, server("i", 1)));
-        assertNull(g.onServerHeartbeat(10, "i", 6, RegistryEntry.State.READY, server("i", 1)), "nothing new");
-        assertNotNull(g.onServerHeartbeat(20, "i", 8, RegistryEntry.State.DRAINING, server("i", 1)));
-        assertNull(g.onServerHeartbeat(30, "i", 7, RegistryEntry.State.READY, server("i", 1)), "late");
-        g.onServerHeartbeat(40, "i", 9, RegistryEntry.State.READY, server("i", 1));
+        Registry registry = new Registry();
+        HeartbeatTracker tracker = new HeartbeatTracker(registry, 1_000);
+        assertNotNull(tracker.onServerHeartbeat(0, "i", 5, RegistryEntry.State.READY, server("i", 1)));
+        assertNull(tracker.onServerHeartbeat(10, "i", 6, RegistryEntry.State.READY, server("i", 1)), "nothing new");
+        assertNotNull(tracker.onServerHeartbeat(20, "i", 8, RegistryEntry.State.DRAINING, server("i", 1)));
+        assertNull(tracker.onServerHeartbeat(30, "i", 7, RegistryEntry.State.READY, server("i", 1)), "late");
+        tracker.onServerHeartbeat(40, "i", 9, RegistryEntry.State.READY, server("i", 1));
         assertEquals(
                 RegistryEntry.State.DRAINING,
-                r.entry(RegistryEntry.Subject.SERVER, "i").state(),
+                registry.entry(RegistryEntry.Subject.SERVER, "i").state(),
                 "who leaves does not come back");
-        assertNotNull(g.onDeregistered(50, "i"));
-        assertNull(g.onServerHeartbeat(60, "i", 99, RegistryEntry.State.READY, server("i", 1)));
+        assertNotNull(tracker.onDeregistered(50, "i"));
+        assertNull(tracker.onServerHeartbeat(60, "i", 99, RegistryEntry.State.READY, server("i", 1)));
         assertEquals(
                 RegistryEntry.State.GONE,
-                r.entry(RegistryEntry.Subject.SERVER, "i").state());
+                registry.entry(RegistryEntry.Subject.SERVER, "i").state());
     }
 
     @Test
-    void drainingIsAnUpdateAfterWeightsWereReported() {
-        Registry r = new Registry();
-        HeartbeatTracker g = new HeartbeatTracker(r, 1_000);
-        g.onServerHeartbeat(0, "i", 1, RegistryEntry.State.READY, server("i", 1));
-        for (int n = 2; n < 9; n++) {
-            g.onLoadOrdered(n, "i", n + 1);
-            g.onWeightsReported(n, "i", n);
+    void drainingIsAppliedAfterWeightsWereReported() {
+        Registry registry = new Registry();
+        HeartbeatTracker tracker = new HeartbeatTracker(registry, 1_000);
+        tracker.onServerHeartbeat(0, "i", 1, RegistryEntry.State.READY, server("i", 1));
+        for (int version = 2; version < 9; version++) {
+            tracker.onLoadOrdered(version, "i", version + 1);
+            tracker.onWeightsReported(version, "i", version);
         }
-        assertNotNull(g.onServerHeartbeat(20, "i", 2, RegistryEntry.State.DRAINING, server("i", 8)));
+        assertNotNull(tracker.onServerHeartbeat(20, "i", 2, RegistryEntry.State.DRAINING, server("i", 8)));
         assertEquals(
                 RegistryEntry.State.DRAINING,
-                r.entry(RegistryEntry.Subject.SERVER, "i").state());
-        g.onWeightsReported(30, "i", 8);
+                registry.entry(RegistryEntry.Subject.SERVER, "i").state());
+        tracker.onWeightsReported(30, "i", 8);
         assertEquals(
                 9,
-                Server.of(r.entry(RegistryEntry.Subject.SERVER, "i")).loading(),
+                Server.of(registry.entry(RegistryEntry.Subject.SERVER, "i")).loadingVersion(),
                 "what it loads it doesn't say itself");
     }
 
     @Test
     void serversThatTimeOutAreLostAndMayComeBack() {
-        Registry r = new Registry();
-        HeartbeatTracker g = new HeartbeatTracker(r, 1_000);
-        g.onServerHeartbeat(0, "i", 1, RegistryEntry.State.READY, server("i", 1));
-        g.onProxyMessage(0, "10.0.0.1:70", "z");
-        assertTrue(g.expireSilent(3_000).isEmpty());
-        assertEquals(1, g.expireSilent(3_800).size());
-        g.onPeerReport(
+        Registry registry = new Registry();
+        HeartbeatTracker tracker = new HeartbeatTracker(registry, 1_000);
+        tracker.onServerHeartbeat(0, "i", 1, RegistryEntry.State.READY, server("i", 1));
+        tracker.onProxyMessage(0, "10.0.0.1:70", "z");
+        assertTrue(tracker.expireTimedOut(3_000).isEmpty());
+        assertEquals(1, tracker.expireTimedOut(3_800).size());
+        tracker.onPeerReport(
                 3_900,
                 List.of(new RegistryEntry(
                         RegistryEntry.Subject.PROXY, "10.0.0.1:70", 0, RegistryEntry.State.READY, "")));
-        assertTrue(g.expireSilent(7_000).isEmpty());
-        assertNotNull(g.onServerHeartbeat(7_100, "i", 2, RegistryEntry.State.READY, server("i", 1)));
+        assertTrue(tracker.expireTimedOut(7_000).isEmpty());
+        assertNotNull(tracker.onServerHeartbeat(7_100, "i", 2, RegistryEntry.State.READY, server("i", 1)));
         assertEquals(
                 RegistryEntry.State.READY,
-                r.entry(RegistryEntry.Subject.SERVER, "i").state());
-        g.restartTimeouts(50_000);
-        assertTrue(g.expireSilent(52_000).isEmpty(), "nothing was heard while out of touch");
+                registry.entry(RegistryEntry.Subject.SERVER, "i").state());
+        tracker.restartTimeouts(50_000);
+        assertTrue(tracker.expireTimedOut(52_000).isEmpty(), "nothing was heard while out of touch");
     }
 
     @Test
-    void freshnessCountsFromTheQueryAndNeedsTheState() {
+    void freshnessCountsFromTheQueryAndRequiresTheStateOfTheReply() {
         ControlState next = ControlState.EMPTY.with(new Change(
                 Change.Kind.REPLACE,
                 0,
@@ -99,17 +99,18 @@
         core.publish(1, next);
         core.confirmFresh(900);
         Registry proxy = new Registry();
-        GossipMessage answer = core.reply(1_000, proxy.query(40, 7, false));
-        proxy.merge(60, answer, 40);
-        assertTrue(proxy.freshAt() < -1_000_000, "fresher than what it holds");
-        assertTrue(proxy.states().take(Snapshot.of(1, core.state())));
-        assertEquals(-60, proxy.freshAt(), "asked at 40, and 100 old by then: the state that it spoke of is held now");
+        GossipMessage reply = core.reply(1_000, proxy.query(40, 7, false));
+        proxy.merge(60, reply, 40);
+        assertTrue(proxy.freshAtMs() < -1_000_000, "fresher than what it holds");
+        assertTrue(proxy.stateFollower().install(Snapshot.of(1, core.state())));
+        assertEquals(
+                -60, proxy.freshAtMs(), "asked at 40, and 100 old by then: the state that it spoke of is held now");
         Registry behind = new Registry();
         behind.publish(0, ControlState.EMPTY);
-        behind.merge(60, answer, 40);
-        assertTrue(behind.freshAt() < -1_000_000, "it holds an older state than the answer speaks of");
+        behind.merge(60, reply, 40);
+        assertTrue(behind.freshAtMs() < -1_000_000, "it holds an older state than the answer speaks of");
         assertFalse(proxy.publish(0, ControlState.EMPTY), "never backwards");
-        assertFalse(proxy.states().take(Snapshot.of(0, PublishedState.EMPTY)), "never backwards");
+        assertFalse(proxy.stateFollower().install(Snapshot.of(0, PublishedState.EMPTY)), "never backwards");
         assertEquals(3, proxy.state().configuration().version());
     }
 
@@ -141,12 +142,12 @@
             names.add("10.1.0." + i + ":70");
         }
         int moved = 0;
-        for (String n : names) {
-            List<String> before = Registry.rendezvousSelect(n, names, 3);
-            assertFalse(before.contains(n));
+        for (String name : names) {
+            List<String> before = Registry.rendezvousSelect(name, names, 3);
+            assertFalse(before.contains(name));
             List<String> more = new ArrayList<>(names);
             more.add("10.9.9.9:70");
-            List<String> after = new ArrayList<>(Registry.rendezvousSelect(n, more, 3));
+            List<String> after = new ArrayList<>(Registry.rendezvousSelect(name, more, 3));
             after.removeAll(before);
             moved += after.size();
         }
@@ -155,32 +156,32 @@
 
     /** Forty proxies and three core machines over links that lose a part of all messages: in the end all know all. */
     @Test
-    void updatesReachAllAndGapsAreRepaired() {
+    void updatesReachAllProcessesDespiteMessageLoss() {
         SplittableRandom random = new SplittableRandom(9);
-        ArrayDeque<Flying> flying = new ArrayDeque<>();
+        ArrayDeque<InFlight> inFlight = new ArrayDeque<>();
         Map<String, Registry> registries = new HashMap<>();
-        Map<String, Gossip> spreads = new HashMap<>();
+        Map<String, Gossip> gossips = new HashMap<>();
         List<String> cores = List.of("c1:1", "c2:1", "c3:1");
         List<String> all = new ArrayList<>(cores);
         for (int i = 0; i < 40; i++) {
             all.add("p" + i + ":1");
         }
-        for (String n : all) {
-            Registry r = new Registry();
-            registries.put(n, r);
-            spreads.put(n, new Gossip(n, cores.contains(n), cores, r, (to, t) -> {
+        for (String name : all) {
+            Registry registry = new Registry();
+            registries.put(name, registry);
+            gossips.put(name, new Gossip(name, cores.contains(name), cores, registry, (to, t) -> {
                 if (random.nextInt(10) > 0) {
-                    flying.add(new Flying(n, to, t));
+                    inFlight.add(new InFlight(name, to, t));
                 }
             }));
         }
-        all.forEach(p -> registries
+        all.forEach(address -> registries
                 .get("c1:1")
                 .merge(
                         0,
                         new RegistryEntry(
-                                cores.contains(p) ? RegistryEntry.Subject.CORE : RegistryEntry.Subject.PROXY,
-                                p,
+                                cores.contains(address) ? RegistryEntry.Subject.CORE : RegistryEntry.Subject.PROXY,
+                                address,
                                 1,
                                 RegistryEntry.State.READY,
                                 "")));
@@ -192,21 +193,21 @@
                                 now,
                                 new RegistryEntry(RegistryEntry.Subject.SERVER, "i", 1, RegistryEntry.State.GONE, ""));
             }
-            for (String n : all) {
-                spreads.get(n).onTick(now, null);
+            for (String name : all) {
+                gossips.get(name).onTick(now, null);
             }
-            for (int k = flying.size(); k > 0; k--) {
-                Flying f = flying.poll();
-                if (spreads.containsKey(f.to())) {
-                    spreads.get(f.to()).onGossip(now, f.from(), f.message());
+            for (int k = inFlight.size(); k > 0; k--) {
+                InFlight delivered = inFlight.poll();
+                if (gossips.containsKey(delivered.to())) {
+                    gossips.get(delivered.to()).onGossip(now, delivered.from(), delivered.message());
                 }
             }
         }
         Set<String> lacking = new HashSet<>();
-        for (String n : all) {
-            if (registries.get(n).entry(RegistryEntry.Subject.SERVER, "i") == null
-                    || registries.get(n).all(RegistryEntry.Subject.PROXY).size() != 40) {
-                lacking.add(n);
+        for (String name : all) {
+            if (registries.get(name).entry(RegistryEntry.Subject.SERVER, "i") == null
+                    || registries.get(name).all(RegistryEntry.Subject.PROXY).size() != 40) {
+                lacking.add(name);
             }
         }
         assertEquals(Set.of(), lacking);
--- a/src/test/java/quartzspan/registry/StateGossipTest.java
+++ b/src/test/java/quartzspan/registry/StateGossipTest.java
@@ -29,7 +29,7 @@
                 + "/\",\"route_type\":\"streaming\",\"timeout_ms\":" + timeoutMs + ",\"service\":\"s\"}";
     }
 
-    private static ControlState first() {
+    private static ControlState initialState() {
         StringBuilder routes = new StringBuilder();
         for (int i = 0; i < ROUTES; i++) {
             routes.append(i == 0 ? "" : ",").append(route(i, 3000));
@@ -45,7 +45,7 @@
     }
 
     /** The state after one route changed; now and then sent as a whole, as weights, or with routes added and removed. */
-    private static ControlState after(ControlState state, int number) {
+    private static ControlState withChange(ControlState state, int number) {
         long version = state.configuration().version();
         Change change =
                 switch (number % 5) {
@@ -76,14 +76,14 @@
 
     /** Processes on links that lose, delay and reorder messages. */
     private static final class Fleet {
-        private record Flying(long at, long order, String from, String to, GossipMessage message) {}
+        private record InFlight(long at, long order, String from, String to, GossipMessage message) {}
 
         final List<String> cores = List.of("c1:1", "c2:1", "c3:1");
         final Map<String, Registry> registries = new LinkedHashMap<>();
         final Map<String, Gossip> gossips = new HashMap<>();
         final Map<String, Long> stateBytesTo = new HashMap<>();
         final Map<String, Integer> chunksTo = new TreeMap<>();
-        final PriorityQueue<Flying> flying = new PriorityQueue<>(
+        final PriorityQueue<InFlight> inFlight = new PriorityQueue<>(
                 (a, b) -> a.at() != b.at() ? Long.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
         final SplittableRandom random;
         final int lostPercent;
@@ -123,18 +123,18 @@
             if (state) {
                 stateBytesTo.merge(to, (long) MessageCodec.encode(message).length, Long::sum);
             }
-            if (message.chunk().total() > 0) {
+            if (message.chunk().totalBytes() > 0) {
                 chunksTo.merge(to, 1, Integer::sum);
             }
             if (random.nextInt(100) >= lostPercent) {
-                flying.add(new Flying(now + 1 + random.nextInt(delayMs), sent++, from, to, message));
+                inFlight.add(new InFlight(now + 1 + random.nextInt(delayMs), sent++, from, to, message));
             }
         }
 
         void run(long untilMs) {
             for (; now < untilMs; now++) {
-                while (!flying.isEmpty() && flying.peek().at() <= now) {
-                    deliver(flying.poll());
+                while (!inFlight.isEmpty() && inFlight.peek().at() <= now) {
+                    deliver(inFlight.poll());
                 }
                 if (now % 50 == 0) {
                     gossips.values().forEach(g -> g.onTick(now, null));
@@ -142,7 +142,7 @@
             }
         }
 
-        private void deliver(Flying f) {
+        private void deliver(InFlight f) {
             Registry registry = registries.get(f.to());
             if (registry != null) {
                 long before = registry.stateIndex();
@@ -157,7 +157,7 @@
             }
         }
 
-        void assertAllHold(long index, ControlState state) {
+        void assertAllHave(long index, ControlState state) {
             registries.forEach((name, registry) -> {
                 assertEquals(index, registry.stateIndex(), name);
                 assertEquals(document(PublishedState.of(state)), document(registry.state()), name);
@@ -168,15 +168,15 @@
     }
 
     @Test
-    void allConvergeAfterLossesDelaysAndElections() {
+    void allProcessesConvergeAfterLossesDelaysAndElections() {
         for (int seed = 0; seed < 12; seed++) {
             Fleet fleet = new Fleet(seed, 12, seed % 4 * 12, seed % 3 * 60 + 5);
-            ControlState state = first();
+            ControlState state = initialState();
             long index = 1;
             fleet.publish("c1:1", index, state);
             for (int i = 1; i <= 60; i++) {
                 fleet.run(fleet.now + 40 + fleet.random.nextInt(120));
-                state = after(state, i);
+                state = withChange(state, i);
                 index += 1 + fleet.random.nextInt(2);
                 // Another primary may not have heard of the last changes; its replica has them all the same.
                 fleet.publish(fleet.cores.get(i / 21), index, state);
@@ -185,18 +185,18 @@
                 }
             }
             fleet.run(fleet.now + 12_000);
-            fleet.assertAllHold(index, state);
+            fleet.assertAllHave(index, state);
         }
     }
 
     @Test
-    void bytesOfAChangeGrowWithTheChangeNotTheConfiguration() {
+    void bytesSentForAChangeDependOnItsSizeNotOnTheConfiguration() {
         Fleet fleet = new Fleet(3, 40, 0, 3);
-        ControlState state = first();
+        ControlState state = initialState();
         fleet.run(2_000);
         fleet.publish("c1:1", 1, state);
         fleet.run(4_000);
-        fleet.assertAllHold(1, state);
+        fleet.assertAllHave(1, state);
         fleet.stateBytesTo.clear();
         int changes = 20;
         for (int i = 0; i < changes; i++) {
@@ -205,55 +205,56 @@
             fleet.run(fleet.now + 200);
         }
         fleet.run(fleet.now + 1_000);
-        fleet.assertAllHold(1 + changes, state);
-        long most = fleet.stateBytesTo.values().stream().mapToLong(b -> b).max().orElseThrow();
-        long full = state.configuration().bytes().length;
-        assertTrue(full > 20_000, "a configuration of " + full + " bytes");
-        assertTrue(most / changes < 1_300, most / changes + " bytes to one process for each change");
+        fleet.assertAllHave(1 + changes, state);
+        long maxBytes =
+                fleet.stateBytesTo.values().stream().mapToLong(b -> b).max().orElseThrow();
+        long configurationBytes = state.configuration().bytes().length;
+        assertTrue(configurationBytes > 20_000, "a configuration of " + configurationBytes + " bytes");
+        assertTrue(maxBytes / changes < 1_300, maxBytes / changes + " bytes to one process for each change");
     }
 
     @Test
-    void completeConfigurationIsFetchedOnceByEach() {
+    void eachProcessFetchesTheCompleteConfigurationOnce() {
         Fleet fleet = new Fleet(4, 40, 0, 3);
         fleet.run(2_000);
-        ControlState state = first();
+        ControlState state = initialState();
         fleet.stateBytesTo.clear();
         fleet.publish("c1:1", 1, state);
         fleet.run(4_000);
-        fleet.assertAllHold(1, state);
-        long one = Snapshot.of(1, PublishedState.of(state)).bytes().length;
-        assertTrue(one < state.configuration().bytes().length / 4, one + " bytes compressed");
-        Map<String, Integer> once = new TreeMap<>();
-        fleet.registries.keySet().forEach(name -> once.put(name, 1));
-        once.remove("c1:1");
-        assertEquals(once, fleet.chunksTo);
+        fleet.assertAllHave(1, state);
+        long compressedBytes = Snapshot.of(1, PublishedState.of(state)).bytes().length;
+        assertTrue(compressedBytes < state.configuration().bytes().length / 4, compressedBytes + " bytes compressed");
+        Map<String, Integer> oneChunkEach = new TreeMap<>();
+        fleet.registries.keySet().forEach(name -> oneChunkEach.put(name, 1));
+        oneChunkEach.remove("c1:1");
+        assertEquals(oneChunkEach, fleet.chunksTo);
     }
 
     @Test
-    void deltasOfAnotherStateChangeNothing() {
-        ControlState first = first();
-        ControlState second = after(first, 4);
-        ControlState third = after(second, 5);
-        StateFollower teller = new StateFollower();
-        teller.publish(3, first);
-        teller.publish(4, second);
-        teller.publish(6, third);
-        List<StateDelta> steps = teller.since(3);
-        assertEquals(2, steps.size());
-        assertTrue(teller.since(5).isEmpty(), "no state at 5 is known");
+    void deltasOfAnotherStateAreNotApplied() {
+        ControlState first = initialState();
+        ControlState second = withChange(first, 4);
+        ControlState third = withChange(second, 5);
+        StateFollower publisher = new StateFollower();
+        publisher.publish(3, first);
+        publisher.publish(4, second);
+        publisher.publish(6, third);
+        List<StateDelta> deltas = publisher.deltasSince(3);
+        assertEquals(2, deltas.size());
+        assertTrue(publisher.deltasSince(5).isEmpty(), "no state at 5 is known");
 
         StateFollower empty = new StateFollower();
-        assertFalse(empty.apply(steps), "nothing to build on");
+        assertFalse(empty.apply(deltas), "nothing to build on");
         StateFollower gap = new StateFollower();
         gap.publish(3, first);
-        assertFalse(gap.apply(steps.subList(1, 2)), "a step is missing");
+        assertFalse(gap.apply(deltas.subList(1, 2)), "a step is missing");
         assertEquals(3, gap.index());
-        assertTrue(gap.apply(List.of(steps.get(1), steps.get(0))), "what fits is taken");
+        assertTrue(gap.apply(List.of(deltas.get(1), deltas.get(0))), "what fits is taken");
         assertEquals(4, gap.index());
-        assertTrue(gap.apply(steps), "the rest follows");
-        assertFalse(gap.apply(steps), "stale");
+        assertTrue(gap.apply(deltas), "the rest follows");
+        assertFalse(gap.apply(deltas), "stale");
         assertEquals(document(PublishedState.of(third)), document(gap.state()));
-        assertEquals(steps.size(), gap.since(3).size(), "and is passed on");
+        assertEquals(deltas.size(), gap.deltasSince(3).size(), "and is passed on");
 
         StateFollower damaged = new StateFollower();
         damaged.publish(3, first);
@@ -262,41 +263,42 @@
     }
 
     @Test
-    void deltaThatDoesNotApplyIsRepairedByASnapshot() {
+    void inapplicableDeltaIsFollowedByASnapshotRequest() {
         Map<String, List<GossipMessage>> sent = new HashMap<>();
         Registry registry = new Registry();
         Gossip gossip = new Gossip(
                 "p:1", false, List.of("c1:1"), registry, (to, m) -> sent.computeIfAbsent(to, t -> new ArrayList<>())
                         .add(m));
-        ControlState first = first();
-        registry.states().take(Snapshot.of(1, PublishedState.of(first)));
-        GossipMessage broken =
+        ControlState first = initialState();
+        registry.stateFollower().install(Snapshot.of(1, PublishedState.of(first)));
+        GossipMessage inapplicable =
                 GossipMessage.update(0, 2, List.of(), List.of(new StateDelta(1, 2, new byte[] {9, 9, 9, 9, 9})));
-        gossip.onGossip(0, "c1:1", broken);
+        gossip.onGossip(0, "c1:1", inapplicable);
         GossipMessage fetch = sent.get("c1:1").get(0);
         assertEquals(GossipMessage.Kind.FETCH, fetch.kind());
-        gossip.onGossip(5, "c1:1", GossipMessage.fetchReply(fetch.nonce(), 2, broken.deltas(), SnapshotChunk.NONE));
+        gossip.onGossip(
+                5, "c1:1", GossipMessage.fetchReply(fetch.nonce(), 2, inapplicable.deltas(), SnapshotChunk.NONE));
         assertEquals(1, registry.stateIndex());
-        GossipMessage again = sent.get("c1:1").get(1);
-        assertEquals(SnapshotChunk.WITHOUT_STEPS, again.chunk().index());
-        Snapshot full = Snapshot.of(2, PublishedState.of(after(first, 4)));
-        assertTrue(gossip.onGossip(9, "c1:1", GossipMessage.fetchReply(again.nonce(), 2, List.of(), full.chunk(0)))
-                .state());
+        GossipMessage retry = sent.get("c1:1").get(1);
+        assertEquals(SnapshotChunk.SNAPSHOT_ONLY, retry.chunk().index());
+        Snapshot snapshot = Snapshot.of(2, PublishedState.of(withChange(first, 4)));
+        assertTrue(gossip.onGossip(9, "c1:1", GossipMessage.fetchReply(retry.nonce(), 2, List.of(), snapshot.chunk(0)))
+                .stateAdvanced());
         assertEquals(2, registry.stateIndex());
     }
 
     /** A snapshot in parts: reading goes on while newer states come, and each part is asked for by itself. */
     @Test
-    void largeSnapshotComesInChunksWhileChangesGoOn() {
+    void largeSnapshotIsFetchedInChunksDuringFurtherChanges() {
         SplittableRandom random = new SplittableRandom(1);
-        StringBuilder noise = new StringBuilder();
+        StringBuilder randomText = new StringBuilder();
         for (int i = 0; i < 300_000; i++) {
-            noise.append((char) ('a' + random.nextInt(26)));
+            randomText.append((char) ('a' + random.nextInt(26)));
         }
         ControlState state = ControlState.EMPTY.with(new Change(
                 Change.Kind.REPLACE,
                 0,
-                utf8("{\"version\":1,\"routes\":[],\"services\":[{\"name\":\"s\"}],\"note\":\"" + noise + "\"}")));
+                utf8("{\"version\":1,\"routes\":[],\"services\":[{\"name\":\"s\"}],\"note\":\"" + randomText + "\"}")));
         Fleet fleet = new Fleet(5, 3, 0, 20);
         fleet.publish("c1:1", 1, state);
         for (int i = 0; i < 40; i++) {
@@ -305,7 +307,7 @@
             fleet.run(fleet.now + 20);
         }
         fleet.run(fleet.now + 1_000);
-        fleet.assertAllHold(41, state);
+        fleet.assertAllHave(41, state);
         int parts = (Snapshot.of(41, PublishedState.of(state)).bytes().length + SnapshotChunk.MAX_BYTES - 1)
                 / SnapshotChunk.MAX_BYTES;
         assertTrue(parts > 2, parts + " parts");
@@ -314,24 +316,24 @@
     }
 
     @Test
-    void processThatHearsOnlyAStaleCoreMachineIsNotFresh() {
+    void processConnectedOnlyToAStaleCoreMachineIsNotFresh() {
         Fleet fleet = new Fleet(6, 4, 0, 3);
-        ControlState old = first();
+        ControlState old = initialState();
         fleet.publish("c1:1", 1, old);
         fleet.registries.get("c1:1").confirmFresh(fleet.now);
         fleet.run(1_000);
         fleet.start("alone:1", List.of());
-        Registry alone = fleet.registries.get("alone:1");
+        Registry isolated = fleet.registries.get("alone:1");
         Gossip gossip = fleet.gossips.get("alone:1");
         Registry stale = new Registry();
         stale.publish(1, old);
         gossip.onGossip(fleet.now, "stale:1", GossipMessage.update(0, 1, List.of(), List.of()));
-        gossip.onGossip(fleet.now, "stale:1", stale.reply(fleet.now, alone.query(fleet.now, 5, false)));
-        assertTrue(alone.freshAt() < -1_000_000, "nobody fresh was asked");
-        ControlState next = after(old, 4);
+        gossip.onGossip(fleet.now, "stale:1", stale.reply(fleet.now, isolated.query(fleet.now, 5, false)));
+        assertTrue(isolated.freshAtMs() < -1_000_000, "nobody fresh was asked");
+        ControlState next = withChange(old, 4);
         fleet.publish("c2:1", 2, next);
         fleet.run(fleet.now + 3_000);
         gossip.onGossip(fleet.now, "stale:1", GossipMessage.update(0, 1, List.of(), List.of()));
-        fleet.assertAllHold(2, next);
+        fleet.assertAllHave(2, next);
     }
 }
--- a/src/test/java/quartzspan/transport/MessageCodecTest.java
+++ b/src/test/java/quartzspan/transport/MessageCodecTest.java
@@ -65,14 +65,16 @@
         assertEquals(REPLICA_MESSAGE.toString().split(", body")[0], l.toString().split(", body")[0]);
         GossipMessage t = (GossipMessage) MessageCodec.decode(MessageCodec.encode(GOSSIP));
         assertEquals(GOSSIP.entries(), t.entries());
-        assertArrayEquals(GOSSIP.buckets(), t.buckets());
+        assertArrayEquals(GOSSIP.digests(), t.digests());
         assertEquals(9, t.stateIndex());
-        assertEquals(List.of(4L, 7L), t.deltas().stream().map(StateDelta::from).toList());
-        assertEquals(List.of(7L, 9L), t.deltas().stream().map(StateDelta::to).toList());
+        assertEquals(
+                List.of(4L, 7L), t.deltas().stream().map(StateDelta::fromIndex).toList());
+        assertEquals(
+                List.of(7L, 9L), t.deltas().stream().map(StateDelta::toIndex).toList());
         assertArrayEquals(new byte[] {5, 6}, t.deltas().get(0).change());
         assertEquals(8, t.chunk().index());
         assertEquals(65_536, t.chunk().offset());
-        assertEquals(200_000, t.chunk().total());
+        assertEquals(200_000, t.chunk().totalBytes());
         assertEquals(70_000, t.chunk().bytes().length);
         PrefixCacheUpdate c = (PrefixCacheUpdate) MessageCodec.decode(MessageCodec.encode(INDEX_UPDATE));
         assertArrayEquals(INDEX_UPDATE.blocks(), c.blocks());
