--- a/src/main/java/quartzspan/store/Disk.java
+++ b/src/main/java/quartzspan/store/Disk.java
@@ -9,11 +9,11 @@
     byte[] read(String name);
 
     /** Writes at a place, and makes the file if there is none. */
-    void write(String name, long at, byte[] bytes);
+    void write(String name, long position, byte[] bytes);
 
     void truncate(String name, long length);
 
     void sync(String name);
 
-    void syncFolder();
+    void syncDirectory();
 }
--- a/src/main/java/quartzspan/store/FileDisk.java
+++ b/src/main/java/quartzspan/store/FileDisk.java
@@ -12,27 +12,27 @@
 
 /** A folder of files. One thread at a time. */
 public final class FileDisk implements Disk {
-    private final Path folder;
-    private final Map<String, FileChannel> open = new HashMap<>();
+    private final Path directory;
+    private final Map<String, FileChannel> channels = new HashMap<>();
 
-    public FileDisk(Path folder) {
-        this.folder = folder;
-        attempt(() -> Files.createDirectories(folder));
+    public FileDisk(Path directory) {
+        this.directory = directory;
+        runIo(() -> Files.createDirectories(directory));
     }
 
     @Override
     public byte[] read(String name) {
-        Path file = folder.resolve(name);
-        return attempt(() -> Files.exists(file) ? Files.readAllBytes(file) : null);
+        Path file = directory.resolve(name);
+        return runIo(() -> Files.exists(file) ? Files.readAllBytes(file) : null);
     }
 
     @Override
-    public void write(String name, long at, byte[] bytes) {
-        attempt(() -> {
-            ByteBuffer left = ByteBuffer.wrap(bytes);
-            long place = at;
-            while (left.hasRemaining()) {
-                place += file(name).write(left, place);
+    public void write(String name, long position, byte[] bytes) {
+        runIo(() -> {
+            ByteBuffer remaining = ByteBuffer.wrap(bytes);
+            long writePosition = position;
+            while (remaining.hasRemaining()) {
+                writePosition += file(name).write(remaining, writePosition);
             }
             return null;
         });
@@ -40,47 +40,47 @@
 
     @Override
     public void truncate(String name, long length) {
-        attempt(() -> file(name).truncate(length));
+        runIo(() -> file(name).truncate(length));
     }
 
     @Override
     public void sync(String name) {
-        attempt(() -> {
+        runIo(() -> {
             file(name).force(true);
             return null;
         });
     }
 
     @Override
-    public void syncFolder() {
-        attempt(() -> {
-            try (FileChannel itself = FileChannel.open(folder, StandardOpenOption.READ)) {
-                itself.force(true);
+    public void syncDirectory() {
+        runIo(() -> {
+            try (FileChannel directoryChannel = FileChannel.open(directory, StandardOpenOption.READ)) {
+                directoryChannel.force(true);
             }
             return null;
         });
     }
 
     private FileChannel file(String name) throws IOException {
-        FileChannel channel = open.get(name);
+        FileChannel channel = channels.get(name);
         if (channel == null) {
-            channel = FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-            open.put(name, channel);
+            channel = FileChannel.open(directory.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+            channels.put(name, channel);
         }
         return channel;
     }
 
-    private interface Work<T> {
+    private interface IoOperation<T> {
         T run() throws IOException;
     }
 
-    private <T> T attempt(Work<T> work) {
+    private <T> T runIo(IoOperation<T> operation) {
         try {
-            return work.run();
+            return operation.run();
         } catch (IOException e) {
             throw new FleetException(
                     FleetException.Code.STORE_REFUSES,
-                    folder + ": " + e.getMessage(),
+                    directory + ": " + e.getMessage(),
                     "free space or repair the disk; this machine accepts no changes until then");
         }
     }
--- a/src/main/java/quartzspan/store/SlotStore.java
+++ b/src/main/java/quartzspan/store/SlotStore.java
@@ -29,10 +29,10 @@
 
     private final Disk disk;
     private long generation;
-    private long logEnd;
+    private long logEndOffset;
     private boolean hasTornTail;
     /** Whether the log's first bytes may not be this generation's. */
-    private boolean headerPending;
+    private boolean logHeaderPending;
     /** Whether the log's name is known to be on the disk. */
     private boolean logNameSynced;
 
@@ -50,14 +50,14 @@
         boolean anySlot = false;
         byte[] state = null;
         for (String name : SLOT_FILES) {
-            byte[] file = readSynced(name);
+            byte[] file = readAndSync(name);
             anySlot |= file != null;
-            byte[] newer = file == null ? null : newerState(file);
+            byte[] newer = file == null ? null : readNewerState(file);
             state = newer == null ? state : newer;
         }
-        byte[] log = readSynced(LOG_FILE);
+        byte[] log = readAndSync(LOG_FILE);
         if (anySlot || log != null) {
-            disk.syncFolder();
+            disk.syncDirectory();
         }
         logNameSynced = log != null;
         if (state != null) {
@@ -72,7 +72,7 @@
     }
 
     /** The state of a slot if it is complete and newer than the one before; its generation becomes the current one. */
-    private byte[] newerState(byte[] slot) {
+    private byte[] readNewerState(byte[] slot) {
         if (slot.length < SLOT_HEADER_BYTES) {
             return null;
         }
@@ -98,28 +98,28 @@
         }
         List<byte[]> records = new ArrayList<>();
         int offset = LOG_HEADER_BYTES;
-        byte[] record = record(log, offset);
+        byte[] record = readRecord(log, offset);
         while (record != null) {
             records.add(record);
             offset += RECORD_HEADER_BYTES + record.length;
-            record = record(log, offset);
+            record = readRecord(log, offset);
         }
-        refuseRecordsAfter(offset, log);
-        logEnd = offset;
+        requireNoRecordAfter(offset, log);
+        logEndOffset = offset;
         hasTornTail = offset < log.length;
         return records;
     }
 
     /** Only the last record can be torn: a readable one behind an unreadable one shows damage. */
-    private void refuseRecordsAfter(int offset, byte[] log) {
+    private void requireNoRecordAfter(int offset, byte[] log) {
         for (int position = offset + 1; position + RECORD_HEADER_BYTES <= log.length; position++) {
-            if (record(log, position) != null) {
+            if (readRecord(log, position) != null) {
                 throw damaged("the log can't be read at byte " + offset);
             }
         }
     }
 
-    private byte[] readSynced(String name) {
+    private byte[] readAndSync(String name) {
         byte[] file = disk.read(name);
         if (file != null) {
             disk.sync(name);
@@ -127,7 +127,7 @@
         return file;
     }
 
-    private byte[] record(byte[] log, int offset) {
+    private byte[] readRecord(byte[] log, int offset) {
         if (log.length - offset < RECORD_HEADER_BYTES) {
             return null;
         }
@@ -144,7 +144,7 @@
 
     /** Bytes in the log. */
     public long logBytes() {
-        return logEnd;
+        return logEndOffset;
     }
 
     /** Adds a record; it is there for good on return. */
@@ -152,17 +152,17 @@
         if (generation == 0) {
             throw new IllegalStateException("a checkpoint comes before the first record");
         }
-        if (headerPending) {
+        if (logHeaderPending) {
             restartLog();
         } else if (hasTornTail) {
-            disk.truncate(LOG_FILE, logEnd);
+            disk.truncate(LOG_FILE, logEndOffset);
             disk.sync(LOG_FILE);
             hasTornTail = false;
         }
         hasTornTail = true;
         disk.write(
                 LOG_FILE,
-                logEnd,
+                logEndOffset,
                 ByteBuffer.allocate(RECORD_HEADER_BYTES + record.length)
                         .putInt(record.length)
                         .putInt(checksum(generation, record, 0, record.length))
@@ -170,7 +170,7 @@
                         .array());
         disk.sync(LOG_FILE);
         hasTornTail = false;
-        logEnd += RECORD_HEADER_BYTES + record.length;
+        logEndOffset += RECORD_HEADER_BYTES + record.length;
     }
 
     /** Replaces state and records by a new state; it is there for good on return. */
@@ -191,7 +191,7 @@
                         .array());
         disk.sync(slot);
         if (next <= 2) {
-            disk.syncFolder();
+            disk.syncDirectory();
         }
         generation = next;
         restartLog();
@@ -204,14 +204,14 @@
             disk.sync(name);
         }
         generation = 0;
-        logEnd = 0;
+        logEndOffset = 0;
         hasTornTail = false;
         logNameSynced = false;
     }
 
     private void restartLog() {
-        headerPending = true;
-        logEnd = LOG_HEADER_BYTES;
+        logHeaderPending = true;
+        logEndOffset = LOG_HEADER_BYTES;
         disk.truncate(LOG_FILE, 0);
         disk.write(
                 LOG_FILE,
@@ -219,10 +219,10 @@
                 ByteBuffer.allocate(LOG_HEADER_BYTES).putLong(generation).array());
         disk.sync(LOG_FILE);
         if (!logNameSynced) {
-            disk.syncFolder();
+            disk.syncDirectory();
             logNameSynced = true;
         }
-        headerPending = false;
+        logHeaderPending = false;
         hasTornTail = false;
     }
 
--- a/src/main/java/quartzspan/transport/InboundConnections.java
+++ b/src/main/java/quartzspan/transport/InboundConnections.java
@@ -14,46 +14,46 @@
  */
 final class InboundConnections {
     /** Incarnations remembered for each address. */
-    private static final int MAX_ENDED_INCARNATIONS = 16;
+    private static final int MAX_REPLACED_INCARNATIONS = 16;
 
     private static final class Peer {
         long incarnation;
-        long connection;
+        long connectionNumber;
         /** Incarnations that another one has followed, the last ones of them. */
-        final Set<Long> ended = Collections.newSetFromMap(new LinkedHashMap<>() {
+        final Set<Long> replacedIncarnations = Collections.newSetFromMap(new LinkedHashMap<>() {
             private static final long serialVersionUID = 1L;
 
             @Override
             protected boolean removeEldestEntry(Map.Entry<Long, Boolean> eldest) {
-                return size() > MAX_ENDED_INCARNATIONS;
+                return size() > MAX_REPLACED_INCARNATIONS;
             }
         });
     }
 
     private final Map<String, Peer> peers = new HashMap<>();
-    private long connections;
+    private long lastConnectionNumber;
 
     /** Number of a connection that is accepted now; later ones have higher numbers. */
-    long accepted() {
-        return ++connections;
+    long nextConnectionNumber() {
+        return ++lastConnectionNumber;
     }
 
     /** Whether a connection on which a message came speaks for the process at its address. */
-    boolean isCurrent(Hello from, long connection) {
+    boolean isCurrent(Hello from, long connectionNumber) {
         Peer peer = peers.get(from.address());
         if (peer == null) {
             peer = new Peer();
             peer.incarnation = from.incarnation();
             peers.put(from.address(), peer);
         }
-        if (connection < peer.connection || peer.ended.contains(from.incarnation())) {
+        if (connectionNumber < peer.connectionNumber || peer.replacedIncarnations.contains(from.incarnation())) {
             return false;
         }
         if (peer.incarnation != from.incarnation()) {
-            peer.ended.add(peer.incarnation);
+            peer.replacedIncarnations.add(peer.incarnation);
             peer.incarnation = from.incarnation();
         }
-        peer.connection = connection;
+        peer.connectionNumber = connectionNumber;
         return true;
     }
 }
--- a/src/main/java/quartzspan/transport/MessageCodec.java
+++ b/src/main/java/quartzspan/transport/MessageCodec.java
@@ -38,15 +38,15 @@
     /**
      * Who opened a connection.
      *
-     * @param control where it answers servers and operators, empty for proxies
+     * @param controlAddress where it answers servers and operators, empty for proxies
      * @param incarnation drawn at random at each start of a process, so that its successor at the same address can be distinguished
      */
-    public record Hello(boolean core, String address, String control, String zone, long incarnation) {
+    public record Hello(boolean core, String address, String controlAddress, String zone, long incarnation) {
         private static final SplittableRandom INCARNATIONS = new SplittableRandom();
 
         /** A new incarnation at an address. */
-        public Hello(boolean core, String address, String control, String zone) {
-            this(core, address, control, zone, INCARNATIONS.nextLong());
+        public Hello(boolean core, String address, String controlAddress, String zone) {
+            this(core, address, controlAddress, zone, INCARNATIONS.nextLong());
         }
     }
 
@@ -54,70 +54,71 @@
 
     /** One of {@link Hello}, {@link ReplicaMessage}, {@link GossipMessage} and {@link PrefixCacheUpdate}, as bytes without the length. */
     public static byte[] encode(Object message) {
-        MutableDirectBuffer to = new ExpandableArrayBuffer(512);
-        MessageHeaderEncoder head = new MessageHeaderEncoder();
+        MutableDirectBuffer buffer = new ExpandableArrayBuffer(512);
+        MessageHeaderEncoder header = new MessageHeaderEncoder();
         int length;
-        if (message instanceof Hello h) {
-            HelloMessageEncoder e = new HelloMessageEncoder().wrapAndApplyHeader(to, 0, head);
-            e.core((short) (h.core() ? 1 : 0))
-                    .incarnation(h.incarnation())
-                    .address(h.address())
-                    .control(h.control())
-                    .zone(h.zone());
-            length = e.limit();
-        } else if (message instanceof ReplicaMessage l) {
-            length = encode(l, new ReplicaFrameEncoder().wrapAndApplyHeader(to, 0, head));
-        } else if (message instanceof GossipMessage t) {
-            length = GossipCodec.encode(t, new GossipFrameEncoder().wrapAndApplyHeader(to, 0, head));
-        } else if (message instanceof PrefixCacheUpdate c) {
-            PrefixCacheFrameEncoder e = new PrefixCacheFrameEncoder().wrapAndApplyHeader(to, 0, head);
-            e.kind((short) c.kind().ordinal()).stream(c.stream()).seq(c.seq());
-            PrefixCacheFrameEncoder.BlocksEncoder blocks = e.blocksCount(c.blocks().length);
-            for (int i = 0; i < c.blocks().length; i++) {
-                blocks.next().block(c.blocks()[i]).tokens(c.tokens()[i]);
+        if (message instanceof Hello hello) {
+            HelloMessageEncoder encoder = new HelloMessageEncoder().wrapAndApplyHeader(buffer, 0, header);
+            encoder.core((short) (hello.core() ? 1 : 0))
+                    .incarnation(hello.incarnation())
+                    .address(hello.address())
+                    .control(hello.controlAddress())
+                    .zone(hello.zone());
+            length = encoder.limit();
+        } else if (message instanceof ReplicaMessage replicaMessage) {
+            length = encode(replicaMessage, new ReplicaFrameEncoder().wrapAndApplyHeader(buffer, 0, header));
+        } else if (message instanceof GossipMessage gossipMessage) {
+            length = GossipCodec.encode(gossipMessage, new GossipFrameEncoder().wrapAndApplyHeader(buffer, 0, header));
+        } else if (message instanceof PrefixCacheUpdate update) {
+            PrefixCacheFrameEncoder encoder = new PrefixCacheFrameEncoder().wrapAndApplyHeader(buffer, 0, header);
+            encoder.kind((short) update.kind().ordinal()).stream(update.stream())
+                    .seq(update.seq());
+            PrefixCacheFrameEncoder.BlocksEncoder blocks = encoder.blocksCount(update.blocks().length);
+            for (int i = 0; i < update.blocks().length; i++) {
+                blocks.next().block(update.blocks()[i]).tokens(update.tokens()[i]);
             }
-            e.server(c.server());
-            length = e.limit();
+            encoder.server(update.server());
+            length = encoder.limit();
         } else {
             throw new IllegalArgumentException("no message: " + message.getClass());
         }
         byte[] bytes = new byte[length];
-        to.getBytes(0, bytes);
+        buffer.getBytes(0, bytes);
         return bytes;
     }
 
     /** Reads {@link #encode}. */
     public static Object decode(byte[] bytes) {
         try {
-            UnsafeBuffer from = new UnsafeBuffer(bytes);
-            MessageHeaderDecoder head = new MessageHeaderDecoder().wrap(from, 0);
-            if (head.schemaId() != MessageHeaderDecoder.SCHEMA_ID) {
-                throw malformed("schema " + head.schemaId());
+            UnsafeBuffer buffer = new UnsafeBuffer(bytes);
+            MessageHeaderDecoder header = new MessageHeaderDecoder().wrap(buffer, 0);
+            if (header.schemaId() != MessageHeaderDecoder.SCHEMA_ID) {
+                throw malformed("schema " + header.schemaId());
             }
-            return switch (head.templateId()) {
-                case HelloMessageDecoder.TEMPLATE_ID -> hello(
-                        new HelloMessageDecoder().wrapAndApplyHeader(from, 0, head));
-                case ReplicaFrameDecoder.TEMPLATE_ID -> replicaMessage(
-                        new ReplicaFrameDecoder().wrapAndApplyHeader(from, 0, head));
+            return switch (header.templateId()) {
+                case HelloMessageDecoder.TEMPLATE_ID -> decodeHello(
+                        new HelloMessageDecoder().wrapAndApplyHeader(buffer, 0, header));
+                case ReplicaFrameDecoder.TEMPLATE_ID -> decodeReplicaMessage(
+                        new ReplicaFrameDecoder().wrapAndApplyHeader(buffer, 0, header));
                 case GossipFrameDecoder.TEMPLATE_ID -> GossipCodec.decode(
-                        new GossipFrameDecoder().wrapAndApplyHeader(from, 0, head));
-                case PrefixCacheFrameDecoder.TEMPLATE_ID -> prefixCacheUpdate(
-                        new PrefixCacheFrameDecoder().wrapAndApplyHeader(from, 0, head));
-                default -> throw malformed("message " + head.templateId());
+                        new GossipFrameDecoder().wrapAndApplyHeader(buffer, 0, header));
+                case PrefixCacheFrameDecoder.TEMPLATE_ID -> decodePrefixCacheUpdate(
+                        new PrefixCacheFrameDecoder().wrapAndApplyHeader(buffer, 0, header));
+                default -> throw malformed("message " + header.templateId());
             };
         } catch (IndexOutOfBoundsException | IllegalStateException | NegativeArraySizeException e) {
             throw malformed(e.getMessage());
         }
     }
 
-    private static Hello hello(HelloMessageDecoder d) {
-        boolean core = d.core() == 1;
-        long incarnation = d.incarnation();
-        return new Hello(core, d.address(), d.control(), d.zone(), incarnation);
+    private static Hello decodeHello(HelloMessageDecoder decoder) {
+        boolean core = decoder.core() == 1;
+        long incarnation = decoder.incarnation();
+        return new Hello(core, decoder.address(), decoder.control(), decoder.zone(), incarnation);
     }
 
-    private static int encode(ReplicaMessage message, ReplicaFrameEncoder to) {
-        to.kind((short) message.kind().ordinal())
+    private static int encode(ReplicaMessage message, ReplicaFrameEncoder encoder) {
+        encoder.kind((short) message.kind().ordinal())
                 .flags((short) ((message.granted() ? FLAG_GRANTED : 0) | (message.recovering() ? FLAG_RECOVERING : 0)))
                 .nonce(message.nonce())
                 .logIndex(message.logIndex())
@@ -125,33 +126,33 @@
                 .epoch(message.epoch().text())
                 .promisedEpoch(message.promisedEpoch().text())
                 .logEpoch(message.logEpoch().text())
-                .generations(text(message.generations()))
-                .sinceHeardMs(text(message.sinceHeardMs()))
+                .generations(formatNumbers(message.generations()))
+                .sinceHeardMs(formatNumbers(message.sinceHeardMs()))
                 .membership(message.membership().text())
                 .putBody(message.body(), 0, message.body().length);
-        return to.limit();
+        return encoder.limit();
     }
 
-    private static ReplicaMessage replicaMessage(ReplicaFrameDecoder d) {
-        int kind = d.kind();
-        int flags = d.flags();
+    private static ReplicaMessage decodeReplicaMessage(ReplicaFrameDecoder decoder) {
+        int kind = decoder.kind();
+        int flags = decoder.flags();
         if (kind >= ReplicaMessage.Kind.values().length) {
             throw malformed("replica message " + kind);
         }
-        long nonce = d.nonce();
-        long logIndex = d.logIndex();
-        long generation = d.generation();
-        Epoch epoch = Epoch.parse(d.epoch());
-        Epoch promisedEpoch = Epoch.parse(d.promisedEpoch());
-        Epoch logEpoch = Epoch.parse(d.logEpoch());
-        Map<String, Long> generations = numbers(d.generations());
-        Map<String, Long> sinceHeardMs = numbers(d.sinceHeardMs());
-        Membership membership = Membership.parse(d.membership());
+        long nonce = decoder.nonce();
+        long logIndex = decoder.logIndex();
+        long generation = decoder.generation();
+        Epoch epoch = Epoch.parse(decoder.epoch());
+        Epoch promisedEpoch = Epoch.parse(decoder.promisedEpoch());
+        Epoch logEpoch = Epoch.parse(decoder.logEpoch());
+        Map<String, Long> generations = parseNumbers(decoder.generations());
+        Map<String, Long> sinceHeardMs = parseNumbers(decoder.sinceHeardMs());
+        Membership membership = Membership.parse(decoder.membership());
         if (epoch == null || promisedEpoch == null || logEpoch == null || membership == null) {
             throw malformed("no epoch or no membership");
         }
-        byte[] body = new byte[bounded(d.bodyLength(), MAX_FRAME_BYTES)];
-        d.getBody(body, 0, body.length);
+        byte[] body = new byte[checkedLength(decoder.bodyLength(), MAX_FRAME_BYTES)];
+        decoder.getBody(body, 0, body.length);
         return new ReplicaMessage(
                 ReplicaMessage.Kind.values()[kind],
                 epoch,
@@ -168,55 +169,56 @@
                 body);
     }
 
-    private static String text(Map<String, Long> numbers) {
-        StringJoiner all = new StringJoiner(",");
-        numbers.forEach((name, number) -> all.add(name + '=' + number));
-        return all.toString();
+    private static String formatNumbers(Map<String, Long> numbers) {
+        StringJoiner pairs = new StringJoiner(",");
+        numbers.forEach((name, number) -> pairs.add(name + '=' + number));
+        return pairs.toString();
     }
 
-    private static Map<String, Long> numbers(String text) {
-        Map<String, Long> all = new TreeMap<>();
+    private static Map<String, Long> parseNumbers(String text) {
+        Map<String, Long> pairs = new TreeMap<>();
         try {
             for (String entry : text.isEmpty() ? new String[0] : text.split(",")) {
                 int equals = entry.lastIndexOf('=');
-                all.put(entry.substring(0, equals), Long.parseLong(entry.substring(equals + 1)));
+                pairs.put(entry.substring(0, equals), Long.parseLong(entry.substring(equals + 1)));
             }
         } catch (NumberFormatException | StringIndexOutOfBoundsException e) {
             throw malformed("no numbers by name");
         }
-        return all;
+        return pairs;
     }
 
-    private static PrefixCacheUpdate prefixCacheUpdate(PrefixCacheFrameDecoder d) {
-        int kind = d.kind();
+    private static PrefixCacheUpdate decodePrefixCacheUpdate(PrefixCacheFrameDecoder decoder) {
+        int kind = decoder.kind();
         if (kind >= PrefixCacheUpdate.Kind.values().length) {
             throw malformed("promptIndexUpdate " + kind);
         }
-        long stream = d.stream();
-        long seq = d.seq();
-        PrefixCacheFrameDecoder.BlocksDecoder p = d.blocks();
-        int count = bounded(p.count(), PrefixCacheUpdate.MAX_BLOCKS);
+        long stream = decoder.stream();
+        long seq = decoder.seq();
+        PrefixCacheFrameDecoder.BlocksDecoder blocksDecoder = decoder.blocks();
+        int count = checkedLength(blocksDecoder.count(), PrefixCacheUpdate.MAX_BLOCKS);
         long[] blocks = new long[count];
         int[] tokens = new int[count];
         for (int i = 0; i < count; i++) {
-            p.next();
-            blocks[i] = p.block();
-            tokens[i] = p.tokens();
+            blocksDecoder.next();
+            blocks[i] = blocksDecoder.block();
+            tokens[i] = blocksDecoder.tokens();
         }
-        return new PrefixCacheUpdate(PrefixCacheUpdate.Kind.values()[kind], d.server(), stream, seq, blocks, tokens);
+        return new PrefixCacheUpdate(
+                PrefixCacheUpdate.Kind.values()[kind], decoder.server(), stream, seq, blocks, tokens);
     }
 
-    static int bounded(int length, int most) {
-        if (length < 0 || length > most) {
+    static int checkedLength(int length, int max) {
+        if (length < 0 || length > max) {
             throw malformed("length " + length);
         }
         return length;
     }
 
-    static FleetException malformed(String what) {
+    static FleetException malformed(String detail) {
         return new FleetException(
                 FleetException.Code.MESSAGE_INVALID,
-                "no message of ours: " + what,
+                "no message of ours: " + detail,
                 "run the same version on all machines");
     }
 }
--- a/src/main/java/quartzspan/transport/TcpTransport.java
+++ b/src/main/java/quartzspan/transport/TcpTransport.java
@@ -46,20 +46,20 @@
     private final EventLoop loop;
     private final Hello self;
     private final Receiver receiver;
-    private final Map<String, OutgoingConnection> outgoing = new HashMap<>();
-    private final Bootstrap out;
-    private final ChannelWrites writes = new ChannelWrites();
-    private final InboundConnections incoming = new InboundConnections();
+    private final Map<String, OutgoingConnection> outgoingConnections = new HashMap<>();
+    private final Bootstrap clientBootstrap;
+    private final FrameWriter frameWriter = new FrameWriter();
+    private final InboundConnections inboundConnections = new InboundConnections();
 
     private static final class OutgoingConnection {
         Channel channel;
-        boolean up;
-        long openedAt;
+        boolean connected;
+        long connectStartedAtMs;
         /** When something was first written since the other last said anything; 0 if all is answered. */
-        long writtenAt;
+        long unansweredSinceMs;
 
-        long usedAt;
-        final ArrayDeque<byte[]> queued = new ArrayDeque<>();
+        long lastUsedAtMs;
+        final ArrayDeque<byte[]> queuedFrames = new ArrayDeque<>();
     }
 
     /** A transport that has no connections yet; to be called on the event loop. */
@@ -67,7 +67,7 @@
         this.loop = loop;
         this.self = self;
         this.receiver = receiver;
-        this.out = new Bootstrap()
+        this.clientBootstrap = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.ALLOCATOR, ConnectionPool.BUFFERS)
@@ -92,7 +92,7 @@
     }
 
     /** Takes connections of others. */
-    public ChannelFuture listen(InetSocketAddress at) {
+    public ChannelFuture listen(InetSocketAddress address) {
         return new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
@@ -108,12 +108,12 @@
                                         new InboundHandler());
                     }
                 })
-                .bind(at);
+                .bind(address);
     }
 
     /** Reads one connection; whatever is no message of ours ends it. */
     private final class InboundHandler extends SimpleChannelInboundHandler<ByteBuf> {
-        private final long accepted = incoming.accepted();
+        private final long connectionNumber = inboundConnections.nextConnectionNumber();
         private Hello from;
 
         @Override
@@ -129,13 +129,13 @@
                 from = hello;
                 return;
             }
-            if (!incoming.isCurrent(from, accepted)) {
+            if (!inboundConnections.isCurrent(from, connectionNumber)) {
                 ctx.close();
                 return;
             }
-            OutgoingConnection connection = outgoing.get(from.address());
+            OutgoingConnection connection = outgoingConnections.get(from.address());
             if (connection != null) {
-                connection.writtenAt = 0;
+                connection.unansweredSinceMs = 0;
             }
             receiver.received(from, message);
         }
@@ -152,78 +152,78 @@
         }
     }
 
-    private static long now() {
+    private static long nowMs() {
         return System.nanoTime() / 1_000_000;
     }
 
     @Override
     public void send(String to, Object message) {
-        OutgoingConnection connection = outgoing.computeIfAbsent(to, t -> new OutgoingConnection());
-        long now = now();
-        connection.usedAt = now;
-        if (connection.writtenAt == 0) {
-            connection.writtenAt = now;
-        } else if (connection.channel != null && now - connection.writtenAt > RESPONSE_TIMEOUT_MS) {
+        OutgoingConnection connection = outgoingConnections.computeIfAbsent(to, address -> new OutgoingConnection());
+        long now = nowMs();
+        connection.lastUsedAtMs = now;
+        if (connection.unansweredSinceMs == 0) {
+            connection.unansweredSinceMs = now;
+        } else if (connection.channel != null && now - connection.unansweredSinceMs > RESPONSE_TIMEOUT_MS) {
             connection.channel.close();
             connection.channel = null;
-            connection.up = false;
-            connection.queued.clear();
-            connection.writtenAt = now;
+            connection.connected = false;
+            connection.queuedFrames.clear();
+            connection.unansweredSinceMs = now;
         }
         if (connection.channel == null) {
-            if (now - connection.openedAt < RECONNECT_INTERVAL_MS) {
+            if (now - connection.connectStartedAtMs < RECONNECT_INTERVAL_MS) {
                 return;
             }
-            open(to, connection, now);
+            connect(to, connection, now);
         }
         byte[] bytes = MessageCodec.encode(message);
-        if (connection.up) {
-            writes.write(connection.channel, bytes);
-        } else if (connection.queued.size() < MAX_QUEUED_MESSAGES) {
-            connection.queued.add(bytes);
+        if (connection.connected) {
+            frameWriter.write(connection.channel, bytes);
+        } else if (connection.queuedFrames.size() < MAX_QUEUED_MESSAGES) {
+            connection.queuedFrames.add(bytes);
         }
     }
 
-    private void open(String to, OutgoingConnection connection, long now) {
-        connection.openedAt = now;
+    private void connect(String to, OutgoingConnection connection, long now) {
+        connection.connectStartedAtMs = now;
         int colon = to.lastIndexOf(':');
-        ChannelFuture f =
-                out.connect(new InetSocketAddress(to.substring(0, colon), Integer.parseInt(to.substring(colon + 1))));
-        Channel channel = f.channel();
+        ChannelFuture connectFuture = clientBootstrap.connect(
+                new InetSocketAddress(to.substring(0, colon), Integer.parseInt(to.substring(colon + 1))));
+        Channel channel = connectFuture.channel();
         connection.channel = channel;
-        f.addListener(done -> {
+        connectFuture.addListener(completed -> {
             if (connection.channel != channel) {
                 channel.close();
-            } else if (done.isSuccess()) {
-                connection.up = true;
+            } else if (completed.isSuccess()) {
+                connection.connected = true;
                 // What could not be written before does not make this connection a mute one.
-                connection.writtenAt = now();
-                writes.write(channel, MessageCodec.encode(self));
-                for (byte[] b; (b = connection.queued.poll()) != null; ) {
-                    writes.write(channel, b);
+                connection.unansweredSinceMs = nowMs();
+                frameWriter.write(channel, MessageCodec.encode(self));
+                for (byte[] frame; (frame = connection.queuedFrames.poll()) != null; ) {
+                    frameWriter.write(channel, frame);
                 }
             } else {
-                drop(connection);
+                resetConnection(connection);
             }
         });
         channel.closeFuture().addListener(closed -> {
             if (connection.channel == channel) {
-                drop(connection);
+                resetConnection(connection);
             }
         });
     }
 
-    private static void drop(OutgoingConnection connection) {
+    private static void resetConnection(OutgoingConnection connection) {
         connection.channel = null;
-        connection.up = false;
-        connection.queued.clear();
+        connection.connected = false;
+        connection.queuedFrames.clear();
     }
 
     /** Closes connections that were not written to for long. */
-    public void closeIdle(long unusedMs) {
-        long now = now();
-        outgoing.values().removeIf(connection -> {
-            if (now - connection.usedAt < unusedMs) {
+    public void closeIdle(long idleMs) {
+        long now = nowMs();
+        outgoingConnections.values().removeIf(connection -> {
+            if (now - connection.lastUsedAtMs < idleMs) {
                 return false;
             }
             if (connection.channel != null) {
@@ -234,8 +234,8 @@
     }
 
     /** HttpFraming, and a bound to what may pile up behind a peer that does not read. */
-    private final class ChannelWrites {
-        private final Set<Channel> unflushed = new HashSet<>();
+    private final class FrameWriter {
+        private final Set<Channel> unflushedChannels = new HashSet<>();
 
         /** Writes a message; those of one turn of the event loop go out together. */
         void write(Channel channel, byte[] bytes) {
@@ -244,10 +244,10 @@
                 channel.close();
                 return;
             }
-            if (unflushed.isEmpty()) {
+            if (unflushedChannels.isEmpty()) {
                 loop.execute(this::flush);
             }
-            unflushed.add(channel);
+            unflushedChannels.add(channel);
             channel.write(Unpooled.wrappedBuffer(
                     new byte[] {
                         (byte) (bytes.length >>> 24),
@@ -259,8 +259,8 @@
         }
 
         private void flush() {
-            List<Channel> written = List.copyOf(unflushed);
-            unflushed.clear();
+            List<Channel> written = List.copyOf(unflushedChannels);
+            unflushedChannels.clear();
             written.forEach(Channel::flush);
         }
     }
--- a/src/test/java/quartzspan/replication/simulation/SimulatedDisk.java
+++ b/src/test/java/quartzspan/replication/simulation/SimulatedDisk.java
@@ -155,7 +155,7 @@
     }
 
     @Override
-    public void syncFolder() {
+    public void syncDirectory() {
         operation();
         files.values().forEach(file -> file.nameSynced = true);
     }
--- a/src/test/java/quartzspan/store/MemoryDisk.java
+++ b/src/test/java/quartzspan/store/MemoryDisk.java
@@ -8,86 +8,86 @@
 
 /** A disk in memory that can lose power, be full, and tear what was not synced. */
 final class MemoryDisk implements Disk {
-    private final Map<String, byte[]> now = new HashMap<>();
-    private final Map<String, byte[]> safe = new HashMap<>();
+    private final Map<String, byte[]> current = new HashMap<>();
+    private final Map<String, byte[]> synced = new HashMap<>();
     /** Operations until power goes; negative: never. */
-    int powerAfter = -1;
+    int powerLossAfterOperations = -1;
 
     boolean full;
     int operations;
 
     /** Power is gone. */
-    static final class Dark extends RuntimeException {
+    static final class PowerLoss extends RuntimeException {
         private static final long serialVersionUID = 1L;
     }
 
-    private void operation() {
+    private void countOperation() {
         operations++;
-        if (powerAfter >= 0 && operations > powerAfter) {
-            throw new Dark();
+        if (powerLossAfterOperations >= 0 && operations > powerLossAfterOperations) {
+            throw new PowerLoss();
         }
     }
 
     @Override
     public byte[] read(String name) {
-        byte[] file = now.get(name);
+        byte[] file = current.get(name);
         return file == null ? null : file.clone();
     }
 
     @Override
-    public void write(String name, long at, byte[] bytes) {
-        byte[] old = now.getOrDefault(name, new byte[0]);
+    public void write(String name, long position, byte[] bytes) {
+        byte[] old = current.getOrDefault(name, new byte[0]);
         if (full) {
-            byte[] part = Arrays.copyOf(bytes, bytes.length / 2);
-            put(name, at, part, old);
+            byte[] written = Arrays.copyOf(bytes, bytes.length / 2);
+            put(name, position, written, old);
             throw new FleetException(FleetException.Code.STORE_REFUSES, "full", "free space");
         }
-        put(name, at, bytes, old);
-        operation();
+        put(name, position, bytes, old);
+        countOperation();
     }
 
-    private void put(String name, long at, byte[] bytes, byte[] old) {
-        byte[] file = Arrays.copyOf(old, (int) Math.max(old.length, at + bytes.length));
-        System.arraycopy(bytes, 0, file, (int) at, bytes.length);
-        now.put(name, file);
+    private void put(String name, long position, byte[] bytes, byte[] old) {
+        byte[] file = Arrays.copyOf(old, (int) Math.max(old.length, position + bytes.length));
+        System.arraycopy(bytes, 0, file, (int) position, bytes.length);
+        current.put(name, file);
     }
 
     @Override
     public void truncate(String name, long length) {
-        now.put(name, Arrays.copyOf(now.getOrDefault(name, new byte[0]), (int)
-                Math.min(length, now.getOrDefault(name, new byte[0]).length)));
-        operation();
+        current.put(name, Arrays.copyOf(current.getOrDefault(name, new byte[0]), (int)
+                Math.min(length, current.getOrDefault(name, new byte[0]).length)));
+        countOperation();
     }
 
     @Override
     public void sync(String name) {
-        operation();
-        safe.put(name, now.get(name).clone());
+        countOperation();
+        synced.put(name, current.get(name).clone());
     }
 
     @Override
-    public void syncFolder() {
-        operation();
+    public void syncDirectory() {
+        countOperation();
     }
 
     /** What is there once power is back: of what was not synced all, nothing, or a part with noise in it. */
-    MemoryDisk after(SplittableRandom random) {
+    MemoryDisk afterPowerLoss(SplittableRandom random) {
         MemoryDisk next = new MemoryDisk();
-        for (Map.Entry<String, byte[]> e : now.entrySet()) {
-            byte[] old = safe.get(e.getKey());
+        for (Map.Entry<String, byte[]> e : current.entrySet()) {
+            byte[] old = synced.get(e.getKey());
             byte[] file = e.getValue().clone();
             switch (random.nextInt(3)) {
                 case 0 -> file = old;
                 case 1 -> {
-                    byte[] base = old == null ? new byte[0] : old;
-                    int length = file.length <= base.length
-                            ? (random.nextBoolean() ? file.length : base.length)
-                            : base.length + random.nextInt(file.length - base.length + 1);
-                    byte[] torn = Arrays.copyOf(file.length >= length ? file : base, length);
+                    byte[] syncedBytes = old == null ? new byte[0] : old;
+                    int length = file.length <= syncedBytes.length
+                            ? (random.nextBoolean() ? file.length : syncedBytes.length)
+                            : syncedBytes.length + random.nextInt(file.length - syncedBytes.length + 1);
+                    byte[] torn = Arrays.copyOf(file.length >= length ? file : syncedBytes, length);
                     for (int i = 0; i < torn.length; i++) {
-                        boolean same = i < base.length && i < file.length && base[i] == file[i];
+                        boolean same = i < syncedBytes.length && i < file.length && syncedBytes[i] == file[i];
                         if (!same && random.nextInt(4) == 0) {
-                            torn[i] = i < base.length ? base[i] : 0;
+                            torn[i] = i < syncedBytes.length ? syncedBytes[i] : 0;
                         }
                     }
                     file = torn;
@@ -95,15 +95,15 @@
                 default -> {}
             }
             if (file != null) {
-                next.now.put(e.getKey(), file);
-                next.safe.put(e.getKey(), file.clone());
+                next.current.put(e.getKey(), file);
+                next.synced.put(e.getKey(), file.clone());
             }
         }
         return next;
     }
 
     /** The bytes of a file, to spoil them. */
-    byte[] raw(String name) {
-        return now.get(name);
+    byte[] rawBytes(String name) {
+        return current.get(name);
     }
 }
--- a/src/test/java/quartzspan/store/SlotStoreTest.java
+++ b/src/test/java/quartzspan/store/SlotStoreTest.java
@@ -18,7 +18,7 @@
 /** What every disk must give a store, and what a store makes of disks that fail. */
 class SlotStoreTest {
     @TempDir
-    Path folder;
+    Path directory;
 
     private static byte[] bytes(int n, int length) {
         byte[] b = new byte[length];
@@ -28,17 +28,17 @@
     }
 
     @Test
-    void theContractHoldsInMemory() {
+    void memoryDiskMeetsTheContract() {
         MemoryDisk disk = new MemoryDisk();
-        contract(again -> disk);
+        assertMeetsContract(reopened -> disk);
     }
 
     @Test
-    void theContractHoldsInFiles() {
-        contract(again -> new FileDisk(folder.resolve("kept")));
+    void fileDiskMeetsTheContract() {
+        assertMeetsContract(reopened -> new FileDisk(directory.resolve("kept")));
     }
 
-    private static void contract(Function<Boolean, Disk> disks) {
+    private static void assertMeetsContract(Function<Boolean, Disk> disks) {
         SlotStore store = new SlotStore(disks.apply(false));
         assertNull(store.open().state());
         assertThrows(IllegalStateException.class, () -> store.append(bytes(1, 3)));
@@ -46,10 +46,10 @@
         store.append(bytes(2, 5));
         store.append(bytes(3, 5_000));
         SlotStore second = new SlotStore(disks.apply(true));
-        SlotStore.Contents found = second.open();
-        assertArrayEquals(bytes(1, 100), found.state());
-        assertEquals(2, found.records().size());
-        assertArrayEquals(bytes(3, 5_000), found.records().get(1));
+        SlotStore.Contents contents = second.open();
+        assertArrayEquals(bytes(1, 100), contents.state());
+        assertEquals(2, contents.records().size());
+        assertArrayEquals(bytes(3, 5_000), contents.records().get(1));
         second.append(bytes(4, 7));
         second.checkpoint(bytes(5, 20));
         second.append(bytes(6, 1));
@@ -66,45 +66,45 @@
     /** What was done before power went is there; what was being done is there whole or not at all. */
     @Test
     void recoversFromPowerLossBetweenAnyTwoOperations() {
-        for (int after = 0; after < 45; after++) {
+        for (int operations = 0; operations < 45; operations++) {
             for (int seed = 0; seed < 40; seed++) {
                 MemoryDisk disk = new MemoryDisk();
-                disk.powerAfter = after;
-                List<byte[]> done = new ArrayList<>();
-                byte[] begun = null;
+                disk.powerLossAfterOperations = operations;
+                List<byte[]> completed = new ArrayList<>();
+                byte[] inProgress = null;
                 SlotStore store = new SlotStore(disk);
                 store.open();
                 try {
                     for (int n = 1; n < 12; n++) {
-                        begun = bytes(n, 10 + 37 * n);
+                        inProgress = bytes(n, 10 + 37 * n);
                         if (n % 4 == 1) {
-                            store.checkpoint(begun);
+                            store.checkpoint(inProgress);
                         } else {
-                            store.append(begun);
+                            store.append(inProgress);
                         }
-                        done.add(begun);
-                        begun = null;
+                        completed.add(inProgress);
+                        inProgress = null;
                     }
-                } catch (MemoryDisk.Dark dark) {
+                } catch (MemoryDisk.PowerLoss powerLoss) {
                     // What is there now is looked at below.
                 }
-                SlotStore.Contents found = new SlotStore(disk.after(new SplittableRandom(seed))).open();
+                SlotStore.Contents contents = new SlotStore(disk.afterPowerLoss(new SplittableRandom(seed))).open();
                 List<byte[]> all = new ArrayList<>();
-                if (found.state() != null) {
-                    all.add(found.state());
+                if (contents.state() != null) {
+                    all.add(contents.state());
                 }
-                all.addAll(found.records());
+                all.addAll(contents.records());
                 byte[] newest = all.isEmpty() ? null : all.get(all.size() - 1);
-                byte[] wanted = done.isEmpty() ? null : done.get(done.size() - 1);
-                boolean good = java.util.Arrays.equals(newest, wanted)
-                        || begun != null && java.util.Arrays.equals(newest, begun);
-                assertTrue(good, "power gone after " + after + ", seed " + seed);
+                byte[] expected = completed.isEmpty() ? null : completed.get(completed.size() - 1);
+                boolean recovered = java.util.Arrays.equals(newest, expected)
+                        || inProgress != null && java.util.Arrays.equals(newest, inProgress);
+                assertTrue(recovered, "power gone after " + operations + ", seed " + seed);
             }
         }
     }
 
     @Test
-    void fullDiskRefusesAndLosesNothing() {
+    void writesToAFullDiskFailWithoutLosingData() {
         MemoryDisk disk = new MemoryDisk();
         SlotStore store = new SlotStore(disk);
         store.open();
@@ -117,10 +117,10 @@
         assertEquals(1, new SlotStore(disk).open().records().size());
         disk.full = false;
         store.append(bytes(6, 9));
-        SlotStore.Contents found = new SlotStore(disk).open();
-        assertArrayEquals(bytes(1, 50), found.state());
-        assertEquals(2, found.records().size());
-        assertArrayEquals(bytes(6, 9), found.records().get(1));
+        SlotStore.Contents contents = new SlotStore(disk).open();
+        assertArrayEquals(bytes(1, 50), contents.state());
+        assertEquals(2, contents.records().size());
+        assertArrayEquals(bytes(6, 9), contents.records().get(1));
     }
 
     /** Any bit of anything synced that turns over is seen: the older state is never passed off as the newest. */
@@ -133,7 +133,7 @@
         store.append(bytes(2, 20));
         store.append(bytes(3, 20));
         int last = 8 + 28;
-        byte[] log = disk.raw("log");
+        byte[] log = disk.rawBytes("log");
         for (int i = 8; i < log.length; i++) {
             log[i] ^= 4;
             if (i < last) {
@@ -144,7 +144,7 @@
             }
             log[i] ^= 4;
         }
-        byte[] slot = disk.raw("slot-b");
+        byte[] slot = disk.rawBytes("slot-b");
         for (int i = 0; i < slot.length; i++) {
             slot[i] ^= 4;
             assertThrows(FleetException.class, () -> new SlotStore(disk).open(), "byte " + i);
@@ -154,18 +154,18 @@
 
     /** A process is killed between a write and its sync, the next one reads the record, and then power is lost. */
     @Test
-    void recordsThatWereReadOutliveAPowerLossThoughNeverSyncedByTheirWriter() {
+    void unsyncedRecordsThatWereReadSurviveAPowerLoss() {
         for (int seed = 0; seed < 200; seed++) {
             MemoryDisk disk = new MemoryDisk();
             SlotStore killed = new SlotStore(disk);
             killed.open();
             killed.checkpoint(bytes(1, 100));
-            disk.powerAfter = disk.operations + 1;
-            assertThrows(MemoryDisk.Dark.class, () -> killed.append(bytes(2, 50)));
-            disk.powerAfter = -1;
+            disk.powerLossAfterOperations = disk.operations + 1;
+            assertThrows(MemoryDisk.PowerLoss.class, () -> killed.append(bytes(2, 50)));
+            disk.powerLossAfterOperations = -1;
             SlotStore.Contents read = new SlotStore(disk).open();
             assertEquals(1, read.records().size());
-            SlotStore.Contents after = new SlotStore(disk.after(new SplittableRandom(seed))).open();
+            SlotStore.Contents after = new SlotStore(disk.afterPowerLoss(new SplittableRandom(seed))).open();
             assertEquals(1, after.records().size(), "seed " + seed);
             assertArrayEquals(bytes(2, 50), after.records().get(0));
         }
--- a/src/test/java/quartzspan/transport/MessageCodecTest.java
+++ b/src/test/java/quartzspan/transport/MessageCodecTest.java
@@ -53,49 +53,54 @@
                     new RegistryEntry(RegistryEntry.Subject.PROXY, "", 0, RegistryEntry.State.READY, "")),
             List.of(new StateDelta(4, 7, new byte[] {5, 6}), new StateDelta(7, 9, new byte[0])),
             new SnapshotChunk(8, 65_536, 200_000, new byte[70_000]));
-    private static final PrefixCacheUpdate INDEX_UPDATE =
+    private static final PrefixCacheUpdate PREFIX_CACHE_UPDATE =
             new PrefixCacheUpdate(PrefixCacheUpdate.Kind.DELTA, "i-9", 4, 5, new long[] {8, 9}, new int[] {100, 0});
 
     @Test
     void messagesAreDecodedAsEncoded() {
         assertEquals(HELLO, MessageCodec.decode(MessageCodec.encode(HELLO)));
-        ReplicaMessage l = (ReplicaMessage) MessageCodec.decode(MessageCodec.encode(REPLICA_MESSAGE));
-        assertEquals(REPLICA_MESSAGE.membership(), l.membership());
-        assertArrayEquals(REPLICA_MESSAGE.body(), l.body());
-        assertEquals(REPLICA_MESSAGE.toString().split(", body")[0], l.toString().split(", body")[0]);
-        GossipMessage t = (GossipMessage) MessageCodec.decode(MessageCodec.encode(GOSSIP));
-        assertEquals(GOSSIP.entries(), t.entries());
-        assertArrayEquals(GOSSIP.digests(), t.digests());
-        assertEquals(9, t.stateIndex());
+        ReplicaMessage replicaMessage = (ReplicaMessage) MessageCodec.decode(MessageCodec.encode(REPLICA_MESSAGE));
+        assertEquals(REPLICA_MESSAGE.membership(), replicaMessage.membership());
+        assertArrayEquals(REPLICA_MESSAGE.body(), replicaMessage.body());
         assertEquals(
-                List.of(4L, 7L), t.deltas().stream().map(StateDelta::fromIndex).toList());
+                REPLICA_MESSAGE.toString().split(", body")[0],
+                replicaMessage.toString().split(", body")[0]);
+        GossipMessage gossipMessage = (GossipMessage) MessageCodec.decode(MessageCodec.encode(GOSSIP));
+        assertEquals(GOSSIP.entries(), gossipMessage.entries());
+        assertArrayEquals(GOSSIP.digests(), gossipMessage.digests());
+        assertEquals(9, gossipMessage.stateIndex());
         assertEquals(
-                List.of(7L, 9L), t.deltas().stream().map(StateDelta::toIndex).toList());
-        assertArrayEquals(new byte[] {5, 6}, t.deltas().get(0).change());
-        assertEquals(8, t.chunk().index());
-        assertEquals(65_536, t.chunk().offset());
-        assertEquals(200_000, t.chunk().totalBytes());
-        assertEquals(70_000, t.chunk().bytes().length);
-        PrefixCacheUpdate c = (PrefixCacheUpdate) MessageCodec.decode(MessageCodec.encode(INDEX_UPDATE));
-        assertArrayEquals(INDEX_UPDATE.blocks(), c.blocks());
-        assertArrayEquals(INDEX_UPDATE.tokens(), c.tokens());
-        assertEquals("i-9", c.server());
+                List.of(4L, 7L),
+                gossipMessage.deltas().stream().map(StateDelta::fromIndex).toList());
+        assertEquals(
+                List.of(7L, 9L),
+                gossipMessage.deltas().stream().map(StateDelta::toIndex).toList());
+        assertArrayEquals(new byte[] {5, 6}, gossipMessage.deltas().get(0).change());
+        assertEquals(8, gossipMessage.chunk().index());
+        assertEquals(65_536, gossipMessage.chunk().offset());
+        assertEquals(200_000, gossipMessage.chunk().totalBytes());
+        assertEquals(70_000, gossipMessage.chunk().bytes().length);
+        PrefixCacheUpdate update = (PrefixCacheUpdate) MessageCodec.decode(MessageCodec.encode(PREFIX_CACHE_UPDATE));
+        assertArrayEquals(PREFIX_CACHE_UPDATE.blocks(), update.blocks());
+        assertArrayEquals(PREFIX_CACHE_UPDATE.tokens(), update.tokens());
+        assertEquals("i-9", update.server());
     }
 
     @Test
-    void malformedMessagesAreRefused() {
+    void malformedMessagesAreRejected() {
         SplittableRandom random = new SplittableRandom(5);
-        for (Object message : List.of(HELLO, REPLICA_MESSAGE, GOSSIP, INDEX_UPDATE)) {
-            byte[] good = MessageCodec.encode(message);
+        for (Object message : List.of(HELLO, REPLICA_MESSAGE, GOSSIP, PREFIX_CACHE_UPDATE)) {
+            byte[] valid = MessageCodec.encode(message);
             for (int i = 0; i < 4_000; i++) {
-                byte[] bad = random.nextBoolean() ? good.clone() : Arrays.copyOf(good, random.nextInt(good.length));
-                for (int k = random.nextInt(4); k > 0 && bad.length > 0; k--) {
-                    bad[random.nextInt(Math.min(bad.length, 120))] = (byte) random.nextInt();
+                byte[] malformed =
+                        random.nextBoolean() ? valid.clone() : Arrays.copyOf(valid, random.nextInt(valid.length));
+                for (int k = random.nextInt(4); k > 0 && malformed.length > 0; k--) {
+                    malformed[random.nextInt(Math.min(malformed.length, 120))] = (byte) random.nextInt();
                 }
                 try {
-                    MessageCodec.decode(bad);
-                } catch (FleetException refused) {
-                    assertEquals(FleetException.Code.MESSAGE_INVALID, refused.code());
+                    MessageCodec.decode(malformed);
+                } catch (FleetException rejected) {
+                    assertEquals(FleetException.Code.MESSAGE_INVALID, rejected.code());
                 }
             }
         }
--- a/src/test/java/quartzspan/transport/MessageCompatibilityTest.java
+++ b/src/test/java/quartzspan/transport/MessageCompatibilityTest.java
@@ -22,9 +22,9 @@
 
 /** A message of each kind between processes, as an earlier version has encoded it. */
 class MessageCompatibilityTest {
-    private static final Epoch BALLOT = new Epoch(5, "10.0.0.1:7640", -9);
-    private static final Membership VIEW = new Membership(
-            BALLOT,
+    private static final Epoch EPOCH = new Epoch(5, "10.0.0.1:7640", -9);
+    private static final Membership MEMBERSHIP = new Membership(
+            EPOCH,
             "10.0.0.1:7640",
             List.of("10.0.0.1:7640", "10.0.0.2:7640"),
             List.of("10.0.0.1:7640", "10.0.0.2:7640", "10.0.0.3:7640"),
@@ -34,7 +34,7 @@
         int number = kind.ordinal();
         return new ReplicaMessage(
                 kind,
-                BALLOT,
+                EPOCH,
                 100 + number,
                 new Epoch(7, "10.0.0.2:7640", Long.MIN_VALUE),
                 new Epoch(4, "10.0.0.3:7640", 3),
@@ -44,7 +44,7 @@
                 number,
                 new TreeMap<>(Map.of("10.0.0.1:7640", 2L, "10.0.0.2:7640", 0L)),
                 new TreeMap<>(Map.of("10.0.0.2:7640", 700L)),
-                number % 2 == 0 ? VIEW : Membership.NONE,
+                number % 2 == 0 ? MEMBERSHIP : Membership.NONE,
                 new byte[] {1, 2, (byte) number});
     }
 
--- a/src/test/java/quartzspan/transport/TransportContractTest.java
+++ b/src/test/java/quartzspan/transport/TransportContractTest.java
@@ -41,24 +41,24 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private record Got(Hello from, Object message) {}
+    private record Received(Hello from, Object message) {}
 
     /** Messages go through their bytes here too. */
-    private static final class MemoryPost implements Transport {
-        private final Map<String, Receiver> all;
+    private static final class InMemoryTransport implements Transport {
+        private final Map<String, Receiver> receivers;
         private final Hello self;
 
-        MemoryPost(Map<String, Receiver> all, Hello self, Receiver receiver) {
-            this.all = all;
+        InMemoryTransport(Map<String, Receiver> receivers, Hello self, Receiver receiver) {
+            this.receivers = receivers;
             this.self = self;
-            all.put(self.address(), receiver);
+            receivers.put(self.address(), receiver);
         }
 
         @Override
         public void send(String to, Object message) {
-            Receiver there = all.get(to);
-            if (there != null) {
-                there.received(self, MessageCodec.decode(MessageCodec.encode(message)));
+            Receiver receiver = receivers.get(to);
+            if (receiver != null) {
+                receiver.received(self, MessageCodec.decode(MessageCodec.encode(message)));
             }
         }
     }
@@ -86,7 +86,7 @@
                 new byte[bytes]);
     }
 
-    private Transport real(Hello self, Transport.Receiver receiver) {
+    private Transport tcpTransport(Hello self, Transport.Receiver receiver) {
         try {
             TcpTransport transport = new TcpTransport(loop, self, receiver);
             int colon = self.address().indexOf(':');
@@ -101,13 +101,14 @@
         }
     }
 
-    private static void contract(BiFunction<Hello, Transport.Receiver, Transport> posts) throws Exception {
+    private static void assertMeetsContract(BiFunction<Hello, Transport.Receiver, Transport> transports)
+            throws Exception {
         Hello a = new Hello(true, address(), "c", "z");
         Hello b = new Hello(false, address(), "", "z");
-        BlockingQueue<Got> atA = new LinkedBlockingQueue<>();
-        BlockingQueue<Got> atB = new LinkedBlockingQueue<>();
-        Transport fromA = posts.apply(a, (from, m) -> atA.add(new Got(from, m)));
-        Transport fromB = posts.apply(b, (from, m) -> atB.add(new Got(from, m)));
+        BlockingQueue<Received> atA = new LinkedBlockingQueue<>();
+        BlockingQueue<Received> atB = new LinkedBlockingQueue<>();
+        Transport fromA = transports.apply(a, (from, m) -> atA.add(new Received(from, m)));
+        Transport fromB = transports.apply(b, (from, m) -> atB.add(new Received(from, m)));
         for (int i = 0; i < 40; i++) {
             fromA.send(b.address(), message(i, i == 20 ? 3_000_000 : i));
         }
@@ -117,35 +118,35 @@
                         GossipMessage.Kind.QUERY, 1, -1, 0, new long[32], List.of(), List.of(), SnapshotChunk.NONE));
         fromA.send("127.0.0.1:1", message(1, 1));
         List<Long> nonces = new ArrayList<>();
-        List<Long> wanted = new ArrayList<>();
+        List<Long> expected = new ArrayList<>();
         for (long i = 0; i < 40; i++) {
-            Got got = atB.poll(10, TimeUnit.SECONDS);
-            assertEquals(a, got.from());
-            nonces.add(((ReplicaMessage) got.message()).nonce());
-            wanted.add(i);
+            Received received = atB.poll(10, TimeUnit.SECONDS);
+            assertEquals(a, received.from());
+            nonces.add(((ReplicaMessage) received.message()).nonce());
+            expected.add(i);
         }
-        assertEquals(wanted, nonces, "in order, each once");
+        assertEquals(expected, nonces, "in order, each once");
         assertEquals(b, atA.poll(10, TimeUnit.SECONDS).from());
     }
 
     @Test
-    void theContractHoldsOverTcp() throws Exception {
-        contract(this::real);
+    void tcpTransportMeetsTheContract() throws Exception {
+        assertMeetsContract(this::tcpTransport);
     }
 
     @Test
-    void theContractHoldsInMemory() throws Exception {
-        Map<String, Transport.Receiver> all = new HashMap<>();
-        contract((self, receiver) -> new MemoryPost(all, self, receiver));
+    void inMemoryTransportMeetsTheContract() throws Exception {
+        Map<String, Transport.Receiver> receivers = new HashMap<>();
+        assertMeetsContract((self, receiver) -> new InMemoryTransport(receivers, self, receiver));
     }
 
     @Test
     void malformedInputClosesItsOwnConnectionOnly() throws Exception {
         Hello a = new Hello(true, address(), "c", "z");
         Hello b = new Hello(true, address(), "c", "z");
-        BlockingQueue<Got> atB = new LinkedBlockingQueue<>();
-        Transport fromA = real(a, (from, m) -> {});
-        real(b, (from, m) -> atB.add(new Got(from, m)));
+        BlockingQueue<Received> atB = new LinkedBlockingQueue<>();
+        Transport fromA = tcpTransport(a, (from, m) -> {});
+        tcpTransport(b, (from, m) -> atB.add(new Received(from, m)));
         fromA.send(b.address(), message(1, 1));
         assertEquals(1, ((ReplicaMessage) atB.poll(10, TimeUnit.SECONDS).message()).nonce());
         byte[] hello = MessageCodec.encode(a);
@@ -182,20 +183,20 @@
     }
 
     @Test
-    void restartedPeerIsReachedAgain() throws Exception {
+    void peerThatStartsLaterIsReached() throws Exception {
         Hello a = new Hello(true, address(), "c", "z");
         Hello b = new Hello(true, address(), "c", "z");
-        Transport fromA = real(a, (from, m) -> {});
+        Transport fromA = tcpTransport(a, (from, m) -> {});
         fromA.send(b.address(), message(1, 1));
         loop.submit(() -> {}).get();
-        BlockingQueue<Got> atB = new LinkedBlockingQueue<>();
-        real(b, (from, m) -> atB.add(new Got(from, m)));
-        Got got = null;
-        for (int i = 2; i < 200 && got == null; i++) {
+        BlockingQueue<Received> atB = new LinkedBlockingQueue<>();
+        tcpTransport(b, (from, m) -> atB.add(new Received(from, m)));
+        Received received = null;
+        for (int i = 2; i < 200 && received == null; i++) {
             fromA.send(b.address(), message(i, 1));
-            got = atB.poll(50, TimeUnit.MILLISECONDS);
+            received = atB.poll(50, TimeUnit.MILLISECONDS);
         }
-        assertTrue(got != null);
+        assertTrue(received != null);
     }
 
     /** A process that opens connections by itself, and writes frames on them when told. */
@@ -233,43 +234,43 @@
         }
     }
 
-    private static long nonce(BlockingQueue<Got> at) throws Exception {
+    private static long nonce(BlockingQueue<Received> at) throws Exception {
         return ((ReplicaMessage) at.poll(10, TimeUnit.SECONDS).message()).nonce();
     }
 
     @Test
-    void unreadInputOfAnOldConnectionIsDropped() throws Exception {
+    void unreadInputOfAReplacedConnectionIsDropped() throws Exception {
         Hello a = new Hello(true, address(), "c", "z");
         Hello b = new Hello(true, address(), "c", "z");
-        BlockingQueue<Got> atB = new LinkedBlockingQueue<>();
-        real(b, (from, m) -> atB.add(new Got(from, m)));
-        try (RawPeer old = new RawPeer(b, a).write(message(1, 1))) {
+        BlockingQueue<Received> atB = new LinkedBlockingQueue<>();
+        tcpTransport(b, (from, m) -> atB.add(new Received(from, m)));
+        try (RawPeer replaced = new RawPeer(b, a).write(message(1, 1))) {
             assertEquals(1, nonce(atB));
-            try (RawPeer fresh = new RawPeer(b, a).write(message(2, 1))) {
+            try (RawPeer current = new RawPeer(b, a).write(message(2, 1))) {
                 assertEquals(2, nonce(atB));
-                old.write(message(3, 1));
-                assertTrue(old.closed());
-                fresh.write(message(4, 1));
+                replaced.write(message(3, 1));
+                assertTrue(replaced.closed());
+                current.write(message(4, 1));
                 assertEquals(4, nonce(atB), "and 3 never came");
             }
         }
     }
 
     @Test
-    void replacedIncarnationIsNeverReadAgain() throws Exception {
+    void messagesOfAReplacedIncarnationAreDropped() throws Exception {
         Hello b = new Hello(true, address(), "c", "z");
         String at = address();
         Hello first = new Hello(true, at, "c", "z");
         Hello second = new Hello(true, at, "c", "z");
-        BlockingQueue<Got> atB = new LinkedBlockingQueue<>();
-        real(b, (from, m) -> atB.add(new Got(from, m)));
-        try (RawPeer frozen = new RawPeer(b, first)) {
-            frozen.write(message(1, 1));
+        BlockingQueue<Received> atB = new LinkedBlockingQueue<>();
+        tcpTransport(b, (from, m) -> atB.add(new Received(from, m)));
+        try (RawPeer suspended = new RawPeer(b, first)) {
+            suspended.write(message(1, 1));
             assertEquals(1, nonce(atB));
             try (RawPeer successor = new RawPeer(b, second).write(message(2, 1))) {
                 assertEquals(2, nonce(atB));
-                try (RawPeer thawed = new RawPeer(b, first).write(message(3, 1))) {
-                    assertTrue(thawed.closed());
+                try (RawPeer resumed = new RawPeer(b, first).write(message(3, 1))) {
+                    assertTrue(resumed.closed());
                 }
                 successor.write(message(4, 1));
                 assertEquals(4, nonce(atB), "and 3 never came");
