--- a/src/main/java/quartzspan/registry/AcknowledgementTracker.java
+++ b/src/main/java/quartzspan/registry/AcknowledgementTracker.java
@@ -9,16 +9,17 @@
 import java.util.Set;
 
 /**
- * Counts which core machines have acknowledged entries, for updates that are only safe once enough of them have. A machine
- * counts once, however often it answers. No clock, no I/O; times are milliseconds of a steady clock.
+ * Tracks which core machines have acknowledged entries, for updates that are only durable once enough machines have them. A
+ * machine counts once, however often it acknowledges. Performs no I/O and reads no clock; times are milliseconds of a monotonic
+ * clock.
  */
 final class AcknowledgementTracker {
-    /** Pause before entries are sent again to machines that have not acknowledged them. */
+    /** Time after which entries are sent again to machines that have not acknowledged them. */
     private static final long RETRY_INTERVAL_MS = 150;
-    /** Receipts waited for at once; beyond that the oldest is given up. */
+    /** Maximum number of tracked broadcasts; beyond it the oldest is dropped. */
     static final int MAX_PENDING = 1_024;
 
-    /** Entries to be sent again, and their receivers. */
+    /** Entries to send again, and their recipients. */
     record Retry(long nonce, List<RegistryEntry> entries, List<String> to) {}
 
     private static final class Pending {
@@ -46,11 +47,11 @@
     private final Map<Long, Pending> pendingByNonce = new LinkedHashMap<>();
 
     /**
-     * Begins to wait for acknowledgements.
+     * Starts to track the acknowledgements of a broadcast.
      *
-     * @param required number of different machines that must have the entries, at least one
-     * @param recipients the machines that the entries are sent to
-     * @param onAcknowledged run once enough of them have acknowledged
+     * @param required number of distinct machines that must acknowledge, at least one
+     * @param recipients the machines to which the entries are sent
+     * @param onAcknowledged run when the required number of machines have acknowledged
      */
     void track(
             long now,
@@ -67,7 +68,7 @@
         }
     }
 
-    /** A core machine acknowledges the entries. */
+    /** Records that a core machine has acknowledged the entries. */
     void onAcknowledgement(long nonce, String acknowledger) {
         Pending pending = pendingByNonce.get(nonce);
         if (pending != null
@@ -79,7 +80,7 @@
         }
     }
 
-    /** The acknowledgements are not needed any more. */
+    /** Stops tracking a broadcast. */
     void cancel(long nonce) {
         pendingByNonce.remove(nonce);
     }
@@ -88,7 +89,7 @@
         return pendingByNonce.size();
     }
 
-    /** What to send again now. */
+    /** The retries that are due. */
     List<Retry> takeDueRetries(long now, List<String> cores) {
         List<Retry> due = new ArrayList<>();
         pendingByNonce.forEach((nonce, pending) -> {
--- a/src/main/java/quartzspan/registry/DeltaHistory.java
+++ b/src/main/java/quartzspan/registry/DeltaHistory.java
@@ -4,9 +4,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The latest deltas of the published state, within bounds; each begins where the one before ends. */
+/** The most recent deltas of the published state, bounded in number and size; each starts at the index where the previous one ends. */
 final class DeltaHistory {
-    /** More than this is dearer to keep and to send than a snapshot. */
+    /** Beyond this size, deltas cost more memory and bandwidth than a snapshot. */
     private static final int MAX_BYTES = 512 * 1024;
 
     private static final int MAX_DELTAS = 1024;
@@ -14,7 +14,7 @@
     private final ArrayDeque<StateDelta> deltas = new ArrayDeque<>();
     private long bytes;
 
-    /** Adds the next step. */
+    /** Appends a delta; clears the history first if the delta doesn't follow the last one. */
     void append(StateDelta delta) {
         if (!deltas.isEmpty() && deltas.peekLast().toIndex() != delta.fromIndex()) {
             clear();
@@ -26,13 +26,13 @@
         }
     }
 
-    /** Starts again: the state was not reached by deltas. */
+    /** Discards all deltas, after the state was replaced without one. */
     void clear() {
         deltas.clear();
         bytes = 0;
     }
 
-    /** The steps from the state at an index to the newest; empty if they are not all known. */
+    /** The deltas from the state at an index to the newest one; empty if any of them is missing. */
     List<StateDelta> deltasSince(long index) {
         List<StateDelta> found = new ArrayList<>();
         for (StateDelta delta : deltas) {
--- a/src/main/java/quartzspan/registry/Gossip.java
+++ b/src/main/java/quartzspan/registry/Gossip.java
@@ -11,30 +11,31 @@
 import java.util.SplittableRandom;
 
 /**
- * Spreads the registry and the published state between processes, without clock or I/O: an update goes at once to a few peers,
- * which forward what was new to them; queries with digests find what was missed (anti-entropy); and replies carry the age of
- * the control state. The peers are chosen by rendezvous hashing ({@link Registry#rendezvousSelect}).
+ * Replicates the registry and the published state between processes. An update is sent at once to a few peers, which forward
+ * what was new to them; periodic queries with digests repair missed updates (anti-entropy); replies contain the age of the
+ * published state. Peers are selected by rendezvous hashing ({@link Registry#rendezvousSelect}). Performs no I/O and reads no
+ * clock.
  */
 public final class Gossip {
-    /** Time between queries to the core, and to other proxies. */
+    /** Interval between queries to a core machine. */
     private static final long CORE_QUERY_INTERVAL_MS = 250;
-
+    /** Interval between queries to a peer: another proxy, or on a core machine another core machine. */
     private static final long PEER_QUERY_INTERVAL_MS = 500;
-    /** A query that is not answered in this time counts as a failure of its receiver. */
+    /** A query that is not answered within this time counts as a failure of its recipient. */
     private static final long QUERY_TIMEOUT_MS = 400;
-    /** A core machine whose state is older than this counts as failing: another one may have it fresher. */
+    /** A reply with a state older than this counts as a failure of the core machine: another one may have a newer state. */
     private static final long MAX_STALENESS_MS = 900;
-    /** A process that sent a query within this time is sent updates at once. */
+    /** A process that has sent a query within this time receives updates as they occur. */
     private static final long SUBSCRIPTION_TTL_MS = 1_500;
 
     private static final int PEER_COUNT = 3;
-    /** Updates within this time of the last broadcast are collected and sent together at the next tick. */
+    /** Updates within this time after the last broadcast are batched until the next update or tick. */
     private static final long BATCH_WINDOW_MS = 40;
 
     private static final long NEVER = Long.MIN_VALUE / 4;
     private static final Registry.Update NO_UPDATE = new Registry.Update(List.of(), false);
 
-    /** Where messages go. */
+    /** Sends messages to other processes. */
     public interface Sender {
         void send(String to, GossipMessage message);
     }
@@ -49,18 +50,21 @@
     private final Map<Long, Query> openQueries = new LinkedHashMap<>();
     private final Map<String, Long> subscribers = new HashMap<>();
     private final AcknowledgementTracker acknowledgements = new AcknowledgementTracker();
-    /** Entries that wait for the next tick; the later of two about one key replaces the other. */
+    /** Entries to send with the next broadcast, by id; a later entry replaces an earlier one with the same key. */
     private final Map<String, RegistryEntry> pendingEntries = new LinkedHashMap<>();
 
     private boolean statePending;
-    /** Whether the pending state was published by this process. */
+    /** Whether this process published the pending state itself. */
     private boolean pendingStateIsOwn;
-    /** Index of the state that was last broadcast. */
+    /** Index of the last broadcast state. */
     private long lastBroadcastIndex = -1;
 
     private final StateFetch stateFetch;
     private long lastBroadcastAtMs = Long.MIN_VALUE / 2;
-    /** Number of queries in a row that a core machine has not answered well. */
+    /**
+     * Failures by process: requests that timed out, and replies with a stale state. Reset by a reply with a fresh state, and
+     * halved periodically.
+     */
     private final Map<String, Integer> failureCounts = new HashMap<>();
 
     private long lastNonce;
@@ -68,27 +72,27 @@
     private long nextPeerQueryAtMs;
     private int roundRobin;
     private boolean acknowledgementsStopped;
-    /** Ranked lists, kept until what they come from changes. */
+    /** Core machines in order of preference, cached until the registry or the preference changes. */
     private List<String> rankedCores = List.of();
 
-    /** The zone whose core machines are preferred; null for none. */
+    /** The zone whose core machines are preferred; null if there is none. */
     private String preferredZone;
 
     private long rankedCoresVersion = -1;
     private List<String> rankedPeers = List.of();
     private long rankedPeersVersion = -1;
 
-    /** As below, with queries numbered from 1 on: for a process without an earlier incarnation. */
+    /** Like the other constructor, with nonces from 1: for a process without earlier incarnations. */
     public Gossip(String self, boolean isCoreMachine, List<String> seeds, Registry registry, Sender sender) {
         this(self, isCoreMachine, seeds, registry, sender, 0);
     }
 
     /**
-     * Starts without knowledge.
+     * Starts with the seeds as the only known core machines.
      *
-     * @param seeds internal addresses of core machines to begin with
-     * @param firstNonce the number before that of the first query: a reply to a query of an earlier incarnation of this
-     *     process must match none of this one, or old state would count as fresh
+     * @param seeds internal addresses of the initial core machines
+     * @param firstNonce the value before the first nonce. Replies to an earlier incarnation of this process must not match a
+     *     query of this one, otherwise an old state would count as fresh.
      */
     public Gossip(
             String self, boolean isCoreMachine, List<String> seeds, Registry registry, Sender sender, long firstNonce) {
@@ -101,24 +105,24 @@
         this.lastNonce = firstNonce;
     }
 
-    /** A first nonce that no other incarnation is likely to be near, drawn by a seed. */
+    /** A random first nonce, most likely far from those of other incarnations. */
     public static long firstNonce(long seed) {
         return new SplittableRandom(seed).nextLong() >>> 2;
     }
 
-    /** Other core machines to begin with. */
+    /** Replaces the initial core machines. */
     public void setSeeds(List<String> newSeeds) {
         seeds = newSeeds;
         rankedCoresVersion = -1;
     }
 
-    /** Prefers the core machines of a zone, so that updates cross between zones once, not for each proxy. */
+    /** Prefers the core machines of a zone, so that updates cross a zone boundary once rather than once per proxy. */
     public void preferZone(String zone) {
         preferredZone = zone;
         rankedCoresVersion = -1;
     }
 
-    /** The core machines known, best first. */
+    /** The known core machines in order of preference, with those that fail last. */
     public List<String> cores() {
         long version = registry.version(RegistryEntry.Subject.CORE);
         if (rankedCoresVersion != version) {
@@ -154,7 +158,7 @@
         return List.copyOf(known);
     }
 
-    /** The other proxies that this process exchanges updates with. */
+    /** The other proxies with which this process exchanges updates. */
     public List<String> peers() {
         long version = registry.version(RegistryEntry.Subject.PROXY);
         if (rankedPeersVersion != version) {
@@ -164,7 +168,7 @@
         return rankedPeers;
     }
 
-    /** To be called every 50 to 100 ms; {@code primary}: on a core machine the primary, if known and another one. */
+    /** To be called every 50 to 100 ms; {@code primary} is the address of the primary on another core machine, null otherwise. */
     public void onTick(long now, String primary) {
         broadcastIfDue(now);
         String unresponsive = stateFetch.onTick(now);
@@ -188,7 +192,7 @@
                 query(now, primary, false);
             } else if (!cores.isEmpty()) {
                 query(now, cores.get(0), false);
-                // The first choice is still queried, and another one beside it: it may have recovered.
+                // If the preferred machine fails, another one is queried in addition, so that its recovery is noticed.
                 if (failureCounts.getOrDefault(cores.get(0), 0) > 0 && cores.size() > 1) {
                     query(now, cores.get(1 + roundRobin++ % (cores.size() - 1)), false);
                 }
@@ -212,7 +216,7 @@
         sender.send(to, registry.query(now, lastNonce, full));
     }
 
-    /** A message came; what was new in it has been forwarded already. */
+    /** Processes a message; returns the changes, which have already been forwarded. */
     public Registry.Update onGossip(long now, String from, GossipMessage message) {
         Registry.Update update =
                 switch (message.kind()) {
@@ -228,7 +232,7 @@
         return update;
     }
 
-    /** This process is about to end: it acknowledges no more entries. */
+    /** Stops acknowledging entries, since this process is about to shut down. */
     public void stopAcknowledging() {
         acknowledgementsStopped = true;
     }
@@ -275,7 +279,7 @@
         return update;
     }
 
-    /** Sends the deltas from the requester's state to the one here, or a chunk of a snapshot where the deltas are not known. */
+    /** Replies with the deltas from the requester's state to the local one, or with a snapshot chunk if they are not available. */
     private Registry.Update onFetch(String from, GossipMessage message) {
         StateFollower stateFollower = registry.stateFollower();
         boolean acceptsDeltas = message.chunk().index() == SnapshotChunk.DELTAS_OR_SNAPSHOT;
@@ -291,7 +295,7 @@
         return newer ? new Registry.Update(List.of(), true) : NO_UPDATE;
     }
 
-    /** Sends the entries that the other process lacks, or has older. */
+    /** Sends the entries of the differing buckets, which the other process may lack or have in an older version. */
     private void sendMissing(String to, long[] otherDigests) {
         List<RegistryEntry> missing = registry.entriesInDifferingBuckets(otherDigests);
         if (!missing.isEmpty()) {
@@ -299,20 +303,21 @@
         }
     }
 
-    /** The processes that have sent queries of late: on a core machine the proxies that it serves. */
+    /** The processes that have recently sent queries: on a core machine, the proxies that it serves. */
     public List<String> subscribers() {
         return List.copyOf(subscribers.keySet());
     }
 
-    /** Broadcasts one entry, as {@link #broadcast(long, Registry.Update, String)} does. */
+    /** Broadcasts one entry; see {@link #broadcast(long, Registry.Update, String)}. */
     public void broadcast(long now, RegistryEntry update) {
         broadcast(now, new Registry.Update(List.of(update), false), null);
     }
 
     /**
-     * Broadcasts an update: a proxy to its peers, a core machine to its subscribers and to the other core machines. The first one
-     * goes at once; those within {@link #BATCH_WINDOW_MS} go together, with the next one or at the next tick. A core machine
-     * sends the deltas of the state; other processes only send its index, and a process that lacks it fetches it.
+     * Broadcasts an update: a proxy to its peers, a core machine to its subscribers and to the other core machines. The first
+     * update is sent at once; updates within {@link #BATCH_WINDOW_MS} after it are sent together, with the next update after
+     * that window or at the next tick. A core machine sends the deltas of the state. Other processes send only its index, and
+     * the recipients that lack the state fetch it.
      */
     public void broadcast(long now, Registry.Update update, String except) {
         boolean nothingPending = !isUpdatePending();
@@ -360,18 +365,19 @@
         pendingStateIsOwn = false;
     }
 
-    /** This process has published a new state: it is the only one that sends it to the other core machines. */
+    /** Broadcasts a state that this process has published. Only the publisher sends its deltas to the other core machines. */
     public void onPublished(long now) {
         pendingStateIsOwn = true;
         broadcast(now, new Registry.Update(List.of(), true), null);
     }
 
     /**
-     * Broadcasts entries until enough other core machines have acknowledged them: then they outlive this process and others
-     * with it. They are sent again to the other ones until then, or until {@link #cancelBroadcast}.
+     * Broadcasts entries until enough other core machines have acknowledged them, so that they survive the failure of this
+     * process and of some others. Until then, or until {@link #cancelBroadcast}, they are sent again to the core machines that
+     * have not acknowledged them.
      *
-     * @param required number of other core machines that must have them, at least one
-     * @return the argument of {@link #cancelBroadcast}
+     * @param required number of other core machines that must acknowledge, at least one
+     * @return the nonce to pass to {@link #cancelBroadcast}
      */
     public long broadcastUntilAcknowledged(
             long now, List<RegistryEntry> update, int required, Runnable onAcknowledged) {
@@ -389,7 +395,7 @@
         return nonce;
     }
 
-    /** The acknowledgements of a broadcast are not needed any more. */
+    /** Stops the retries of {@link #broadcastUntilAcknowledged}. */
     public void cancelBroadcast(long nonce) {
         acknowledgements.cancel(nonce);
     }
--- a/src/main/java/quartzspan/registry/GossipMessage.java
+++ b/src/main/java/quartzspan/registry/GossipMessage.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * A message of the gossip between processes.
+ * A message of the gossip protocol.
  *
- * @param nonce of the query; a reply repeats it
- * @param ageMs time since the state of the sender was surely the newest; -1 if it never was
- * @param stateIndex the committed index of the state at the sender; -1 if it has none
- * @param digests digests of the sender's entries by bucket of key, or one digest of all; empty where nothing is compared
- * @param entries updated entries, or those that the receiver lacks by its digests
+ * @param nonce identifies the query or request; the reply repeats it
+ * @param ageMs time since the sender's state was last known to be the newest; -1 if never
+ * @param stateIndex the committed index of the sender's state; -1 if it has none
+ * @param digests digests of the sender's entries by bucket, or one digest of all entries; empty if there is nothing to compare
+ * @param entries updated entries, or those of the buckets that differ from the receiver's
  * @param deltas deltas of the published state
- * @param chunk a chunk of a snapshot, or the request for one
+ * @param chunk a chunk of a snapshot, or a request for one
  */
 public record GossipMessage(
         Kind kind,
@@ -23,36 +23,36 @@
         List<StateDelta> deltas,
         SnapshotChunk chunk) {
 
-    /** Kinds of messages. */
+    /** Kinds of messages. The ordinal is sent, so the order must not change. */
     public enum Kind {
-        /** Asks for the entries that the sender lacks, by digests. */
+        /** Requests the entries that the sender lacks, by digests. */
         QUERY,
         REPLY,
-        /** Entries, and the index of the state, that were not queried. */
+        /** Unsolicited entries and the index of the sender's state. */
         UPDATE,
-        /** Between core machines: the servers and proxies that were heard of late. */
+        /** Between core machines: the servers and proxies from which messages were recently received. */
         HEARTBEATS,
-        /** Asks for the published state: the deltas to it, or a chunk of a snapshot. */
+        /** Requests the published state: its deltas, or a chunk of a snapshot. */
         FETCH,
-        /** Answers {@link #FETCH}. */
+        /** The reply to {@link #FETCH}. */
         FETCH_REPLY
     }
 
     static final long[] NO_DIGESTS = {};
 
-    /** Between core machines: the servers and proxies that were heard. */
+    /** A report of the servers and proxies from which messages were received. */
     public static GossipMessage heartbeats(List<RegistryEntry> entries) {
         return new GossipMessage(Kind.HEARTBEATS, 0, -1, -1, NO_DIGESTS, entries, List.of(), SnapshotChunk.NONE);
     }
 
-    /** Entries that were not queried; the nonce is to be acknowledged, 0 for none. */
+    /** An unsolicited update; its nonce is to be acknowledged unless it is 0. */
     static GossipMessage update(
             long acknowledgementNonce, long stateIndex, List<RegistryEntry> entries, List<StateDelta> deltas) {
         return new GossipMessage(
                 Kind.UPDATE, acknowledgementNonce, -1, stateIndex, NO_DIGESTS, entries, deltas, SnapshotChunk.NONE);
     }
 
-    /** Acknowledges an update. */
+    /** The acknowledgement of an update. */
     static GossipMessage acknowledgement(long nonce) {
         return new GossipMessage(Kind.REPLY, nonce, -1, -1, NO_DIGESTS, List.of(), List.of(), SnapshotChunk.NONE);
     }
--- a/src/main/java/quartzspan/registry/HeartbeatTracker.java
+++ b/src/main/java/quartzspan/registry/HeartbeatTracker.java
@@ -6,15 +6,16 @@
 import java.util.Map;
 
 /**
- * On a core machine: which servers and proxies are alive, by their messages. Only changes become entries; heartbeats are passed on
- * between core machines alone. No clock, no I/O.
+ * Failure detector of a core machine: tracks the servers and proxies by their heartbeats and other messages. Only state changes
+ * become registry entries; the heartbeats themselves are exchanged among the core machines only. Performs no I/O and reads no
+ * clock.
  */
 public final class HeartbeatTracker {
-    /** Heartbeats that may be missed before a server counts as lost. */
+    /** Number of heartbeat intervals without a heartbeat after which a server counts as lost. */
     private static final double MAX_MISSED_HEARTBEATS = 3.7;
     /** Time without a message after which a proxy counts as lost. */
     private static final long PROXY_TIMEOUT_MS = 4_000;
-    /** A proxy sends queries more often than this; the other core machines need not learn of each one. */
+    /** Minimum interval between reports of one proxy: it sends queries more often, and not every one needs to be reported. */
     private static final long PROXY_REPORT_INTERVAL_MS = 500;
     /** Time between reports to the other core machines. */
     private static final long REPORT_INTERVAL_MS = 200;
@@ -27,7 +28,7 @@
     private final long heartbeatMs;
     private final Map<String, LastHeartbeat> servers = new HashMap<>();
     private final Map<String, LastHeartbeat> proxies = new HashMap<>();
-    /** Heard here since the last report to the other core machines. */
+    /** Heartbeats received since the last report to the other core machines. */
     private final Map<String, RegistryEntry> unreported = new HashMap<>();
 
     private final Map<String, Long> proxyReportedAtMs = new HashMap<>();
@@ -39,7 +40,7 @@
         this.heartbeatMs = heartbeatMs;
     }
 
-    /** A heartbeat of a server; the updated entry, or null if nothing changed. */
+    /** Processes a server's heartbeat; returns the updated entry, or null if nothing changed. */
     public RegistryEntry onServerHeartbeat(
             long now, String id, long count, RegistryEntry.State state, Server reported) {
         LastHeartbeat last = servers.get(id);
@@ -50,14 +51,14 @@
         servers.put(id, new LastHeartbeat(now, late ? last.count() : count));
         unreported.put(id, new RegistryEntry(RegistryEntry.Subject.SERVER, id, count, state, ""));
         RegistryEntry old = registry.entry(RegistryEntry.Subject.SERVER, id);
-        // The heartbeat doesn't name the weights that the server is loading: they stay until it has them.
+        // A heartbeat doesn't contain the version being loaded: it is kept until the server reports that version.
         Server previous = old == null ? null : Server.of(old);
         long loadingVersion = Math.max(reported.loadingVersion(), previous == null ? 0 : previous.loadingVersion());
         String text = reported.encodeWith(reported.weightsVersion(), loadingVersion);
         if (old != null && old.state() == state && old.text().equals(text)) {
             return null;
         }
-        // A server that drains does not come back: a late heartbeat must not make it ready again.
+        // A draining server never becomes ready again: an out-of-order heartbeat must not change its state.
         RegistryEntry next = new RegistryEntry(
                 RegistryEntry.Subject.SERVER,
                 id,
@@ -67,7 +68,7 @@
         return registry.merge(now, next) ? next : null;
     }
 
-    /** A deregistration; the updated entry, or null if it was known. */
+    /** Processes a deregistration; returns the updated entry, or null if the server was already gone. */
     public RegistryEntry onDeregistered(long now, String id) {
         RegistryEntry old = registry.entry(RegistryEntry.Subject.SERVER, id);
         if (old != null && old.state() == RegistryEntry.State.GONE) {
@@ -83,12 +84,15 @@
         return registry.merge(now, next) ? next : null;
     }
 
-    /** Weights that a server has reported; the updated entry, or null. What it loads stays until it has it. */
+    /**
+     * Records the weights version that a server has reported; returns the updated entry, or null if nothing changed. The version
+     * being loaded is kept until the server reports it.
+     */
     public RegistryEntry onWeightsReported(long now, String id, long weightsVersion) {
         return updateWeights(now, id, weightsVersion, -1);
     }
 
-    /** Weights that a server is ordered to load; the updated entry, or null. */
+    /** Records the weights version that a server is ordered to load; returns the updated entry, or null if nothing changed. */
     public RegistryEntry onLoadOrdered(long now, String id, long loadingVersion) {
         return updateWeights(now, id, -1, loadingVersion);
     }
@@ -109,7 +113,7 @@
         return registry.merge(now, next) ? next : null;
     }
 
-    /** A message of a proxy; the updated entry, or null if nothing changed. */
+    /** Processes a proxy's message; returns the updated entry, or null if nothing changed. */
     public RegistryEntry onProxyMessage(long now, String address, String zone) {
         proxies.put(address, new LastHeartbeat(now, 0));
         Long reportedAtMs = proxyReportedAtMs.get(address);
@@ -128,7 +132,10 @@
         return registry.merge(now, next) ? next : null;
     }
 
-    /** The servers and proxies heard since the last report to the other core machines; none before the next report is due. */
+    /**
+     * The servers and proxies from which messages were received since the last report to the other core machines; empty before the
+     * next report is due.
+     */
     public List<RegistryEntry> takeUnreported(long now) {
         if (now < nextReportAtMs) {
             return List.of();
@@ -139,7 +146,7 @@
         return all;
     }
 
-    /** A report of another core machine. */
+    /** Processes another core machine's report. */
     public void onPeerReport(long now, List<RegistryEntry> reported) {
         for (RegistryEntry entry : reported) {
             Map<String, LastHeartbeat> heartbeats = entry.subject() == RegistryEntry.Subject.SERVER ? servers : proxies;
@@ -150,7 +157,7 @@
         }
     }
 
-    /** The entries of servers and proxies that have timed out; only while this machine is connected to the rest of the core. */
+    /** Updates the entries of servers and proxies that have timed out. To be called only while connected to the rest of the core. */
     public List<RegistryEntry> expireTimedOut(long now) {
         if (now < nextCheckAtMs) {
             return List.of();
@@ -161,7 +168,7 @@
             boolean registered =
                     entry.state() == RegistryEntry.State.READY || entry.state() == RegistryEntry.State.DRAINING;
             if (registered && hasTimedOut(now, servers, entry.key(), (long) (heartbeatMs * MAX_MISSED_HEARTBEATS))) {
-                // One that was draining has ended: nothing may bring it back as ready.
+                // A draining server that timed out has stopped: it must not become ready again.
                 RegistryEntry.State end = entry.state() == RegistryEntry.State.DRAINING
                         ? RegistryEntry.State.GONE
                         : RegistryEntry.State.LOST;
@@ -180,13 +187,13 @@
         return expired;
     }
 
-    /** The timeout of one that was never heard here starts now. */
+    /** Starts the timeout now if no message from the process was received before. */
     private static boolean hasTimedOut(long now, Map<String, LastHeartbeat> heartbeats, String key, long timeoutMs) {
         LastHeartbeat last = heartbeats.computeIfAbsent(key, absent -> new LastHeartbeat(now, 0));
         return now - last.atMs() > timeoutMs;
     }
 
-    /** All timeouts start again: nothing could be heard while this machine was disconnected. */
+    /** Restarts all timeouts: no messages could be received while this machine was disconnected. */
     public void restartTimeouts(long now) {
         servers.replaceAll((key, last) -> new LastHeartbeat(now, last.count()));
         proxies.replaceAll((key, last) -> new LastHeartbeat(now, last.count()));
--- a/src/main/java/quartzspan/registry/PublishedState.java
+++ b/src/main/java/quartzspan/registry/PublishedState.java
@@ -15,21 +15,21 @@
 import quartzspan.replication.ControlState;
 
 /**
- * The part of the control state that all processes need; it lacks what only a primary needs to judge changes.
+ * The part of the control state that all processes need. It omits what only the primary uses to validate changes.
  *
- * @param weights versions of weights that were named, by model
- * @param rolloutHolder the replica that last claimed the rollout of weights; empty if none did
+ * @param weights the target version of the weights, by model
+ * @param rolloutHolder the replica that last claimed the rollout of weights; empty if none has
  */
 public record PublishedState(Configuration configuration, Map<String, Long> weights, String rolloutHolder) {
-    /** Before the first change. */
+    /** The state before the first change. */
     public static final PublishedState EMPTY = of(ControlState.EMPTY);
 
-    /** What is published of a control state. */
+    /** The published part of a control state. */
     public static PublishedState of(ControlState state) {
         return new PublishedState(state.configuration(), Map.copyOf(state.weights()), state.rolloutHolder());
     }
 
-    /** The difference from this state to a later one; null if only the complete later one expresses it. */
+    /** Encodes the delta from this state to a later one; null if the change can't be expressed as a delta. */
     byte[] deltaTo(PublishedState later) {
         JsonObject patch = later.configuration.patchFrom(configuration);
         if (patch == null || !later.weights.keySet().containsAll(weights.keySet())) {
@@ -42,9 +42,9 @@
     }
 
     /**
-     * The state that a difference leads to.
+     * Applies a delta to this state.
      *
-     * @throws FleetException if it doesn't fit this state
+     * @throws FleetException if the delta doesn't apply to this state
      */
     PublishedState withDelta(byte[] delta) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(delta))) {
@@ -60,12 +60,12 @@
         }
     }
 
-    /** The complete state in binary form. */
+    /** Encodes the complete state. */
     byte[] bytes() {
         return encode(configuration.bytes(), weights, rolloutHolder);
     }
 
-    /** Reads {@link #bytes}. */
+    /** Decodes the result of {@link #bytes}. */
     static PublishedState parse(byte[] bytes) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             Configuration configuration = Configuration.read(readBytes(in, bytes.length));
@@ -113,7 +113,7 @@
     private static FleetException malformed(IOException cause) {
         return new FleetException(
                 FleetException.Code.MESSAGE_INVALID,
-                "a published state can't be read" + (cause == null ? "" : ": " + cause),
+                "a published state can't be decoded" + (cause == null ? "" : ": " + cause),
                 "run the same version on all machines");
     }
 }
--- a/src/main/java/quartzspan/registry/Registry.java
+++ b/src/main/java/quartzspan/registry/Registry.java
@@ -13,42 +13,42 @@
 import quartzspan.replication.ControlState;
 
 /**
- * What one process knows of the fleet: entries, and the newest published state. Every process has one; {@link Gossip} keeps them
- * in step. No clock, no I/O; times are milliseconds of a steady clock.
+ * One process's view of the fleet: the registry entries and the newest published state. Every process has one, and
+ * {@link Gossip} synchronizes them. Performs no I/O and reads no clock; times are milliseconds of a monotonic clock.
  */
 public final class Registry {
-    /** Buckets by which entries are compared: what differs is sent a bucket at a time. */
+    /** Number of hash buckets of entries. Digests are compared by bucket, and all entries of a differing bucket are sent. */
     static final int BUCKETS = 32;
 
     private static final int MAX_FRESHNESS_CLAIMS = 16;
-    /** How long ended entries are kept, so that an old update does not bring them back. */
+    /** Retention of entries in a final state, so that a delayed update does not restore them. */
     private static final long TOMBSTONE_TTL_MS = 120_000;
 
     private final Map<RegistryEntry.Subject, SubjectEntries> entriesBySubject =
             new EnumMap<>(RegistryEntry.Subject.class);
-    /** The same entries by bucket, so that an answer looks only at what differs. */
+    /** The same entries by bucket, so that a reply visits only the differing buckets. */
     private final List<Map<String, RegistryEntry>> entriesByBucket = new ArrayList<>();
 
     private final Map<String, Long> endedAtMs = new HashMap<>();
     private final long[] bucketDigests = new long[BUCKETS];
     private List<Server> servers = List.of();
     private long serversVersion;
-    /** Digest of all entries. */
+    /** XOR of the digests of all entries. */
     private long digest;
 
     private final StateFollower stateFollower = new StateFollower();
-    /** The latest time at which the state here was surely the newest. */
+    /** The latest time at which the local state is known to have been the newest. */
     private long freshAtMs = Long.MIN_VALUE / 2;
-    /** Claims about states that have not arrived here yet. */
+    /** Claims about states that have not been received yet. */
     private final ArrayDeque<FreshnessClaim> freshnessClaims = new ArrayDeque<>();
 
-    /** The state at an index was surely the newest at a time: a process with it or a later one is as fresh as that. */
+    /** The state at {@code stateIndex} was the newest at {@code atMs}: a process with this or a later state is at least as fresh. */
     private record FreshnessClaim(long stateIndex, long atMs) {}
 
-    /** A name with the hash that orders it. */
+    /** A name with its rendezvous hash. */
     private record RankedName(String name, long hash) {}
 
-    /** The entries of one subject; lists derived from them are kept until the next change. */
+    /** The entries of one subject; the lists derived from them are cached until the next change. */
     private static final class SubjectEntries {
         final Map<String, RegistryEntry> entries = new HashMap<>();
         long version;
@@ -78,7 +78,7 @@
         }
     }
 
-    /** Names an entry among those of all subjects: the subject's digit, then the key. */
+    /** Identifies an entry across subjects: the digit of the subject followed by the key. */
     private static String entryId(RegistryEntry entry) {
         return entry.subject().ordinal() + entry.key();
     }
@@ -96,21 +96,21 @@
         return entriesBySubject.get(subject).entries.get(key);
     }
 
-    /** All entries of a subject, as of now. */
+    /** All entries of a subject. */
     public List<RegistryEntry> all(RegistryEntry.Subject subject) {
         SubjectEntries subjectEntries = entriesBySubject.get(subject);
         subjectEntries.refreshLists();
         return subjectEntries.all;
     }
 
-    /** Keys of the entries of a subject that are ready, as of now. */
+    /** Keys of the entries of a subject in state {@code READY}. */
     public List<String> readyKeys(RegistryEntry.Subject subject) {
         SubjectEntries subjectEntries = entriesBySubject.get(subject);
         subjectEntries.refreshLists();
         return subjectEntries.readyKeys;
     }
 
-    /** All servers whose entries can be read, as of now. */
+    /** All servers with a valid entry. */
     public List<Server> servers() {
         long version = version(RegistryEntry.Subject.SERVER);
         if (serversVersion != version) {
@@ -123,12 +123,12 @@
         return servers;
     }
 
-    /** Rises with every change of a subject's entries: what is derived from them is valid as long as this stays. */
+    /** Increases with every change to the entries of a subject, so that callers can cache what they derive from them. */
     public long version(RegistryEntry.Subject subject) {
         return entriesBySubject.get(subject).version;
     }
 
-    /** Merges an entry; whether it was newer than the one here. */
+    /** Merges an entry; returns whether it superseded the local one. */
     public boolean merge(long now, RegistryEntry entry) {
         SubjectEntries subjectEntries = entriesBySubject.get(entry.subject());
         RegistryEntry old = subjectEntries.entries.get(entry.key());
@@ -154,7 +154,7 @@
         digest ^= digests;
     }
 
-    /** Removes entries that ended long ago. */
+    /** Removes entries that have been in a final state for longer than {@link #TOMBSTONE_TTL_MS}. */
     public void expire(long now) {
         endedAtMs.entrySet().removeIf(e -> {
             if (now - e.getValue() < TOMBSTONE_TTL_MS) {
@@ -170,17 +170,17 @@
         });
     }
 
-    /** Publishes a committed state of the replica at this process; whether it is newer than the one here. */
+    /** Publishes a committed state of the local replica; returns whether it is newer than the previous one. */
     public boolean publish(long index, ControlState committed) {
         return stateFollower.publish(index, committed);
     }
 
-    /** The published state and its steps. */
+    /** The published state and its recent deltas. */
     StateFollower stateFollower() {
         return stateFollower;
     }
 
-    /** The newest published state known here. */
+    /** The newest published state known to this process. */
     public PublishedState state() {
         return stateFollower.state();
     }
@@ -190,7 +190,7 @@
         return stateFollower.index();
     }
 
-    /** When the state here was last surely the newest. */
+    /** The latest time at which the local state is known to have been the newest. */
     public long freshAtMs() {
         for (FreshnessClaim claim : freshnessClaims) {
             if (claim.stateIndex() <= stateFollower.index()) {
@@ -210,7 +210,7 @@
         return atMs < 0 && atMs < now - Integer.MAX_VALUE ? -1 : now - atMs;
     }
 
-    /** A query that names what is known here; {@code full}: bucket by bucket, else by one digest of all. */
+    /** A query with the digests of the local entries: of each bucket if {@code full}, otherwise one digest of all entries. */
     GossipMessage query(long now, long nonce, boolean full) {
         long[] digests = full ? bucketDigests.clone() : new long[] {digest};
         return new GossipMessage(
@@ -224,7 +224,7 @@
                 SnapshotChunk.NONE);
     }
 
-    /** The reply to a query: the entries that differ, or the digests by which they can be queried. */
+    /** The reply to a query: the entries of the differing buckets, or the digests of all buckets for a full query. */
     GossipMessage reply(long now, GossipMessage query) {
         boolean same = query.digests().length == 1 && query.digests()[0] == digest;
         return new GossipMessage(
@@ -238,7 +238,7 @@
                 SnapshotChunk.NONE);
     }
 
-    /** The entries here in those buckets whose digests differ. */
+    /** The local entries in the buckets whose digests differ. */
     List<RegistryEntry> entriesInDifferingBuckets(long[] otherDigests) {
         List<RegistryEntry> differing = new ArrayList<>();
         for (int bucket = 0; bucket < BUCKETS && otherDigests.length == BUCKETS; bucket++) {
@@ -249,14 +249,14 @@
         return differing;
     }
 
-    /** What was new in a message. */
+    /** The changes that a message made to the local registry. */
     public record Update(List<RegistryEntry> entries, boolean stateAdvanced) {
         public boolean isEmpty() {
             return !stateAdvanced && entries.isEmpty();
         }
     }
 
-    /** Merges a message, but for chunks of snapshots; {@code queriedAtMs}: when the query of a reply was sent. */
+    /** Merges a message except for snapshot chunks; {@code queriedAtMs} is when the query of a reply was sent. */
     Update merge(long now, GossipMessage message, long queriedAtMs) {
         boolean stateAdvanced = stateFollower.apply(message.deltas());
         List<RegistryEntry> newer = new ArrayList<>();
@@ -265,7 +265,7 @@
                 newer.add(entry);
             }
         }
-        // Its state was the newest so long before it replied, and it replied after the query was sent.
+        // The sender's state was the newest ageMs before its reply, and the reply was sent after the query.
         if (message.kind() == GossipMessage.Kind.REPLY && message.ageMs() >= 0) {
             freshnessClaims.add(new FreshnessClaim(message.stateIndex(), queriedAtMs - message.ageMs()));
             if (freshnessClaims.size() > MAX_FRESHNESS_CLAIMS) {
@@ -276,8 +276,8 @@
     }
 
     /**
-     * Rendezvous hashing: the names whose hash together with one's own is lowest. All processes work out the same without any
-     * message, and a name that comes or goes changes no other choice.
+     * Rendezvous hashing: selects the names with the lowest hash of {@code self} and the name. All processes compute the same
+     * selection without exchanging messages, and adding or removing a name changes the selection only by that name.
      */
     public static List<String> rendezvousSelect(String self, List<String> names, int count) {
         Hasher64 hasher = Hashing.xxh3_64();
@@ -287,9 +287,8 @@
                 ranked.add(new RankedName(name, hasher.hashLongLongToLong(self.hashCode(), name.hashCode())));
             }
         }
-        // One lambda: composed comparators are built by the JVM at every start, for the class-data archive can't
-        // contain
-        // them.
+        // A single lambda: the class-data archive can't contain composed comparators, so the JVM would build them at
+        // every start.
         Comparator<RankedName> order = (one, other) -> one.hash() != other.hash()
                 ? Long.compare(one.hash(), other.hash())
                 : one.name().compareTo(other.name());
--- a/src/main/java/quartzspan/registry/RegistryEntry.java
+++ b/src/main/java/quartzspan/registry/RegistryEntry.java
@@ -1,13 +1,13 @@
 package quartzspan.registry;
 
 /**
- * Something that all processes are to know. Of two about one key the one with the more final state supersedes the other, then the one
- * with the higher {@code seq}.
+ * A registry entry, replicated to all processes. Of two entries with the same key, the one whose state has the higher precedence
+ * supersedes the other; with equal precedence, the one with the higher {@code seq}.
  *
- * @param text what is known of it; see {@link Server} for servers
+ * @param text attributes in the encoding of the subject; see {@link Server} and {@link CoreMachine}
  */
 public record RegistryEntry(Subject subject, String key, long seq, State state, String text) {
-    /** Kinds of things; their keys are instance ids of servers, and internal addresses of the system's own processes. */
+    /** What an entry describes. The key is the instance id of a server, or the internal address of a core machine or proxy. */
     public enum Subject {
         SERVER,
         CORE,
@@ -15,8 +15,9 @@
     }
 
     /**
-     * {@code LOST} may come back with a higher {@code seq}; {@code DRAINING} ends only by {@code GONE}, and {@code GONE} never:
-     * a server's own announcement of its end supersedes any later entry of processes that may not have received it.
+     * A {@code LOST} entry may become {@code READY} again with a higher {@code seq}. {@code DRAINING} is only superseded by
+     * {@code GONE}, and {@code GONE} is final: a server's own announcement of its shutdown supersedes any later entry of a
+     * process that may not have received the announcement.
      */
     public enum State {
         READY(0),
@@ -31,7 +32,7 @@
         }
     }
 
-    /** Whether this entry replaces the other: a total order, so that all processes end with the same. */
+    /** Whether this entry replaces the other. This is a total order, so that all processes converge to the same entry. */
     boolean supersedes(RegistryEntry other) {
         if (other == null) {
             return true;
--- a/src/main/java/quartzspan/registry/Server.java
+++ b/src/main/java/quartzspan/registry/Server.java
@@ -3,11 +3,11 @@
 import java.util.Locale;
 
 /**
- * What a server says of itself that others need.
+ * The attributes of a server in its registry entry.
  *
- * @param model the model whose weights it has; empty if it says none
- * @param weightsVersion version of those weights; 0 if unknown
- * @param loadingVersion version that it was ordered to load and does not have yet; 0 if none
+ * @param model the model whose weights are loaded; empty if the server reports none
+ * @param weightsVersion version of the loaded weights; 0 if unknown
+ * @param loadingVersion version that the server was ordered to load and does not have yet; 0 if none
  */
 public record Server(
         String id,
@@ -20,7 +20,7 @@
         long seq,
         RegistryEntry.State state) {
 
-    /** As the text of a entry; fields have no tab in them, or are refused. */
+    /** Encodes attributes as the text of an entry. They must not contain tabs; such input is rejected before. */
     public static String encode(
             String service, String address, String zone, String model, long weightsVersion, long loadingVersion) {
         return service
@@ -36,12 +36,12 @@
                 + (loadingVersion > weightsVersion ? loadingVersion : 0);
     }
 
-    /** The same server with other weights, or on its way to some. */
+    /** Encodes this server with other versions of its weights. */
     public String encodeWith(long newWeightsVersion, long newLoadingVersion) {
         return encode(service, address, zone, model, newWeightsVersion, newLoadingVersion);
     }
 
-    /** Reads a entry; null if it is none about a server. */
+    /** Decodes an entry; null if it is not a valid entry of a server. */
     public static Server of(RegistryEntry entry) {
         String[] fields = entry.text().split("\t", -1);
         if (entry.subject() != RegistryEntry.Subject.SERVER || fields.length != 6) {
--- a/src/main/java/quartzspan/registry/Snapshot.java
+++ b/src/main/java/quartzspan/registry/Snapshot.java
@@ -8,7 +8,7 @@
 import quartzspan.common.FleetException;
 
 /**
- * A complete published state as it is sent: compressed, since configurations repeat themselves.
+ * A complete published state in its transfer format: compressed, since configurations are repetitive.
  *
  * @param index the committed index of the state
  */
@@ -32,7 +32,7 @@
         }
     }
 
-    /** The state in it. */
+    /** Decompresses and decodes the state. */
     PublishedState state() {
         Inflater inflater = new Inflater();
         try {
@@ -42,7 +42,7 @@
             while (!inflater.finished()) {
                 int count = inflater.inflate(buffer);
                 if (count == 0 || out.size() > MAX_STATE_BYTES) {
-                    throw malformed("it is cut short or too large");
+                    throw malformed("truncated, or larger than " + MAX_STATE_BYTES + " bytes");
                 }
                 out.write(buffer, 0, count);
             }
@@ -62,7 +62,7 @@
     private static FleetException malformed(String reason) {
         return new FleetException(
                 FleetException.Code.MESSAGE_INVALID,
-                "a snapshot can't be read: " + reason,
+                "a snapshot can't be decoded: " + reason,
                 "run the same version on all machines");
     }
 }
--- a/src/main/java/quartzspan/registry/StateDelta.java
+++ b/src/main/java/quartzspan/registry/StateDelta.java
@@ -1,8 +1,8 @@
 package quartzspan.registry;
 
 /**
- * A step of the published state: it leads from the state at one committed index to that at another, and applies to nothing
- * else. Committed indexes form one line, so an index identifies a state.
+ * A delta of the published state from one committed index to a later one. It applies only to the state at {@code fromIndex};
+ * committed indexes are linear, so an index identifies a state.
  *
  * @param change see {@link PublishedState#with}
  */
--- a/src/main/java/quartzspan/registry/StateFetch.java
+++ b/src/main/java/quartzspan/registry/StateFetch.java
@@ -4,11 +4,11 @@
 import quartzspan.common.FleetException;
 
 /**
- * Fetches the published state from a process that has a newer one: the deltas, or a snapshot chunk by chunk. From one process at
- * a time, so that nothing large comes twice. No clock, no I/O.
+ * Fetches the published state from a process that has a newer one, as deltas or as the chunks of a snapshot. Fetches from one
+ * process at a time, so that no large state is transferred twice. Performs no I/O and reads no clock.
  */
 final class StateFetch {
-    /** A request that is not answered in this time is given up. */
+    /** A request that is not answered within this time is abandoned. */
     private static final long REQUEST_TIMEOUT_MS = 600;
 
     private static final int MAX_SNAPSHOT_BYTES = 16 * 1024 * 1024;
@@ -16,22 +16,22 @@
     private final StateFollower stateFollower;
     private final Gossip.Sender sender;
     private long lastNonce;
-    /** Whom the open request is put to; null if there is none. */
+    /** The process to which the open request was sent; null if there is none. */
     private String source;
 
     private long requestedAtMs;
-    /** The snapshot that is being read, as far as it came. */
+    /** Index of the snapshot being fetched, or a constant of {@link SnapshotChunk} before its first chunk. */
     private long snapshotIndex = -1;
 
     private ByteArrayOutputStream receivedBytes = new ByteArrayOutputStream();
-    /** The deltas don't apply to the state here: only a snapshot helps. */
+    /** Whether the received deltas did not apply to the local state, so that a snapshot is required. */
     private boolean deltasFailed;
-    /** The process that was last heard to have a newer state, and its index. */
+    /** The process that announced the newest state, and the index of that state. */
     private String newestSource;
 
     private long newestIndex = -1;
 
-    /** @param firstNonce one that no other incarnation of this process is likely to be near */
+    /** @param firstNonce the value before the first nonce, far from those of other incarnations of this process */
     StateFetch(StateFollower stateFollower, long firstNonce, Gossip.Sender sender) {
         this.stateFollower = stateFollower;
         this.lastNonce = firstNonce;
@@ -39,8 +39,9 @@
     }
 
     /**
-     * Another process has the state at an index. Most often it is on its way here as well: unless there is none here yet, or
-     * steps came that don't fit ({@code missingDeltas}), the next tick sees whether it is still needed.
+     * Records that another process has the state at an index. Usually the state is being sent to this process as well, so the
+     * next tick starts a fetch if it is still needed. The fetch starts at once if there is no local state yet, or if the deltas
+     * received did not lead to that index ({@code missingDeltas}).
      */
     void onIndex(long now, String from, long index, boolean missingDeltas) {
         if (index <= stateFollower.index()) {
@@ -55,7 +56,7 @@
         }
     }
 
-    /** To be called every 50 to 100 ms; who left a request unanswered, or null. */
+    /** To be called every 50 to 100 ms; returns the process whose request timed out, or null. */
     String onTick(long now) {
         String unresponsive = null;
         if (source != null && now - requestedAtMs > REQUEST_TIMEOUT_MS) {
@@ -89,7 +90,7 @@
                         SnapshotChunk.request(snapshotIndex, receivedBytes.size())));
     }
 
-    /** The reply to a request; whether the state here advanced by it. */
+    /** Processes the reply to a request; returns whether the local state advanced. */
     boolean onFetchReply(long now, String from, GossipMessage message) {
         if (!from.equals(source) || message.nonce() != lastNonce) {
             return false;
@@ -140,7 +141,7 @@
         try {
             return stateFollower.install(new Snapshot(snapshotIndex, bytes));
         } catch (FleetException e) {
-            // Nothing is taken of a snapshot that can't be read; another process is asked when next heard.
+            // A malformed snapshot is discarded; the state is fetched again when another process announces it.
             return false;
         }
     }
--- a/src/main/java/quartzspan/registry/StateFollower.java
+++ b/src/main/java/quartzspan/registry/StateFollower.java
@@ -5,17 +5,17 @@
 import quartzspan.replication.ControlState;
 
 /**
- * The published state at one process: reached by deltas or by a snapshot, and passed on likewise. It only ever moves
- * to higher committed indexes. No clock, no I/O.
+ * The published state at one process, updated by deltas or snapshots, and the source of deltas and snapshots for other
+ * processes. Its committed index never decreases. Performs no I/O and reads no clock.
  */
 final class StateFollower {
-    /** A longer step is dearer to send than a compressed snapshot. */
+    /** A larger delta costs more to send than a compressed snapshot. */
     private static final int MAX_DELTA_BYTES = 64 * 1024;
 
     private long index = -1;
     private PublishedState state = PublishedState.EMPTY;
     private final DeltaHistory history = new DeltaHistory();
-    /** The snapshot that was last requested; later changes do not make a reader of its chunks start again. */
+    /** The snapshot served last. It is kept after later changes, so that processes that fetch its chunks need not start over. */
     private Snapshot snapshot;
 
     long index() {
@@ -26,7 +26,7 @@
         return state;
     }
 
-    /** Takes a committed state from the replica at this process; whether it is newer. */
+    /** Publishes a committed state of the local replica; returns whether it is newer. */
     boolean publish(long committedIndex, ControlState committed) {
         if (committedIndex <= index) {
             return false;
@@ -43,7 +43,7 @@
         return true;
     }
 
-    /** Applies the deltas that follow the state here; whether there were any. */
+    /** Applies the deltas that follow the local state; returns whether the state advanced. */
     boolean apply(List<StateDelta> deltas) {
         boolean advanced = false;
         for (StateDelta delta : deltas) {
@@ -53,7 +53,7 @@
             try {
                 state = state.withDelta(delta.change());
             } catch (FleetException e) {
-                // Not the state of its sender: the state here stays, and a snapshot is requested.
+                // The delta doesn't apply: the local state is kept, and a snapshot is requested.
                 return advanced;
             }
             index = delta.toIndex();
@@ -63,7 +63,7 @@
         return advanced;
     }
 
-    /** Takes a snapshot; whether it is newer. */
+    /** Installs a snapshot; returns whether it is newer than the local state. */
     boolean install(Snapshot newer) {
         if (newer.index() <= index) {
             return false;
@@ -75,14 +75,14 @@
         return true;
     }
 
-    /** The deltas from another process's state to the one here; empty if they are not known. */
+    /** The deltas from another process's state to the local one; empty if they are not available. */
     List<StateDelta> deltasSince(long fromIndex) {
         return history.deltasSince(fromIndex);
     }
 
     /**
-     * A chunk of a snapshot for a process with the state at an index: of the snapshot that it is reading, else of one that
-     * is newer and from which the deltas to the state here are known.
+     * A chunk of a snapshot for a process whose state is at {@code afterIndex}: of the snapshot that it is already fetching,
+     * otherwise of a newer one from which deltas lead to the local state.
      */
     SnapshotChunk chunk(long afterIndex, SnapshotChunk requested) {
         if (index <= afterIndex) {
--- a/src/main/java/quartzspan/registry/package-info.java
+++ b/src/main/java/quartzspan/registry/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Servers, proxies and core machines as one process knows them, and the gossip that spreads them. No clock, no I/O.
+ * The registry of servers, proxies and core machines at one process, and the gossip protocol that replicates it. No I/O, no clock.
  *
  * <p>Owns the registry and the published state of one process. May import {@code common}, {@code configuration} and {@code replication}.
  */
--- a/src/main/java/quartzspan/store/Disk.java
+++ b/src/main/java/quartzspan/store/Disk.java
@@ -1,14 +1,14 @@
 package quartzspan.store;
 
 /**
- * The few operations on files that a {@link SlotStore} needs. What is written lasts once its file is synced, and a new file once
- * its folder is too. Each call may block, and throws {@link quartzspan.common.FleetException} where the disk refuses.
+ * The file operations that a {@link SlotStore} needs. Written bytes are durable once their file is synced, and a new file once
+ * the directory is synced as well. Each call may block, and throws {@link quartzspan.common.FleetException} on an I/O error.
  */
 public interface Disk {
-    /** All bytes of a file; null if there is none. */
+    /** Reads a complete file; null if it doesn't exist. */
     byte[] read(String name);
 
-    /** Writes at a place, and makes the file if there is none. */
+    /** Writes at a position; creates the file if it doesn't exist. */
     void write(String name, long position, byte[] bytes);
 
     void truncate(String name, long length);
--- a/src/main/java/quartzspan/store/FileDisk.java
+++ b/src/main/java/quartzspan/store/FileDisk.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import quartzspan.common.FleetException;
 
-/** A folder of files. One thread at a time. */
+/** The files of a directory. Not thread-safe. */
 public final class FileDisk implements Disk {
     private final Path directory;
     private final Map<String, FileChannel> channels = new HashMap<>();
--- a/src/main/java/quartzspan/store/SlotStore.java
+++ b/src/main/java/quartzspan/store/SlotStore.java
@@ -8,12 +8,13 @@
 import quartzspan.common.FleetException;
 
 /**
- * What must outlast its process: a state in one of two slots, written in turn, and a short log of records since. What has
- * been appended or checkpointed is there after any loss of power; what was being written then is there completely or not at all.
+ * Durable storage of a process: a state in one of two slots, which are written alternately, and a short log of the records
+ * appended since. Completed appends and checkpoints survive a power loss; one in progress at the power loss is recovered
+ * completely or not at all.
  *
- * <p>A slot is {@code generation, length, checksum, state}; the log begins with the generation of its slot, and a log of
- * another generation is as good as none. Only the last record can be torn, for each is synced before the next is written:
- * a record that can't be read before one that can is damage, and refused.
+ * <p>A slot is {@code generation, length, checksum, state}. The log begins with the generation of its slot, and a log of another
+ * generation is ignored. Each record is synced before the next one is written, so only the last record can be torn: an invalid
+ * record that is followed by a valid one means that the log is damaged, and {@link #open} fails.
  */
 public final class SlotStore {
     private static final String[] SLOT_FILES = {"slot-a", "slot-b"};
@@ -21,19 +22,19 @@
     private static final int SLOT_HEADER_BYTES = 16;
     private static final int LOG_HEADER_BYTES = 8;
     private static final int RECORD_HEADER_BYTES = 8;
-    /** No state or record is larger: a length above it is no length. */
+    /** Maximum size of a state. */
     private static final int MAX_STATE_BYTES = 32 * 1024 * 1024;
 
-    /** What was found; {@code state} is null if nothing was ever kept. */
+    /** The stored state and the records appended since; {@code state} is null if no checkpoint was ever completed. */
     public record Contents(byte[] state, List<byte[]> records) {}
 
     private final Disk disk;
     private long generation;
     private long logEndOffset;
     private boolean hasTornTail;
-    /** Whether the log's first bytes may not be this generation's. */
+    /** Whether the log header may not have the current generation. */
     private boolean logHeaderPending;
-    /** Whether the log's name is known to be on the disk. */
+    /** Whether the directory entry of the log is durable. */
     private boolean logNameSynced;
 
     public SlotStore(Disk disk) {
@@ -41,10 +42,10 @@
     }
 
     /**
-     * Reads what is there. To be called first.
+     * Reads the stored contents. To be called before all other methods.
      *
-     * <p>A process that was killed may have written what it did not sync. It is read here, so it is synced here, before
-     * anybody builds on it.
+     * <p>A process that was killed may have left bytes that it had written but not synced. Since they are read here, they are
+     * synced before the caller relies on them.
      */
     public Contents open() {
         boolean anySlot = false;
@@ -63,15 +64,15 @@
         if (state != null) {
             return new Contents(state, openLog(log));
         }
-        // Before the first checkpoint is complete nothing was ever acknowledged: what there is was begun and not
-        // finished.
+        // Nothing is acknowledged before the first checkpoint is complete, so incomplete files without a log are
+        // ignored.
         if (anySlot && log != null && log.length > 0) {
-            throw damaged("neither slot can be read");
+            throw damaged("neither slot can be read, although the log is not empty");
         }
         return new Contents(null, new ArrayList<>());
     }
 
-    /** The state of a slot if it is complete and newer than the one before; its generation becomes the current one. */
+    /** The state of a slot if it is valid and newer than the current generation, which its generation then replaces; else null. */
     private byte[] readNewerState(byte[] slot) {
         if (slot.length < SLOT_HEADER_BYTES) {
             return null;
@@ -90,7 +91,7 @@
         return Arrays.copyOfRange(slot, SLOT_HEADER_BYTES, SLOT_HEADER_BYTES + length);
     }
 
-    /** The records of the current generation; a log of another one is replaced by an empty one. */
+    /** The records of the current generation; a log of another generation is replaced by an empty one. */
     private List<byte[]> openLog(byte[] log) {
         if (log == null || log.length < LOG_HEADER_BYTES || ByteBuffer.wrap(log).getLong() != generation) {
             restartLog();
@@ -110,11 +111,11 @@
         return records;
     }
 
-    /** Only the last record can be torn: a readable one behind an unreadable one shows damage. */
+    /** Fails if a valid record follows an invalid one: only the last record can be torn, so the log is damaged. */
     private void requireNoRecordAfter(int offset, byte[] log) {
         for (int position = offset + 1; position + RECORD_HEADER_BYTES <= log.length; position++) {
             if (readRecord(log, position) != null) {
-                throw damaged("the log can't be read at byte " + offset);
+                throw damaged("the log can't be read at byte " + offset + ", although a valid record follows");
             }
         }
     }
@@ -142,15 +143,15 @@
         return Arrays.copyOfRange(log, offset + RECORD_HEADER_BYTES, offset + RECORD_HEADER_BYTES + length);
     }
 
-    /** Bytes in the log. */
+    /** Size of the log in bytes. */
     public long logBytes() {
         return logEndOffset;
     }
 
-    /** Adds a record; it is there for good on return. */
+    /** Appends a record, which is durable on return. */
     public void append(byte[] record) {
         if (generation == 0) {
-            throw new IllegalStateException("a checkpoint comes before the first record");
+            throw new IllegalStateException("append before the first checkpoint");
         }
         if (logHeaderPending) {
             restartLog();
@@ -173,10 +174,11 @@
         logEndOffset += RECORD_HEADER_BYTES + record.length;
     }
 
-    /** Replaces state and records by a new state; it is there for good on return. */
+    /** Replaces the state and all records by a new state, which is durable on return. */
     public void checkpoint(byte[] state) {
         if (state.length > MAX_STATE_BYTES) {
-            throw new IllegalArgumentException("a state of " + state.length + " bytes");
+            throw new IllegalArgumentException(
+                    "state of " + state.length + " bytes exceeds the maximum of " + MAX_STATE_BYTES);
         }
         long next = generation + 1;
         String slot = SLOT_FILES[(int) (next & 1)];
@@ -197,7 +199,7 @@
         restartLog();
     }
 
-    /** Empties everything: what was there can't be read. */
+    /** Discards all contents, for use when they can't be read. */
     public void discard() {
         for (String name : List.of(SLOT_FILES[0], SLOT_FILES[1], LOG_FILE)) {
             disk.truncate(name, 0);
@@ -237,6 +239,6 @@
         return new FleetException(
                 FleetException.Code.STORE_DAMAGED,
                 reason,
-                "move the data directory aside and start again: the machine then asks the others what it has promised");
+                "move the data directory aside and restart: the machine then recovers its promised epoch from the other core machines");
     }
 }
--- a/src/main/java/quartzspan/store/package-info.java
+++ b/src/main/java/quartzspan/store/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Durable storage: two slots and a log of records, over a few operations on files.
+ * Durable storage: two slots and a log of records, on an abstraction of files.
  *
  * <p>Owns the files of the data directory. May import {@code common}.
  */
--- a/src/main/java/quartzspan/transport/GossipCodec.java
+++ b/src/main/java/quartzspan/transport/GossipCodec.java
@@ -9,7 +9,7 @@
 import quartzspan.transport.sbe.GossipFrameDecoder;
 import quartzspan.transport.sbe.GossipFrameEncoder;
 
-/** Gossip messages in SBE. */
+/** Encodes and decodes gossip messages in SBE. */
 final class GossipCodec {
     private static final int MAX_BUCKETS = 4096;
     private static final int MAX_ENTRIES = 60_000;
@@ -17,7 +17,7 @@
 
     private GossipCodec() {}
 
-    /** Writes a message behind its header; where it ends. */
+    /** Encodes a message after its header; returns the end position. */
     static int encode(GossipMessage message, GossipFrameEncoder encoder) {
         SnapshotChunk chunk = message.chunk();
         encoder.kind((short) message.kind().ordinal())
@@ -53,11 +53,11 @@
         return encoder.limit();
     }
 
-    /** Reads {@link #encode}. */
+    /** Decodes the result of {@link #encode}. */
     static GossipMessage decode(GossipFrameDecoder decoder) {
         int kind = decoder.kind();
         if (kind >= GossipMessage.Kind.values().length) {
-            throw MessageCodec.malformed("message " + kind);
+            throw MessageCodec.malformed("unknown kind of gossip message " + kind);
         }
         long nonce = decoder.nonce();
         long ageMs = decoder.ageMs();
@@ -98,7 +98,7 @@
             int subject = decoder.subject();
             int state = decoder.state();
             if (subject >= RegistryEntry.Subject.values().length || state >= RegistryEntry.State.values().length) {
-                throw MessageCodec.malformed("entry " + subject + "/" + state);
+                throw MessageCodec.malformed("unknown subject or state of a registry entry: " + subject + "/" + state);
             }
             long seq = decoder.seq();
             String key = decoder.key();
--- a/src/main/java/quartzspan/transport/InboundConnections.java
+++ b/src/main/java/quartzspan/transport/InboundConnections.java
@@ -8,18 +8,19 @@
 import quartzspan.transport.MessageCodec.Hello;
 
 /**
- * Which of the connections that a process opened to us speaks for it: the one accepted last. What is still unread on an older
- * one was written before, by the same incarnation of the process or by one that has ended, and would come out of order. One that
- * another one has followed at its address never speaks again, whatever it opens: it may have been frozen meanwhile.
+ * Determines from which of a peer's connections messages are accepted: only from the one accepted last. Unread messages of an
+ * older connection were written earlier, by the same incarnation of the peer or by one that has ended, and would be delivered
+ * out of order. Messages of an incarnation that another one at the same address has replaced are never accepted again, even on a
+ * new connection: the process may have been suspended and resumed.
  */
 final class InboundConnections {
-    /** Incarnations remembered for each address. */
+    /** Maximum number of replaced incarnations kept for each address. */
     private static final int MAX_REPLACED_INCARNATIONS = 16;
 
     private static final class Peer {
         long incarnation;
         long connectionNumber;
-        /** Incarnations that another one has followed, the last ones of them. */
+        /** The most recent incarnations that another one has replaced. */
         final Set<Long> replacedIncarnations = Collections.newSetFromMap(new LinkedHashMap<>() {
             private static final long serialVersionUID = 1L;
 
@@ -33,12 +34,12 @@
     private final Map<String, Peer> peers = new HashMap<>();
     private long lastConnectionNumber;
 
-    /** Number of a connection that is accepted now; later ones have higher numbers. */
+    /** The number for a newly accepted connection; numbers increase. */
     long nextConnectionNumber() {
         return ++lastConnectionNumber;
     }
 
-    /** Whether a connection on which a message came speaks for the process at its address. */
+    /** Whether a message from a peer on a connection is accepted. */
     boolean isCurrent(Hello from, long connectionNumber) {
         Peer peer = peers.get(from.address());
         if (peer == null) {
--- a/src/main/java/quartzspan/transport/MessageCodec.java
+++ b/src/main/java/quartzspan/transport/MessageCodec.java
@@ -25,26 +25,27 @@
 import quartzspan.transport.sbe.ReplicaFrameEncoder;
 
 /**
- * The messages between the system's processes, in SBE (src/main/sbe/messages.xml). One frame is a length of four bytes, big
- * end first, then a message with its header. Whatever is no such message is refused, and costs its connection only.
+ * Encodes and decodes the messages between the system's processes in SBE (src/main/sbe/messages.xml). A frame is a length of
+ * four bytes in big-endian order, followed by a message with its header. A malformed message is rejected, and only its connection
+ * is closed.
  */
 public final class MessageCodec {
-    /** No frame is longer; the largest have a complete configuration. */
+    /** Maximum size of a frame; the largest frames contain a complete configuration. */
     public static final int MAX_FRAME_BYTES = 16 * 1024 * 1024;
 
     private static final int FLAG_GRANTED = 1;
     private static final int FLAG_RECOVERING = 2;
 
     /**
-     * Who opened a connection.
+     * The first message on a connection: identifies the process that opened it.
      *
-     * @param controlAddress where it answers servers and operators, empty for proxies
-     * @param incarnation drawn at random at each start of a process, so that its successor at the same address can be distinguished
+     * @param controlAddress address of the API for servers and operators; empty for proxies
+     * @param incarnation random number chosen at each start of a process, to distinguish it from others at the same address
      */
     public record Hello(boolean core, String address, String controlAddress, String zone, long incarnation) {
         private static final SplittableRandom INCARNATIONS = new SplittableRandom();
 
-        /** A new incarnation at an address. */
+        /** A hello with a new random incarnation. */
         public Hello(boolean core, String address, String controlAddress, String zone) {
             this(core, address, controlAddress, zone, INCARNATIONS.nextLong());
         }
@@ -52,7 +53,7 @@
 
     private MessageCodec() {}
 
-    /** One of {@link Hello}, {@link ReplicaMessage}, {@link GossipMessage} and {@link PrefixCacheUpdate}, as bytes without the length. */
+    /** Encodes a {@link Hello}, {@link ReplicaMessage}, {@link GossipMessage} or {@link PrefixCacheUpdate}, without the length of the frame. */
     public static byte[] encode(Object message) {
         MutableDirectBuffer buffer = new ExpandableArrayBuffer(512);
         MessageHeaderEncoder header = new MessageHeaderEncoder();
@@ -80,20 +81,20 @@
             encoder.server(update.server());
             length = encoder.limit();
         } else {
-            throw new IllegalArgumentException("no message: " + message.getClass());
+            throw new IllegalArgumentException("not a message type: " + message.getClass());
         }
         byte[] bytes = new byte[length];
         buffer.getBytes(0, bytes);
         return bytes;
     }
 
-    /** Reads {@link #encode}. */
+    /** Decodes the result of {@link #encode}. */
     public static Object decode(byte[] bytes) {
         try {
             UnsafeBuffer buffer = new UnsafeBuffer(bytes);
             MessageHeaderDecoder header = new MessageHeaderDecoder().wrap(buffer, 0);
             if (header.schemaId() != MessageHeaderDecoder.SCHEMA_ID) {
-                throw malformed("schema " + header.schemaId());
+                throw malformed("unknown schema id " + header.schemaId());
             }
             return switch (header.templateId()) {
                 case HelloMessageDecoder.TEMPLATE_ID -> decodeHello(
@@ -104,7 +105,7 @@
                         new GossipFrameDecoder().wrapAndApplyHeader(buffer, 0, header));
                 case PrefixCacheFrameDecoder.TEMPLATE_ID -> decodePrefixCacheUpdate(
                         new PrefixCacheFrameDecoder().wrapAndApplyHeader(buffer, 0, header));
-                default -> throw malformed("message " + header.templateId());
+                default -> throw malformed("unknown template id " + header.templateId());
             };
         } catch (IndexOutOfBoundsException | IllegalStateException | NegativeArraySizeException e) {
             throw malformed(e.getMessage());
@@ -137,7 +138,7 @@
         int kind = decoder.kind();
         int flags = decoder.flags();
         if (kind >= ReplicaMessage.Kind.values().length) {
-            throw malformed("replica message " + kind);
+            throw malformed("unknown kind of replica message " + kind);
         }
         long nonce = decoder.nonce();
         long logIndex = decoder.logIndex();
@@ -149,7 +150,7 @@
         Map<String, Long> sinceHeardMs = parseNumbers(decoder.sinceHeardMs());
         Membership membership = Membership.parse(decoder.membership());
         if (epoch == null || promisedEpoch == null || logEpoch == null || membership == null) {
-            throw malformed("no epoch or no membership");
+            throw malformed("epoch or membership is invalid");
         }
         byte[] body = new byte[checkedLength(decoder.bodyLength(), MAX_FRAME_BYTES)];
         decoder.getBody(body, 0, body.length);
@@ -183,7 +184,7 @@
                 pairs.put(entry.substring(0, equals), Long.parseLong(entry.substring(equals + 1)));
             }
         } catch (NumberFormatException | StringIndexOutOfBoundsException e) {
-            throw malformed("no numbers by name");
+            throw malformed("list of name=number pairs is invalid");
         }
         return pairs;
     }
@@ -191,7 +192,7 @@
     private static PrefixCacheUpdate decodePrefixCacheUpdate(PrefixCacheFrameDecoder decoder) {
         int kind = decoder.kind();
         if (kind >= PrefixCacheUpdate.Kind.values().length) {
-            throw malformed("promptIndexUpdate " + kind);
+            throw malformed("unknown kind of prefix cache update " + kind);
         }
         long stream = decoder.stream();
         long seq = decoder.seq();
@@ -210,7 +211,7 @@
 
     static int checkedLength(int length, int max) {
         if (length < 0 || length > max) {
-            throw malformed("length " + length);
+            throw malformed("length " + length + " is not between 0 and " + max);
         }
         return length;
     }
@@ -218,7 +219,7 @@
     static FleetException malformed(String detail) {
         return new FleetException(
                 FleetException.Code.MESSAGE_INVALID,
-                "no message of ours: " + detail,
+                "malformed message: " + detail,
                 "run the same version on all machines");
     }
 }
--- a/src/main/java/quartzspan/transport/TcpTransport.java
+++ b/src/main/java/quartzspan/transport/TcpTransport.java
@@ -29,14 +29,17 @@
 import quartzspan.transport.MessageCodec.Hello;
 
 /**
- * Messages between the system's processes over TCP: each keeps one connection to every process that it writes to, and reads from
- * those that others opened. Nothing is promised: what can't be written soon is dropped, and the protocols above ask again.
- * All on one event loop.
+ * Sends messages between the system's processes over TCP. A process keeps one connection to every process to which it sends, and
+ * receives on the connections that others opened. Delivery is not guaranteed: messages that can't be written soon are dropped,
+ * and the protocols above retry. Runs on a single event loop.
  */
 public final class TcpTransport implements Transport {
     private static final Logger LOG = LoggerFactory.getLogger(TcpTransport.class);
     private static final int CONNECT_TIMEOUT_MS = 600;
-    /** A peer that sends nothing for so long: the connection may hang behind a partition, and a new one would not. */
+    /**
+     * Time without a message from the peer after a write, after which the connection is replaced: it can hang after a network
+     * partition, while a new one would work.
+     */
     private static final long RESPONSE_TIMEOUT_MS = 1_200;
 
     private static final long RECONNECT_INTERVAL_MS = 200;
@@ -55,14 +58,14 @@
         Channel channel;
         boolean connected;
         long connectStartedAtMs;
-        /** When something was first written since the other last said anything; 0 if all is answered. */
+        /** Time of the first write since the last message from the peer; 0 if nothing was written since. */
         long unansweredSinceMs;
 
         long lastUsedAtMs;
         final ArrayDeque<byte[]> queuedFrames = new ArrayDeque<>();
     }
 
-    /** A transport that has no connections yet; to be called on the event loop. */
+    /** Creates a transport without connections; it is to be called on the event loop. */
     public TcpTransport(EventLoop loop, Hello self, Receiver receiver) {
         this.loop = loop;
         this.self = self;
@@ -91,7 +94,7 @@
                 });
     }
 
-    /** Takes connections of others. */
+    /** Starts to accept connections of other processes. */
     public ChannelFuture listen(InetSocketAddress address) {
         return new ServerBootstrap()
                 .group(loop)
@@ -111,7 +114,7 @@
                 .bind(address);
     }
 
-    /** Reads one connection; whatever is no message of ours ends it. */
+    /** Receives the messages of one inbound connection; a malformed message closes it. */
     private final class InboundHandler extends SimpleChannelInboundHandler<ByteBuf> {
         private final long connectionNumber = inboundConnections.nextConnectionNumber();
         private Hello from;
@@ -124,7 +127,9 @@
             if (from == null) {
                 if (!(message instanceof Hello hello)) {
                     throw new FleetException(
-                            FleetException.Code.MESSAGE_INVALID, "no hello first", "run the same version everywhere");
+                            FleetException.Code.MESSAGE_INVALID,
+                            "the first message on a connection is not a hello",
+                            "run the same version on all machines");
                 }
                 from = hello;
                 return;
@@ -196,7 +201,8 @@
                 channel.close();
             } else if (completed.isSuccess()) {
                 connection.connected = true;
-                // What could not be written before does not make this connection a mute one.
+                // Messages that could not be written before must not count towards the response timeout of this
+                // connection.
                 connection.unansweredSinceMs = nowMs();
                 frameWriter.write(channel, MessageCodec.encode(self));
                 for (byte[] frame; (frame = connection.queuedFrames.poll()) != null; ) {
@@ -219,7 +225,7 @@
         connection.queuedFrames.clear();
     }
 
-    /** Closes connections that were not written to for long. */
+    /** Closes outgoing connections that were not used for {@code idleMs}. */
     public void closeIdle(long idleMs) {
         long now = nowMs();
         outgoingConnections.values().removeIf(connection -> {
@@ -233,11 +239,11 @@
         });
     }
 
-    /** HttpFraming, and a bound to what may pile up behind a peer that does not read. */
+    /** Writes frames in batches, and bounds the bytes buffered for a peer that does not read. */
     private final class FrameWriter {
         private final Set<Channel> unflushedChannels = new HashSet<>();
 
-        /** Writes a message; those of one turn of the event loop go out together. */
+        /** Writes a frame; all frames of one iteration of the event loop are flushed together. */
         void write(Channel channel, byte[] bytes) {
             if (channel.unsafe().outboundBuffer() != null
                     && channel.unsafe().outboundBuffer().totalPendingWriteBytes() > MAX_UNSENT_BYTES) {
--- a/src/main/java/quartzspan/transport/Transport.java
+++ b/src/main/java/quartzspan/transport/Transport.java
@@ -2,12 +2,12 @@
 
 import quartzspan.transport.MessageCodec.Hello;
 
-/** Messages to other processes of the system, unreliable: each comes once or not at all, those of one sender in order. */
+/** Unreliable messages between the system's processes: delivered at most once, and in order for each sender. */
 public interface Transport {
-    /** Sends to an internal address, {@code IP:PORT}. */
+    /** Sends a message to an internal address, {@code IP:PORT}. */
     void send(String to, Object message);
 
-    /** Where messages of others come to. */
+    /** Receives the messages of other processes. */
     interface Receiver {
         void received(Hello from, Object message);
     }
--- a/src/main/java/quartzspan/transport/package-info.java
+++ b/src/main/java/quartzspan/transport/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Messages between the processes of the system, in SBE over TCP.
+ * Transport of the messages between the system's processes, in SBE over TCP.
  *
  * <p>Its event loop owns the connections. May import {@code common}, {@code http}, and the packages whose messages it encodes.
  */
--- a/src/test/java/quartzspan/registry/AcknowledgementTrackerTest.java
+++ b/src/test/java/quartzspan/registry/AcknowledgementTrackerTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** When news count as held by enough other core machines. */
+/** Counting of the core machines that have acknowledged entries, and the retries to those that have not. */
 class AcknowledgementTrackerTest {
     private static final List<String> CORES = List.of("c1:1", "c2:1", "c3:1", "c4:1", "c5:1");
     private static final RegistryEntry DRAINING =
@@ -44,11 +44,11 @@
         long nonce = broadcast(2);
         acknowledge("c2:1", nonce);
         acknowledge("c2:1", nonce);
-        assertEquals(0, acknowledgedCount, "one machine is not two");
+        assertEquals(0, acknowledgedCount, "the same machine counts once");
         acknowledge("c3:1", nonce);
         assertEquals(1, acknowledgedCount);
         acknowledge("c4:1", nonce);
-        assertEquals(1, acknowledgedCount, "told once");
+        assertEquals(1, acknowledgedCount, "the callback runs once");
     }
 
     @Test
@@ -92,7 +92,7 @@
         }
         assertEquals(AcknowledgementTracker.MAX_PENDING, acknowledgements.size());
         acknowledgements.onAcknowledgement(1, "c2:1");
-        assertEquals(0, acknowledgedCount, "the oldest was given up");
+        assertEquals(0, acknowledgedCount, "the oldest is no longer tracked");
         acknowledgements.onAcknowledgement(3L * AcknowledgementTracker.MAX_PENDING, "c2:1");
         assertEquals(1, acknowledgedCount);
     }
@@ -103,7 +103,10 @@
         List<Sent> replies = new ArrayList<>();
         Gossip receiver = new Gossip("c2:1", true, CORES, registry, (to, message) -> {
             if (message.kind() == GossipMessage.Kind.REPLY) {
-                assertEquals(DRAINING, registry.entry(RegistryEntry.Subject.SERVER, "i"), "held before the receipt");
+                assertEquals(
+                        DRAINING,
+                        registry.entry(RegistryEntry.Subject.SERVER, "i"),
+                        "merged before the acknowledgement is sent");
                 replies.add(new Sent(to, message));
             }
         });
--- a/src/test/java/quartzspan/registry/GossipBatchTest.java
+++ b/src/test/java/quartzspan/registry/GossipBatchTest.java
@@ -11,7 +11,7 @@
 import quartzspan.replication.Change;
 import quartzspan.replication.ControlState;
 
-/** When a core machine sends updates that come soon after one another. */
+/** Batching of updates that follow one another closely on a core machine. */
 class GossipBatchTest {
     private static final String PROXY = "p1:1";
     private static final String PEER = "c2:1";
@@ -26,7 +26,7 @@
         }
     }
 
-    /** The proxy sends a query, and so gets updates at once. */
+    /** Subscribes the proxy to updates by a query. */
     private void subscribe(long now) {
         gossip.onGossip(now, PROXY, new Registry().query(now, 1, false));
     }
@@ -48,13 +48,13 @@
         subscribe(0);
         gossip.broadcast(0, entry("i-1", 1));
         gossip.broadcast(10, entry("i-2", 1));
-        assertEquals(1, toProxy.size(), "collected");
+        assertEquals(1, toProxy.size(), "batched");
         gossip.broadcast(45, entry("i-3", 1));
         List<String> sent =
                 toProxy.get(1).entries().stream().map(RegistryEntry::key).toList();
         assertEquals(List.of("i-2", "i-3"), sent);
         gossip.onTick(90, null);
-        assertEquals(2, toProxy.size(), "once");
+        assertEquals(2, toProxy.size(), "sent once");
     }
 
     @Test
@@ -67,6 +67,6 @@
         gossip.onPublished(10);
         gossip.broadcast(45, entry("i-1", 1));
         gossip.onTick(90, null);
-        assertFalse(toProxy.stream().allMatch(message -> message.deltas().isEmpty()), "the step from 1 to 2 is sent");
+        assertFalse(toProxy.stream().allMatch(message -> message.deltas().isEmpty()), "the delta from 1 to 2 is sent");
     }
 }
--- a/src/test/java/quartzspan/registry/RegistryEntryTest.java
+++ b/src/test/java/quartzspan/registry/RegistryEntryTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which of two entries about one server holds, in whatever order they come. */
+/** Which of two entries of one server supersedes the other, in whatever order they arrive. */
 class RegistryEntryTest {
     private static RegistryEntry entry(long seq, RegistryEntry.State state, String text) {
         return new RegistryEntry(RegistryEntry.Subject.SERVER, "i", seq, state, text);
@@ -17,7 +17,7 @@
 
     @Test
     void laterEntriesOfOtherMachinesDoNotUndoDraining() {
-        // While one machine hears that it leaves, another one counts its weights twice.
+        // One machine receives the notice that the server is draining, while another one updates its weights twice.
         Registry firstRegistry = new Registry();
         HeartbeatTracker firstTracker = new HeartbeatTracker(firstRegistry, 1_000);
         Registry secondRegistry = new Registry();
--- a/src/test/java/quartzspan/registry/RegistryTest.java
+++ b/src/test/java/quartzspan/registry/RegistryTest.java
@@ -19,9 +19,9 @@
 import quartzspan.replication.Change;
 import quartzspan.replication.ControlState;
 
-/** How entries win over each other, gossip, and are repaired; and who counts as lost. */
+/** Precedence, gossip and repair of entries, and detection of lost servers and proxies. */
 class RegistryTest {
-    /** A message that is on its way. */
+    /** A message that has been sent and not yet delivered. */
     private record InFlight(String from, String to, GossipMessage message) {}
 
     private static Server server(String id, long weights) {
@@ -33,14 +33,14 @@
         Registry registry = new Registry();
         HeartbeatTracker tracker = new HeartbeatTracker(registry, 1_000);
         assertNotNull(tracker.onServerHeartbeat(0, "i", 5, RegistryEntry.State.READY, server("i", 1)));
-        assertNull(tracker.onServerHeartbeat(10, "i", 6, RegistryEntry.State.READY, server("i", 1)), "nothing new");
+        assertNull(tracker.onServerHeartbeat(10, "i", 6, RegistryEntry.State.READY, server("i", 1)), "no change");
         assertNotNull(tracker.onServerHeartbeat(20, "i", 8, RegistryEntry.State.DRAINING, server("i", 1)));
-        assertNull(tracker.onServerHeartbeat(30, "i", 7, RegistryEntry.State.READY, server("i", 1)), "late");
+        assertNull(tracker.onServerHeartbeat(30, "i", 7, RegistryEntry.State.READY, server("i", 1)), "out of order");
         tracker.onServerHeartbeat(40, "i", 9, RegistryEntry.State.READY, server("i", 1));
         assertEquals(
                 RegistryEntry.State.DRAINING,
                 registry.entry(RegistryEntry.Subject.SERVER, "i").state(),
-                "who leaves does not come back");
+                "a draining server does not become ready again");
         assertNotNull(tracker.onDeregistered(50, "i"));
         assertNull(tracker.onServerHeartbeat(60, "i", 99, RegistryEntry.State.READY, server("i", 1)));
         assertEquals(
@@ -65,7 +65,7 @@
         assertEquals(
                 9,
                 Server.of(registry.entry(RegistryEntry.Subject.SERVER, "i")).loadingVersion(),
-                "what it loads it doesn't say itself");
+                "a report of the server does not reset the version being loaded");
     }
 
     @Test
@@ -86,7 +86,7 @@
                 RegistryEntry.State.READY,
                 registry.entry(RegistryEntry.Subject.SERVER, "i").state());
         tracker.restartTimeouts(50_000);
-        assertTrue(tracker.expireTimedOut(52_000).isEmpty(), "nothing was heard while out of touch");
+        assertTrue(tracker.expireTimedOut(52_000).isEmpty(), "the timeout starts again after a disconnection");
     }
 
     @Test
@@ -101,16 +101,15 @@
         Registry proxy = new Registry();
         GossipMessage reply = core.reply(1_000, proxy.query(40, 7, false));
         proxy.merge(60, reply, 40);
-        assertTrue(proxy.freshAtMs() < -1_000_000, "fresher than what it holds");
+        assertTrue(proxy.freshAtMs() < -1_000_000, "the state of the reply has not been received yet");
         assertTrue(proxy.stateFollower().install(Snapshot.of(1, core.state())));
-        assertEquals(
-                -60, proxy.freshAtMs(), "asked at 40, and 100 old by then: the state that it spoke of is held now");
+        assertEquals(-60, proxy.freshAtMs(), "queried at 40, with a state of age 100, which has now been received");
         Registry behind = new Registry();
         behind.publish(0, ControlState.EMPTY);
         behind.merge(60, reply, 40);
-        assertTrue(behind.freshAtMs() < -1_000_000, "it holds an older state than the answer speaks of");
-        assertFalse(proxy.publish(0, ControlState.EMPTY), "never backwards");
-        assertFalse(proxy.stateFollower().install(Snapshot.of(0, PublishedState.EMPTY)), "never backwards");
+        assertTrue(behind.freshAtMs() < -1_000_000, "its state is older than that of the reply");
+        assertFalse(proxy.publish(0, ControlState.EMPTY), "the index never decreases");
+        assertFalse(proxy.stateFollower().install(Snapshot.of(0, PublishedState.EMPTY)), "the index never decreases");
         assertEquals(3, proxy.state().configuration().version());
     }
 
@@ -130,7 +129,7 @@
         assertEquals(List.of("c:1"), query);
         gossip.onTick(1_000, null);
         assertEquals(2, query.size());
-        assertFalse(query.get(1).equals("c:1"), "it did not answer");
+        assertFalse(query.get(1).equals("c:1"), "c:1 did not reply");
         RegistryEntry entry = registry.entry(RegistryEntry.Subject.CORE, "c:1");
         assertEquals(new CoreMachine("c:1", "10.0.0.1:80", "z2"), CoreMachine.of(entry));
     }
@@ -151,10 +150,10 @@
             after.removeAll(before);
             moved += after.size();
         }
-        assertTrue(moved < 15, moved + " of 180 moved");
+        assertTrue(moved < 15, moved + " of 180 selections changed");
     }
 
-    /** Forty proxies and three core machines over links that lose a part of all messages: in the end all know all. */
+    /** 40 proxies and three core machines on links that lose one message in ten: all processes converge to all entries. */
     @Test
     void updatesReachAllProcessesDespiteMessageLoss() {
         SplittableRandom random = new SplittableRandom(9);
--- a/src/test/java/quartzspan/registry/StateGossipTest.java
+++ b/src/test/java/quartzspan/registry/StateGossipTest.java
@@ -20,7 +20,7 @@
 import quartzspan.replication.ControlState;
 import quartzspan.transport.MessageCodec;
 
-/** How the published state reaches every process: by steps where they fit, else by a snapshot; never backwards. */
+/** Replication of the published state: by deltas where they apply, otherwise by a snapshot; its index never decreases. */
 class StateGossipTest {
     private static final int ROUTES = 200;
 
@@ -44,7 +44,7 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    /** The state after one route changed; now and then sent as a whole, as weights, or with routes added and removed. */
+    /** The state after a change: one route updated, or by number the weights, the complete configuration, or a route added and one removed. */
     private static ControlState withChange(ControlState state, int number) {
         long version = state.configuration().version();
         Change change =
@@ -74,7 +74,7 @@
         return JsonFields.parse(state.configuration().bytes());
     }
 
-    /** Processes on links that lose, delay and reorder messages. */
+    /** Processes on simulated links that lose, delay and reorder messages. */
     private static final class Fleet {
         private record InFlight(long at, long order, String from, String to, GossipMessage message) {}
 
@@ -147,7 +147,7 @@
             if (registry != null) {
                 long before = registry.stateIndex();
                 gossips.get(f.to()).onGossip(now, f.from(), f.message());
-                assertTrue(registry.stateIndex() >= before, "backwards");
+                assertTrue(registry.stateIndex() >= before, "the index of the state decreased");
             }
         }
 
@@ -178,7 +178,7 @@
                 fleet.run(fleet.now + 40 + fleet.random.nextInt(120));
                 state = withChange(state, i);
                 index += 1 + fleet.random.nextInt(2);
-                // Another primary may not have heard of the last changes; its replica has them all the same.
+                // The gossip of a new primary may lack the last changes, but its replica has them.
                 fleet.publish(fleet.cores.get(i / 21), index, state);
                 if (i % 15 == 0) {
                     fleet.start("late" + i + ":1", fleet.cores);
@@ -209,8 +209,8 @@
         long maxBytes =
                 fleet.stateBytesTo.values().stream().mapToLong(b -> b).max().orElseThrow();
         long configurationBytes = state.configuration().bytes().length;
-        assertTrue(configurationBytes > 20_000, "a configuration of " + configurationBytes + " bytes");
-        assertTrue(maxBytes / changes < 1_300, maxBytes / changes + " bytes to one process for each change");
+        assertTrue(configurationBytes > 20_000, "configuration of " + configurationBytes + " bytes");
+        assertTrue(maxBytes / changes < 1_300, maxBytes / changes + " bytes sent to one process per change");
     }
 
     @Test
@@ -223,7 +223,7 @@
         fleet.run(4_000);
         fleet.assertAllHave(1, state);
         long compressedBytes = Snapshot.of(1, PublishedState.of(state)).bytes().length;
-        assertTrue(compressedBytes < state.configuration().bytes().length / 4, compressedBytes + " bytes compressed");
+        assertTrue(compressedBytes < state.configuration().bytes().length / 4, compressedBytes + " compressed bytes");
         Map<String, Integer> oneChunkEach = new TreeMap<>();
         fleet.registries.keySet().forEach(name -> oneChunkEach.put(name, 1));
         oneChunkEach.remove("c1:1");
@@ -241,25 +241,25 @@
         publisher.publish(6, third);
         List<StateDelta> deltas = publisher.deltasSince(3);
         assertEquals(2, deltas.size());
-        assertTrue(publisher.deltasSince(5).isEmpty(), "no state at 5 is known");
+        assertTrue(publisher.deltasSince(5).isEmpty(), "there is no state with index 5");
 
         StateFollower empty = new StateFollower();
-        assertFalse(empty.apply(deltas), "nothing to build on");
+        assertFalse(empty.apply(deltas), "there is no state to which the deltas apply");
         StateFollower gap = new StateFollower();
         gap.publish(3, first);
-        assertFalse(gap.apply(deltas.subList(1, 2)), "a step is missing");
+        assertFalse(gap.apply(deltas.subList(1, 2)), "a delta is missing");
         assertEquals(3, gap.index());
-        assertTrue(gap.apply(List.of(deltas.get(1), deltas.get(0))), "what fits is taken");
+        assertTrue(gap.apply(List.of(deltas.get(1), deltas.get(0))), "the delta that applies is applied");
         assertEquals(4, gap.index());
-        assertTrue(gap.apply(deltas), "the rest follows");
-        assertFalse(gap.apply(deltas), "stale");
+        assertTrue(gap.apply(deltas), "the remaining delta is applied");
+        assertFalse(gap.apply(deltas), "already applied");
         assertEquals(document(PublishedState.of(third)), document(gap.state()));
-        assertEquals(deltas.size(), gap.deltasSince(3).size(), "and is passed on");
+        assertEquals(deltas.size(), gap.deltasSince(3).size(), "received deltas are passed on");
 
         StateFollower damaged = new StateFollower();
         damaged.publish(3, first);
         assertFalse(damaged.apply(List.of(new StateDelta(3, 4, new byte[] {1, 2, 3}))));
-        assertEquals(3, damaged.index(), "what can't be applied is not guessed");
+        assertEquals(3, damaged.index(), "a malformed delta does not change the state");
     }
 
     @Test
@@ -287,7 +287,7 @@
         assertEquals(2, registry.stateIndex());
     }
 
-    /** A snapshot in parts: reading goes on while newer states come, and each part is asked for by itself. */
+    /** A large snapshot is fetched chunk by chunk, and the fetch continues while newer states are published. */
     @Test
     void largeSnapshotIsFetchedInChunksDuringFurtherChanges() {
         SplittableRandom random = new SplittableRandom(1);
@@ -310,7 +310,7 @@
         fleet.assertAllHave(41, state);
         int parts = (Snapshot.of(41, PublishedState.of(state)).bytes().length + SnapshotChunk.MAX_BYTES - 1)
                 / SnapshotChunk.MAX_BYTES;
-        assertTrue(parts > 2, parts + " parts");
+        assertTrue(parts > 2, parts + " chunks");
         fleet.stateBytesTo.forEach((name, bytes) ->
                 assertTrue(bytes < 2L * (parts + 1) * SnapshotChunk.MAX_BYTES, bytes + " bytes to " + name));
     }
@@ -329,7 +329,7 @@
         stale.publish(1, old);
         gossip.onGossip(fleet.now, "stale:1", GossipMessage.update(0, 1, List.of(), List.of()));
         gossip.onGossip(fleet.now, "stale:1", stale.reply(fleet.now, isolated.query(fleet.now, 5, false)));
-        assertTrue(isolated.freshAtMs() < -1_000_000, "nobody fresh was asked");
+        assertTrue(isolated.freshAtMs() < -1_000_000, "no process with a fresh state was queried");
         ControlState next = withChange(old, 4);
         fleet.publish("c2:1", 2, next);
         fleet.run(fleet.now + 3_000);
--- a/src/test/java/quartzspan/store/MemoryDisk.java
+++ b/src/test/java/quartzspan/store/MemoryDisk.java
@@ -6,17 +6,17 @@
 import java.util.SplittableRandom;
 import quartzspan.common.FleetException;
 
-/** A disk in memory that can lose power, be full, and tear what was not synced. */
+/** A disk in memory that simulates power loss, a full disk, and torn writes of bytes that were not synced. */
 final class MemoryDisk implements Disk {
     private final Map<String, byte[]> current = new HashMap<>();
     private final Map<String, byte[]> synced = new HashMap<>();
-    /** Operations until power goes; negative: never. */
+    /** Number of operations before the power loss; negative for none. */
     int powerLossAfterOperations = -1;
 
     boolean full;
     int operations;
 
-    /** Power is gone. */
+    /** Thrown by operations after the power loss. */
     static final class PowerLoss extends RuntimeException {
         private static final long serialVersionUID = 1L;
     }
@@ -40,7 +40,7 @@
         if (full) {
             byte[] written = Arrays.copyOf(bytes, bytes.length / 2);
             put(name, position, written, old);
-            throw new FleetException(FleetException.Code.STORE_REFUSES, "full", "free space");
+            throw new FleetException(FleetException.Code.STORE_REFUSES, "the disk is full", "free space");
         }
         put(name, position, bytes, old);
         countOperation();
@@ -70,7 +70,7 @@
         countOperation();
     }
 
-    /** What is there once power is back: of what was not synced all, nothing, or a part with noise in it. */
+    /** The disk after the power loss: of the unsynced bytes of each file, all, none, or a torn part survives. */
     MemoryDisk afterPowerLoss(SplittableRandom random) {
         MemoryDisk next = new MemoryDisk();
         for (Map.Entry<String, byte[]> e : current.entrySet()) {
@@ -102,7 +102,7 @@
         return next;
     }
 
-    /** The bytes of a file, to spoil them. */
+    /** The bytes of a file, for tests that corrupt them. */
     byte[] rawBytes(String name) {
         return current.get(name);
     }
--- a/src/test/java/quartzspan/store/SlotStoreTest.java
+++ b/src/test/java/quartzspan/store/SlotStoreTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import quartzspan.common.FleetException;
 
-/** What every disk must give a store, and what a store makes of disks that fail. */
+/** The contract of a store on any disk, and its behaviour on disks that fail. */
 class SlotStoreTest {
     @TempDir
     Path directory;
@@ -63,7 +63,7 @@
         assertNull(new SlotStore(disks.apply(true)).open().state());
     }
 
-    /** What was done before power went is there; what was being done is there whole or not at all. */
+    /** Completed operations survive a power loss; one in progress is recovered completely or not at all. */
     @Test
     void recoversFromPowerLossBetweenAnyTwoOperations() {
         for (int operations = 0; operations < 45; operations++) {
@@ -86,7 +86,7 @@
                         inProgress = null;
                     }
                 } catch (MemoryDisk.PowerLoss powerLoss) {
-                    // What is there now is looked at below.
+                    // The contents after the power loss are checked below.
                 }
                 SlotStore.Contents contents = new SlotStore(disk.afterPowerLoss(new SplittableRandom(seed))).open();
                 List<byte[]> all = new ArrayList<>();
@@ -98,7 +98,7 @@
                 byte[] expected = completed.isEmpty() ? null : completed.get(completed.size() - 1);
                 boolean recovered = java.util.Arrays.equals(newest, expected)
                         || inProgress != null && java.util.Arrays.equals(newest, inProgress);
-                assertTrue(recovered, "power gone after " + operations + ", seed " + seed);
+                assertTrue(recovered, "power loss after operation " + operations + ", seed " + seed);
             }
         }
     }
@@ -123,7 +123,7 @@
         assertArrayEquals(bytes(6, 9), contents.records().get(1));
     }
 
-    /** Any bit of anything synced that turns over is seen: the older state is never passed off as the newest. */
+    /** A flipped bit in synced data is detected: an older state is never returned as the newest. */
     @Test
     void flippedBitIsDetected() {
         MemoryDisk disk = new MemoryDisk();
@@ -139,7 +139,7 @@
             if (i < last) {
                 assertThrows(FleetException.class, () -> new SlotStore(disk).open(), "byte " + i);
             } else {
-                // The last record might as well have been torn, before it was answered for.
+                // An invalid last record can't be distinguished from one that was torn before it was acknowledged.
                 assertEquals(1, new SlotStore(disk).open().records().size());
             }
             log[i] ^= 4;
@@ -152,7 +152,7 @@
         }
     }
 
-    /** A process is killed between a write and its sync, the next one reads the record, and then power is lost. */
+    /** A process is killed between a write and its sync, the next process reads the record, and then power is lost. */
     @Test
     void unsyncedRecordsThatWereReadSurviveAPowerLoss() {
         for (int seed = 0; seed < 200; seed++) {
--- a/src/test/java/quartzspan/transport/MessageCodecTest.java
+++ b/src/test/java/quartzspan/transport/MessageCodecTest.java
@@ -20,7 +20,7 @@
 import quartzspan.replication.ReplicaMessage;
 import quartzspan.transport.MessageCodec.Hello;
 
-/** What goes in comes out; what is cut or spoilt is refused or read as something, and never worse. */
+/** Messages are decoded as encoded; a truncated or corrupted one is decoded or rejected with the documented exception. */
 class MessageCodecTest {
     private static final Hello HELLO = new Hello(true, "10.0.0.1:70", "10.0.0.1:80", "zône");
     private static final ReplicaMessage REPLICA_MESSAGE = new ReplicaMessage(
--- a/src/test/java/quartzspan/transport/MessageCompatibilityTest.java
+++ b/src/test/java/quartzspan/transport/MessageCompatibilityTest.java
@@ -20,7 +20,7 @@
 import quartzspan.replication.ReplicaMessage;
 import quartzspan.transport.MessageCodec.Hello;
 
-/** A message of each kind between processes, as an earlier version has encoded it. */
+/** One message of each kind, compared with its encoding by an earlier version. */
 class MessageCompatibilityTest {
     private static final Epoch EPOCH = new Epoch(5, "10.0.0.1:7640", -9);
     private static final Membership MEMBERSHIP = new Membership(
--- a/src/test/java/quartzspan/transport/TransportContractTest.java
+++ b/src/test/java/quartzspan/transport/TransportContractTest.java
@@ -31,7 +31,7 @@
 import quartzspan.replication.ReplicaMessage;
 import quartzspan.transport.MessageCodec.Hello;
 
-/** What every post must do, the real one and the one that tests use; and what the real one makes of nonsense. */
+/** The contract of the TCP transport and of the one in memory, and the handling of malformed input over TCP. */
 class TransportContractTest {
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
@@ -43,7 +43,7 @@
 
     private record Received(Hello from, Object message) {}
 
-    /** Messages go through their bytes here too. */
+    /** A transport in memory that encodes and decodes each message. */
     private static final class InMemoryTransport implements Transport {
         private final Map<String, Receiver> receivers;
         private final Hello self;
@@ -171,15 +171,18 @@
                 OutputStream out = s.getOutputStream();
                 out.write(bytes);
                 out.flush();
-                assertEquals(-1, s.getInputStream().read(), "closed");
+                assertEquals(-1, s.getInputStream().read(), "the connection is closed");
             }
         }
-        // Half a message, and its writer gone.
+        // A truncated frame, after which the sender closes the connection.
         try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
             s.getOutputStream().write(helloFrame, 0, helloFrame.length - 3);
         }
         fromA.send(b.address(), message(2, 1));
-        assertEquals(2, ((ReplicaMessage) atB.poll(10, TimeUnit.SECONDS).message()).nonce(), "the others go on");
+        assertEquals(
+                2,
+                ((ReplicaMessage) atB.poll(10, TimeUnit.SECONDS).message()).nonce(),
+                "other connections are not affected");
     }
 
     @Test
@@ -199,7 +202,7 @@
         assertTrue(received != null);
     }
 
-    /** A process that opens connections by itself, and writes frames on them when told. */
+    /** A peer with a plain socket, which writes frames under the control of the test. */
     private static final class RawPeer implements AutoCloseable {
         private final Socket socket;
 
@@ -251,7 +254,7 @@
                 replaced.write(message(3, 1));
                 assertTrue(replaced.closed());
                 current.write(message(4, 1));
-                assertEquals(4, nonce(atB), "and 3 never came");
+                assertEquals(4, nonce(atB), "message 3 is not delivered");
             }
         }
     }
@@ -273,7 +276,7 @@
                     assertTrue(resumed.closed());
                 }
                 successor.write(message(4, 1));
-                assertEquals(4, nonce(atB), "and 3 never came");
+                assertEquals(4, nonce(atB), "message 3 is not delivered");
             }
         }
     }
