--- a/src/main/java/quartzspan/registry/Gossip.java
+++ b/src/main/java/quartzspan/registry/Gossip.java
@@ -70,7 +70,7 @@
     private long lastNonce;
     private long nextCoreQueryAtMs;
     private long nextPeerQueryAtMs;
-    private int roundRobin;
+    private int roundRobinCounter;
     private boolean acknowledgementsStopped;
     /** Core machines in order of preference, cached until the registry or the preference changes. */
     private List<String> rankedCores = List.of();
@@ -168,7 +168,11 @@
         return rankedPeers;
     }
 
-    /** To be called every 50 to 100 ms; {@code primary} is the address of the primary on another core machine, null otherwise. */
+    /**
+     * To be called every 50 to 100 ms.
+     *
+     * @param primary on a core machine the address of the primary, if it is known and another machine; otherwise null
+     */
     public void onTick(long now, String primary) {
         broadcastIfDue(now);
         String unresponsive = stateFetch.onTick(now);
@@ -192,9 +196,10 @@
                 query(now, primary, false);
             } else if (!cores.isEmpty()) {
                 query(now, cores.get(0), false);
-                // If the preferred machine fails, another one is queried in addition, so that its recovery is noticed.
+                // A failing first choice is still queried, as it may have recovered; another one is queried in
+                // addition.
                 if (failureCounts.getOrDefault(cores.get(0), 0) > 0 && cores.size() > 1) {
-                    query(now, cores.get(1 + roundRobin++ % (cores.size() - 1)), false);
+                    query(now, cores.get(1 + roundRobinCounter++ % (cores.size() - 1)), false);
                 }
             }
         }
@@ -202,10 +207,10 @@
             nextPeerQueryAtMs = now + PEER_QUERY_INTERVAL_MS;
             List<String> peers = isCoreMachine ? cores() : peers();
             if (!peers.isEmpty()) {
-                query(now, peers.get(roundRobin++ % peers.size()), false);
+                query(now, peers.get(roundRobinCounter++ % peers.size()), false);
             }
             subscribers.values().removeIf(at -> now - at > SUBSCRIPTION_TTL_MS);
-            if (failureCounts.size() > 0 && roundRobin % 8 == 0) {
+            if (failureCounts.size() > 0 && roundRobinCounter % 8 == 0) {
                 failureCounts.replaceAll((k, v) -> v / 2);
             }
         }
--- a/src/main/java/quartzspan/registry/Registry.java
+++ b/src/main/java/quartzspan/registry/Registry.java
@@ -21,7 +21,7 @@
     static final int BUCKETS = 32;
 
     private static final int MAX_FRESHNESS_CLAIMS = 16;
-    /** Retention of entries in a final state, so that a delayed update does not restore them. */
+    /** Retention of entries that are {@code GONE} or {@code LOST}, so that a delayed update does not restore them. */
     private static final long TOMBSTONE_TTL_MS = 120_000;
 
     private final Map<RegistryEntry.Subject, SubjectEntries> entriesBySubject =
@@ -154,7 +154,7 @@
         digest ^= digests;
     }
 
-    /** Removes entries that have been in a final state for longer than {@link #TOMBSTONE_TTL_MS}. */
+    /** Removes entries that have been {@code GONE} or {@code LOST} for {@link #TOMBSTONE_TTL_MS}. */
     public void expire(long now) {
         endedAtMs.entrySet().removeIf(e -> {
             if (now - e.getValue() < TOMBSTONE_TTL_MS) {
@@ -224,7 +224,7 @@
                 SnapshotChunk.NONE);
     }
 
-    /** The reply to a query: the entries of the differing buckets, or the digests of all buckets for a full query. */
+    /** The reply to a query: the entries of the differing buckets if the query is full, and all bucket digests unless one digest matches. */
     GossipMessage reply(long now, GossipMessage query) {
         boolean same = query.digests().length == 1 && query.digests()[0] == digest;
         return new GossipMessage(
--- a/src/main/java/quartzspan/registry/StateFollower.java
+++ b/src/main/java/quartzspan/registry/StateFollower.java
@@ -15,7 +15,7 @@
     private long index = -1;
     private PublishedState state = PublishedState.EMPTY;
     private final DeltaHistory history = new DeltaHistory();
-    /** The snapshot served last. It is kept after later changes, so that processes that fetch its chunks need not start over. */
+    /** The snapshot served or installed last. It is kept after later changes, so that processes that fetch it need not start over. */
     private Snapshot snapshot;
 
     long index() {
--- a/src/main/java/quartzspan/store/SlotStore.java
+++ b/src/main/java/quartzspan/store/SlotStore.java
@@ -22,7 +22,6 @@
     private static final int SLOT_HEADER_BYTES = 16;
     private static final int LOG_HEADER_BYTES = 8;
     private static final int RECORD_HEADER_BYTES = 8;
-    /** Maximum size of a state. */
     private static final int MAX_STATE_BYTES = 32 * 1024 * 1024;
 
     /** The stored state and the records appended since; {@code state} is null if no checkpoint was ever completed. */
--- a/src/main/java/quartzspan/transport/TcpTransport.java
+++ b/src/main/java/quartzspan/transport/TcpTransport.java
@@ -225,7 +225,7 @@
         connection.queuedFrames.clear();
     }
 
-    /** Closes outgoing connections that were not used for {@code idleMs}. */
+    /** Closes outgoing connections on which nothing was sent for {@code idleMs}. */
     public void closeIdle(long idleMs) {
         long now = nowMs();
         outgoingConnections.values().removeIf(connection -> {
--- a/src/test/java/quartzspan/registry/StateGossipTest.java
+++ b/src/test/java/quartzspan/registry/StateGossipTest.java
@@ -308,11 +308,11 @@
         }
         fleet.run(fleet.now + 1_000);
         fleet.assertAllHave(41, state);
-        int parts = (Snapshot.of(41, PublishedState.of(state)).bytes().length + SnapshotChunk.MAX_BYTES - 1)
+        int chunks = (Snapshot.of(41, PublishedState.of(state)).bytes().length + SnapshotChunk.MAX_BYTES - 1)
                 / SnapshotChunk.MAX_BYTES;
-        assertTrue(parts > 2, parts + " chunks");
+        assertTrue(chunks > 2, chunks + " chunks");
         fleet.stateBytesTo.forEach((name, bytes) ->
-                assertTrue(bytes < 2L * (parts + 1) * SnapshotChunk.MAX_BYTES, bytes + " bytes to " + name));
+                assertTrue(bytes < 2L * (chunks + 1) * SnapshotChunk.MAX_BYTES, bytes + " bytes to " + name));
     }
 
     @Test
