--- a/src/test/java/quartzspan/registry/RegistryTest.java
+++ b/src/test/java/quartzspan/registry/RegistryTest.java
@@ -168,9 +168,9 @@
         for (String name : all) {
             Registry registry = new Registry();
             registries.put(name, registry);
-            gossips.put(name, new Gossip(name, cores.contains(name), cores, registry, (to, t) -> {
+            gossips.put(name, new Gossip(name, cores.contains(name), cores, registry, (to, message) -> {
                 if (random.nextInt(10) > 0) {
-                    inFlight.add(new InFlight(name, to, t));
+                    inFlight.add(new InFlight(name, to, message));
                 }
             }));
         }
@@ -195,7 +195,7 @@
             for (String name : all) {
                 gossips.get(name).onTick(now, null);
             }
-            for (int k = inFlight.size(); k > 0; k--) {
+            for (int remaining = inFlight.size(); remaining > 0; remaining--) {
                 InFlight delivered = inFlight.poll();
                 if (gossips.containsKey(delivered.to())) {
                     gossips.get(delivered.to()).onGossip(now, delivered.from(), delivered.message());
--- a/src/test/java/quartzspan/registry/StateGossipTest.java
+++ b/src/test/java/quartzspan/registry/StateGossipTest.java
@@ -76,20 +76,21 @@
 
     /** Processes on simulated links that lose, delay and reorder messages. */
     private static final class Fleet {
-        private record InFlight(long at, long order, String from, String to, GossipMessage message) {}
+        private record InFlight(long deliverAtMs, long sequence, String from, String to, GossipMessage message) {}
 
         final List<String> cores = List.of("c1:1", "c2:1", "c3:1");
         final Map<String, Registry> registries = new LinkedHashMap<>();
         final Map<String, Gossip> gossips = new HashMap<>();
         final Map<String, Long> stateBytesTo = new HashMap<>();
         final Map<String, Integer> chunksTo = new TreeMap<>();
-        final PriorityQueue<InFlight> inFlight = new PriorityQueue<>(
-                (a, b) -> a.at() != b.at() ? Long.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
+        final PriorityQueue<InFlight> inFlight = new PriorityQueue<>((a, b) -> a.deliverAtMs() != b.deliverAtMs()
+                ? Long.compare(a.deliverAtMs(), b.deliverAtMs())
+                : Long.compare(a.sequence(), b.sequence()));
         final SplittableRandom random;
         final int lostPercent;
         final int delayMs;
-        long now;
-        private long sent;
+        long nowMs;
+        private long sentCount;
 
         Fleet(long seed, int proxies, int lostPercent, int delayMs) {
             random = new SplittableRandom(seed);
@@ -105,8 +106,8 @@
             Registry registry = new Registry();
             registries.put(name, registry);
             gossips.put(name, new Gossip(name, cores.contains(name), seeds, registry, (to, m) -> send(name, to, m)));
-            registries.values().forEach(r -> r.merge(now, entry(name)));
-            registries.keySet().forEach(other -> registry.merge(now, entry(other)));
+            registries.values().forEach(r -> r.merge(nowMs, entry(name)));
+            registries.keySet().forEach(other -> registry.merge(nowMs, entry(other)));
         }
 
         private RegistryEntry entry(String name) {
@@ -116,44 +117,44 @@
         }
 
         private void send(String from, String to, GossipMessage message) {
-            boolean state = !message.deltas().isEmpty()
+            boolean carriesState = !message.deltas().isEmpty()
                     || message.kind() == GossipMessage.Kind.UPDATE
                     || message.kind() == GossipMessage.Kind.FETCH
                     || message.kind() == GossipMessage.Kind.FETCH_REPLY;
-            if (state) {
+            if (carriesState) {
                 stateBytesTo.merge(to, (long) MessageCodec.encode(message).length, Long::sum);
             }
             if (message.chunk().totalBytes() > 0) {
                 chunksTo.merge(to, 1, Integer::sum);
             }
             if (random.nextInt(100) >= lostPercent) {
-                inFlight.add(new InFlight(now + 1 + random.nextInt(delayMs), sent++, from, to, message));
+                inFlight.add(new InFlight(nowMs + 1 + random.nextInt(delayMs), sentCount++, from, to, message));
             }
         }
 
         void run(long untilMs) {
-            for (; now < untilMs; now++) {
-                while (!inFlight.isEmpty() && inFlight.peek().at() <= now) {
+            for (; nowMs < untilMs; nowMs++) {
+                while (!inFlight.isEmpty() && inFlight.peek().deliverAtMs() <= nowMs) {
                     deliver(inFlight.poll());
                 }
-                if (now % 50 == 0) {
-                    gossips.values().forEach(g -> g.onTick(now, null));
+                if (nowMs % 50 == 0) {
+                    gossips.values().forEach(g -> g.onTick(nowMs, null));
                 }
             }
         }
 
-        private void deliver(InFlight f) {
-            Registry registry = registries.get(f.to());
+        private void deliver(InFlight delivery) {
+            Registry registry = registries.get(delivery.to());
             if (registry != null) {
                 long before = registry.stateIndex();
-                gossips.get(f.to()).onGossip(now, f.from(), f.message());
+                gossips.get(delivery.to()).onGossip(nowMs, delivery.from(), delivery.message());
                 assertTrue(registry.stateIndex() >= before, "the index of the state decreased");
             }
         }
 
         void publish(String core, long index, ControlState state) {
             if (registries.get(core).publish(index, state)) {
-                gossips.get(core).onPublished(now);
+                gossips.get(core).onPublished(nowMs);
             }
         }
 
@@ -175,7 +176,7 @@
             long index = 1;
             fleet.publish("c1:1", index, state);
             for (int i = 1; i <= 60; i++) {
-                fleet.run(fleet.now + 40 + fleet.random.nextInt(120));
+                fleet.run(fleet.nowMs + 40 + fleet.random.nextInt(120));
                 state = withChange(state, i);
                 index += 1 + fleet.random.nextInt(2);
                 // The gossip of a new primary may lack the last changes, but its replica has them.
@@ -184,7 +185,7 @@
                     fleet.start("late" + i + ":1", fleet.cores);
                 }
             }
-            fleet.run(fleet.now + 12_000);
+            fleet.run(fleet.nowMs + 12_000);
             fleet.assertAllHave(index, state);
         }
     }
@@ -202,9 +203,9 @@
         for (int i = 0; i < changes; i++) {
             state = state.with(update(state.configuration().version(), route(7, 100 + i), ""));
             fleet.publish("c1:1", 2 + i, state);
-            fleet.run(fleet.now + 200);
+            fleet.run(fleet.nowMs + 200);
         }
-        fleet.run(fleet.now + 1_000);
+        fleet.run(fleet.nowMs + 1_000);
         fleet.assertAllHave(1 + changes, state);
         long maxBytes =
                 fleet.stateBytesTo.values().stream().mapToLong(b -> b).max().orElseThrow();
@@ -304,9 +305,9 @@
         for (int i = 0; i < 40; i++) {
             state = state.with(update(state.configuration().version(), route(i, 100 + i), ""));
             fleet.publish("c1:1", 2 + i, state);
-            fleet.run(fleet.now + 20);
+            fleet.run(fleet.nowMs + 20);
         }
-        fleet.run(fleet.now + 1_000);
+        fleet.run(fleet.nowMs + 1_000);
         fleet.assertAllHave(41, state);
         int chunks = (Snapshot.of(41, PublishedState.of(state)).bytes().length + SnapshotChunk.MAX_BYTES - 1)
                 / SnapshotChunk.MAX_BYTES;
@@ -320,20 +321,20 @@
         Fleet fleet = new Fleet(6, 4, 0, 3);
         ControlState old = initialState();
         fleet.publish("c1:1", 1, old);
-        fleet.registries.get("c1:1").confirmFresh(fleet.now);
+        fleet.registries.get("c1:1").confirmFresh(fleet.nowMs);
         fleet.run(1_000);
         fleet.start("alone:1", List.of());
         Registry isolated = fleet.registries.get("alone:1");
         Gossip gossip = fleet.gossips.get("alone:1");
         Registry stale = new Registry();
         stale.publish(1, old);
-        gossip.onGossip(fleet.now, "stale:1", GossipMessage.update(0, 1, List.of(), List.of()));
-        gossip.onGossip(fleet.now, "stale:1", stale.reply(fleet.now, isolated.query(fleet.now, 5, false)));
+        gossip.onGossip(fleet.nowMs, "stale:1", GossipMessage.update(0, 1, List.of(), List.of()));
+        gossip.onGossip(fleet.nowMs, "stale:1", stale.reply(fleet.nowMs, isolated.query(fleet.nowMs, 5, false)));
         assertTrue(isolated.freshAtMs() < -1_000_000, "no process with a fresh state was queried");
         ControlState next = withChange(old, 4);
         fleet.publish("c2:1", 2, next);
-        fleet.run(fleet.now + 3_000);
-        gossip.onGossip(fleet.now, "stale:1", GossipMessage.update(0, 1, List.of(), List.of()));
+        fleet.run(fleet.nowMs + 3_000);
+        gossip.onGossip(fleet.nowMs, "stale:1", GossipMessage.update(0, 1, List.of(), List.of()));
         fleet.assertAllHave(2, next);
     }
 }
