--- a/src/main/java/quartzspan/registry/Gossip.java
+++ b/src/main/java/quartzspan/registry/Gossip.java
@@ -11,132 +11,139 @@
 import java.util.SplittableRandom;
 
 /**
- * Spreads the registry and the published state between processes, without clock or I/O: an update goes at once to a few peers,
- * which forward what was new to them; queries with digests find what was missed (anti-entropy); and replies carry the age of
- * the control state. The peers are chosen by rendezvous hashing ({@link Registry#rendezvousSelect}).
+ * Replicates the registry and the published state between processes. An update is sent at once to a few peers, which forward
+ * what was new to them; periodic queries with digests repair missed updates (anti-entropy); replies contain the age of the
+ * published state. Peers are selected by rendezvous hashing ({@link Registry#rendezvousSelect}). Performs no I/O and reads no
+ * clock.
  */
 public final class Gossip {
-    /** Time between queries to the core, and to other proxies. */
+    /** Interval between queries to a core machine. */
     private static final long CORE_QUERY_INTERVAL_MS = 250;
-
+    /** Interval between queries to a peer: another proxy, or on a core machine another core machine. */
     private static final long PEER_QUERY_INTERVAL_MS = 500;
-    /** A query that is not answered in this time counts as a failure of its receiver. */
+    /** A query that is not answered within this time counts as a failure of its recipient. */
     private static final long QUERY_TIMEOUT_MS = 400;
-    /** A core machine whose state is older than this counts as failing: another one may have it fresher. */
+    /** A reply with a state older than this counts as a failure of the core machine: another one may have a newer state. */
     private static final long MAX_STALENESS_MS = 900;
-    /** A process that sent a query within this time is sent updates at once. */
-    private static final long SUBSCRIPTION_MS = 1_500;
+    /** A process that has sent a query within this time receives updates as they occur. */
+    private static final long SUBSCRIPTION_TTL_MS = 1_500;
 
     private static final int PEER_COUNT = 3;
-    /** Updates within this time of the last broadcast are collected and sent together at the next tick. */
+    /** Updates within this time after the last broadcast are batched until the next update or tick. */
     private static final long BATCH_WINDOW_MS = 40;
 
     private static final long NEVER = Long.MIN_VALUE / 4;
     private static final Registry.Update NO_UPDATE = new Registry.Update(List.of(), false);
 
-    /** Where messages go. */
+    /** Sends messages to other processes. */
     public interface Sender {
         void send(String to, GossipMessage message);
     }
 
-    private record Query(String to, long at, boolean full) {}
+    private record Query(String to, long sentAtMs, boolean full) {}
 
     private final String self;
-    private final boolean core;
+    private final boolean isCoreMachine;
     private List<String> seeds;
     private final Registry registry;
     private final Sender sender;
     private final Map<Long, Query> openQueries = new LinkedHashMap<>();
     private final Map<String, Long> subscribers = new HashMap<>();
     private final AcknowledgementTracker acknowledgements = new AcknowledgementTracker();
-    /** Entries that wait for the next tick; the later of two about one key replaces the other. */
+    /** Entries to send with the next broadcast, by id; a later entry replaces an earlier one with the same key. */
     private final Map<String, RegistryEntry> pendingEntries = new LinkedHashMap<>();
 
     private boolean statePending;
-    /** Whether the pending state was published by this process. */
-    private boolean publishes;
-    /** Index of the state that was last broadcast. */
-    private long broadcastIndex = -1;
-
-    private final StateFetch fetches;
-    private long broadcastAtMs = Long.MIN_VALUE / 2;
-    /** Number of queries in a row that a core machine has not answered well. */
+    /** Whether this process published the pending state itself. */
+    private boolean pendingStateIsOwn;
+    /** Index of the last broadcast state. */
+    private long lastBroadcastIndex = -1;
+
+    private final StateFetch stateFetch;
+    private long lastBroadcastAtMs = Long.MIN_VALUE / 2;
+    /**
+     * Failures by process: requests that timed out, and replies with a stale state. Reset by a reply with a fresh state, and
+     * halved periodically.
+     */
     private final Map<String, Integer> failureCounts = new HashMap<>();
 
     private long lastNonce;
     private long nextCoreQueryAtMs;
     private long nextPeerQueryAtMs;
-    private int rotation;
-    private boolean acknowledgesNothing;
-    /** Ranked lists, kept until what they come from changes. */
+    private int roundRobinCounter;
+    private boolean acknowledgementsStopped;
+    /** Core machines in order of preference, cached until the registry or the preference changes. */
     private List<String> rankedCores = List.of();
 
-    /** The zone whose core machines are preferred; null for none. */
-    private String zone;
+    /** The zone whose core machines are preferred; null if there is none. */
+    private String preferredZone;
 
     private long rankedCoresVersion = -1;
     private List<String> rankedPeers = List.of();
     private long rankedPeersVersion = -1;
 
-    /** As below, with queries numbered from 1 on: for a process without an earlier incarnation. */
-    public Gossip(String self, boolean core, List<String> seeds, Registry registry, Sender sender) {
-        this(self, core, seeds, registry, sender, 0);
+    /** Like the other constructor, with nonces from 1: for a process without earlier incarnations. */
+    public Gossip(String self, boolean isCoreMachine, List<String> seeds, Registry registry, Sender sender) {
+        this(self, isCoreMachine, seeds, registry, sender, 0);
     }
 
     /**
-     * Starts without knowledge.
+     * Starts with the seeds as the only known core machines.
      *
-     * @param seeds internal addresses of core machines to begin with
-     * @param firstNonce the number before that of the first query: a reply to a query of an earlier incarnation of this
-     *     process must match none of this one, or old state would count as fresh
+     * @param seeds internal addresses of the initial core machines
+     * @param firstNonce the value before the first nonce. Replies to an earlier incarnation of this process must not match a
+     *     query of this one, otherwise an old state would count as fresh.
      */
-    public Gossip(String self, boolean core, List<String> seeds, Registry registry, Sender sender, long firstNonce) {
+    public Gossip(
+            String self, boolean isCoreMachine, List<String> seeds, Registry registry, Sender sender, long firstNonce) {
         this.self = self;
-        this.core = core;
+        this.isCoreMachine = isCoreMachine;
         this.seeds = seeds;
         this.registry = registry;
         this.sender = sender;
-        this.fetches = new StateFetch(registry.states(), firstNonce, sender);
+        this.stateFetch = new StateFetch(registry.stateFollower(), firstNonce, sender);
         this.lastNonce = firstNonce;
     }
 
-    /** A first nonce that no other incarnation is likely to be near, drawn by a seed. */
+    /** A random first nonce, most likely far from those of other incarnations. */
     public static long firstNonce(long seed) {
         return new SplittableRandom(seed).nextLong() >>> 2;
     }
 
-    /** Other core machines to begin with. */
-    public void setSeeds(List<String> changed) {
-        seeds = changed;
+    /** Replaces the initial core machines. */
+    public void setSeeds(List<String> newSeeds) {
+        seeds = newSeeds;
         rankedCoresVersion = -1;
     }
 
-    /** Prefers the core machines of a zone, so that updates cross between zones once, not for each proxy. */
-    public void preferZone(String preferred) {
-        zone = preferred;
+    /** Prefers the core machines of a zone, so that updates cross a zone boundary once rather than once per proxy. */
+    public void preferZone(String zone) {
+        preferredZone = zone;
         rankedCoresVersion = -1;
     }
 
-    /** The core machines known, best first. */
+    /** The known core machines in order of preference, with those that fail last. */
     public List<String> cores() {
-        long changes = registry.version(RegistryEntry.Subject.CORE);
-        if (rankedCoresVersion != changes) {
-            rankedCoresVersion = changes;
+        long version = registry.version(RegistryEntry.Subject.CORE);
+        if (rankedCoresVersion != version) {
+            rankedCoresVersion = version;
             List<String> ranked = new ArrayList<>(Registry.rendezvousSelect(self, knownCores(), Integer.MAX_VALUE));
-            ranked.sort(Comparator.comparing(address -> !near(address)));
+            ranked.sort(Comparator.comparing(address -> !isInPreferredZone(address)));
             rankedCores = List.copyOf(ranked);
         }
         if (failureCounts.values().stream().allMatch(p -> p == 0)) {
             return rankedCores;
         }
-        List<String> best = new ArrayList<>(rankedCores);
-        best.sort(Comparator.comparingInt(c -> failureCounts.getOrDefault(c, 0)));
-        return best;
+        List<String> byFailures = new ArrayList<>(rankedCores);
+        byFailures.sort(Comparator.comparingInt(c -> failureCounts.getOrDefault(c, 0)));
+        return byFailures;
     }
 
-    private boolean near(String address) {
+    private boolean isInPreferredZone(String address) {
         RegistryEntry entry = registry.entry(RegistryEntry.Subject.CORE, address);
-        return zone != null && entry != null && CoreMachine.of(entry).zone().equals(zone);
+        return preferredZone != null
+                && entry != null
+                && CoreMachine.of(entry).zone().equals(preferredZone);
     }
 
     private List<String> knownCores() {
@@ -151,25 +158,29 @@
         return List.copyOf(known);
     }
 
-    /** The other proxies that this process exchanges updates with. */
+    /** The other proxies with which this process exchanges updates. */
     public List<String> peers() {
-        long changes = registry.version(RegistryEntry.Subject.PROXY);
-        if (rankedPeersVersion != changes) {
-            rankedPeersVersion = changes;
-            rankedPeers = Registry.rendezvousSelect(self, registry.ready(RegistryEntry.Subject.PROXY), PEER_COUNT);
+        long version = registry.version(RegistryEntry.Subject.PROXY);
+        if (rankedPeersVersion != version) {
+            rankedPeersVersion = version;
+            rankedPeers = Registry.rendezvousSelect(self, registry.readyKeys(RegistryEntry.Subject.PROXY), PEER_COUNT);
         }
         return rankedPeers;
     }
 
-    /** To be called every 50 to 100 ms; {@code leader}: on a core machine the primary, if known and another one. */
-    public void onTick(long now, String leader) {
-        broadcastCollected(now);
-        String unresponsive = fetches.onTick(now);
+    /**
+     * To be called every 50 to 100 ms.
+     *
+     * @param primary on a core machine the address of the primary, if it is known and another machine; otherwise null
+     */
+    public void onTick(long now, String primary) {
+        broadcastIfDue(now);
+        String unresponsive = stateFetch.onTick(now);
         if (unresponsive != null) {
             failureCounts.merge(unresponsive, 1, Integer::sum);
         }
         openQueries.entrySet().removeIf(e -> {
-            boolean late = now - e.getValue().at() > QUERY_TIMEOUT_MS;
+            boolean late = now - e.getValue().sentAtMs() > QUERY_TIMEOUT_MS;
             if (late) {
                 failureCounts.merge(e.getValue().to(), 1, Integer::sum);
             }
@@ -181,24 +192,25 @@
         if (now >= nextCoreQueryAtMs) {
             nextCoreQueryAtMs = now + CORE_QUERY_INTERVAL_MS;
             List<String> cores = cores();
-            if (leader != null) {
-                query(now, leader, false);
+            if (primary != null) {
+                query(now, primary, false);
             } else if (!cores.isEmpty()) {
                 query(now, cores.get(0), false);
-                // The first choice is still queried, and another one beside it: it may have recovered.
+                // A failing first choice is still queried, as it may have recovered; another one is queried in
+                // addition.
                 if (failureCounts.getOrDefault(cores.get(0), 0) > 0 && cores.size() > 1) {
-                    query(now, cores.get(1 + rotation++ % (cores.size() - 1)), false);
+                    query(now, cores.get(1 + roundRobinCounter++ % (cores.size() - 1)), false);
                 }
             }
         }
         if (now >= nextPeerQueryAtMs) {
             nextPeerQueryAtMs = now + PEER_QUERY_INTERVAL_MS;
-            List<String> peers = core ? cores() : peers();
+            List<String> peers = isCoreMachine ? cores() : peers();
             if (!peers.isEmpty()) {
-                query(now, peers.get(rotation++ % peers.size()), false);
+                query(now, peers.get(roundRobinCounter++ % peers.size()), false);
             }
-            subscribers.values().removeIf(at -> now - at > SUBSCRIPTION_MS);
-            if (failureCounts.size() > 0 && rotation % 8 == 0) {
+            subscribers.values().removeIf(at -> now - at > SUBSCRIPTION_TTL_MS);
+            if (failureCounts.size() > 0 && roundRobinCounter % 8 == 0) {
                 failureCounts.replaceAll((k, v) -> v / 2);
             }
         }
@@ -209,15 +221,15 @@
         sender.send(to, registry.query(now, lastNonce, full));
     }
 
-    /** A message came; what was new in it has been forwarded already. */
-    public Registry.Update onGossip(long now, String from, GossipMessage in) {
+    /** Processes a message; returns the changes, which have already been forwarded. */
+    public Registry.Update onGossip(long now, String from, GossipMessage message) {
         Registry.Update update =
-                switch (in.kind()) {
-                    case QUERY -> onQuery(now, from, in);
-                    case REPLY -> onReply(now, from, in);
-                    case FETCH -> onFetch(from, in);
-                    case FETCH_REPLY -> onFetchReply(now, from, in);
-                    default -> onUpdate(now, from, in);
+                switch (message.kind()) {
+                    case QUERY -> onQuery(now, from, message);
+                    case REPLY -> onReply(now, from, message);
+                    case FETCH -> onFetch(from, message);
+                    case FETCH_REPLY -> onFetchReply(now, from, message);
+                    default -> onUpdate(now, from, message);
                 };
         if (!update.isEmpty()) {
             broadcast(now, update, from);
@@ -225,95 +237,99 @@
         return update;
     }
 
-    /** This process is about to end: it acknowledges no more entries. */
+    /** Stops acknowledging entries, since this process is about to shut down. */
     public void stopAcknowledging() {
-        acknowledgesNothing = true;
+        acknowledgementsStopped = true;
     }
 
-    private Registry.Update onQuery(long now, String from, GossipMessage in) {
+    private Registry.Update onQuery(long now, String from, GossipMessage message) {
         subscribers.put(from, now);
-        sender.send(from, registry.reply(now, in));
+        sender.send(from, registry.reply(now, message));
         return NO_UPDATE;
     }
 
-    private Registry.Update onReply(long now, String from, GossipMessage in) {
-        Query query = openQueries.get(in.nonce());
+    private Registry.Update onReply(long now, String from, GossipMessage message) {
+        Query query = openQueries.get(message.nonce());
         if (query != null && query.to().equals(from)) {
-            openQueries.remove(in.nonce());
+            openQueries.remove(message.nonce());
         } else {
             query = null;
         }
-        acknowledgements.onAcknowledgement(in.nonce(), from);
+        acknowledgements.onAcknowledgement(message.nonce(), from);
         if (query != null) {
             failureCounts.put(
                     from,
-                    in.ageMs() < 0 || in.ageMs() > MAX_STALENESS_MS ? failureCounts.getOrDefault(from, 0) + 1 : 0);
+                    message.ageMs() < 0 || message.ageMs() > MAX_STALENESS_MS
+                            ? failureCounts.getOrDefault(from, 0) + 1
+                            : 0);
         }
-        Registry.Update update = registry.merge(now, in, query == null ? NEVER : query.at());
-        if (query != null && in.buckets().length == Registry.BUCKETS) {
+        Registry.Update update = registry.merge(now, message, query == null ? NEVER : query.sentAtMs());
+        if (query != null && message.digests().length == Registry.BUCKETS) {
             if (query.full()) {
-                sendLacking(from, in.buckets());
+                sendMissing(from, message.digests());
             } else {
                 query(now, from, true);
             }
         }
-        fetches.onIndex(now, from, in.stateIndex(), false);
+        stateFetch.onIndex(now, from, message.stateIndex(), false);
         return update;
     }
 
-    private Registry.Update onUpdate(long now, String from, GossipMessage in) {
-        Registry.Update update = registry.merge(now, in, NEVER);
-        if (in.nonce() != 0 && !acknowledgesNothing) {
-            sender.send(from, GossipMessage.acknowledgement(in.nonce()));
+    private Registry.Update onUpdate(long now, String from, GossipMessage message) {
+        Registry.Update update = registry.merge(now, message, NEVER);
+        if (message.nonce() != 0 && !acknowledgementsStopped) {
+            sender.send(from, GossipMessage.acknowledgement(message.nonce()));
         }
-        fetches.onIndex(now, from, in.stateIndex(), !in.deltas().isEmpty());
+        stateFetch.onIndex(now, from, message.stateIndex(), !message.deltas().isEmpty());
         return update;
     }
 
-    /** Sends the deltas from the requester's state to the one here, or a chunk of a snapshot where the deltas are not known. */
-    private Registry.Update onFetch(String from, GossipMessage in) {
-        StateFollower states = registry.states();
-        boolean anyWill = in.chunk().index() == SnapshotChunk.ANY;
-        List<StateDelta> steps = anyWill ? states.since(in.stateIndex()) : List.of();
-        SnapshotChunk chunk = steps.isEmpty() ? states.chunk(in.stateIndex(), in.chunk()) : SnapshotChunk.NONE;
-        sender.send(from, GossipMessage.fetchReply(in.nonce(), states.index(), steps, chunk));
+    /** Replies with the deltas from the requester's state to the local one, or with a snapshot chunk if they are not available. */
+    private Registry.Update onFetch(String from, GossipMessage message) {
+        StateFollower stateFollower = registry.stateFollower();
+        boolean acceptsDeltas = message.chunk().index() == SnapshotChunk.DELTAS_OR_SNAPSHOT;
+        List<StateDelta> deltas = acceptsDeltas ? stateFollower.deltasSince(message.stateIndex()) : List.of();
+        SnapshotChunk chunk =
+                deltas.isEmpty() ? stateFollower.chunk(message.stateIndex(), message.chunk()) : SnapshotChunk.NONE;
+        sender.send(from, GossipMessage.fetchReply(message.nonce(), stateFollower.index(), deltas, chunk));
         return NO_UPDATE;
     }
 
-    private Registry.Update onFetchReply(long now, String from, GossipMessage in) {
-        boolean newer = fetches.onFetchReply(now, from, in);
+    private Registry.Update onFetchReply(long now, String from, GossipMessage message) {
+        boolean newer = stateFetch.onFetchReply(now, from, message);
         return newer ? new Registry.Update(List.of(), true) : NO_UPDATE;
     }
 
-    /** Sends the entries that the other process lacks, or has older. */
-    private void sendLacking(String to, long[] buckets) {
-        List<RegistryEntry> lacking = registry.differing(buckets);
-        if (!lacking.isEmpty()) {
-            sender.send(to, GossipMessage.update(0, registry.stateIndex(), lacking, List.of()));
+    /** Sends the entries of the differing buckets, which the other process may lack or have in an older version. */
+    private void sendMissing(String to, long[] otherDigests) {
+        List<RegistryEntry> missing = registry.entriesInDifferingBuckets(otherDigests);
+        if (!missing.isEmpty()) {
+            sender.send(to, GossipMessage.update(0, registry.stateIndex(), missing, List.of()));
         }
     }
 
-    /** The processes that have sent queries of late: on a core machine the proxies that it serves. */
+    /** The processes that have recently sent queries: on a core machine, the proxies that it serves. */
     public List<String> subscribers() {
         return List.copyOf(subscribers.keySet());
     }
 
-    /** Broadcasts one entry, as {@link #broadcast(long, Registry.Update, String)} does. */
+    /** Broadcasts one entry; see {@link #broadcast(long, Registry.Update, String)}. */
     public void broadcast(long now, RegistryEntry update) {
         broadcast(now, new Registry.Update(List.of(update), false), null);
     }
 
     /**
-     * Broadcasts an update: a proxy to its peers, a core machine to its subscribers and to the other core machines. The first one
-     * goes at once; those within {@link #BATCH_WINDOW_MS} go together, with the next one or at the next tick. A core machine
-     * sends the deltas of the state; other processes only send its index, and a process that lacks it fetches it.
+     * Broadcasts an update: a proxy to its peers, a core machine to its subscribers and to the other core machines. The first
+     * update is sent at once; updates within {@link #BATCH_WINDOW_MS} after it are sent together, with the next update after
+     * that window or at the next tick. A core machine sends the deltas of the state. Other processes send only its index, and
+     * the recipients that lack the state fetch it.
      */
     public void broadcast(long now, Registry.Update update, String except) {
-        boolean alone = !isUpdatePending();
+        boolean nothingPending = !isUpdatePending();
         update.entries().forEach(entry -> pendingEntries.put(entry.subject().ordinal() + entry.key(), entry));
-        statePending |= update.state();
-        if (now - broadcastAtMs >= BATCH_WINDOW_MS) {
-            broadcastPending(now, alone ? except : null);
+        statePending |= update.stateAdvanced();
+        if (now - lastBroadcastAtMs >= BATCH_WINDOW_MS) {
+            broadcastPending(now, nothingPending ? except : null);
         }
     }
 
@@ -321,8 +337,8 @@
         return statePending || !pendingEntries.isEmpty();
     }
 
-    private void broadcastCollected(long now) {
-        if (isUpdatePending() && now - broadcastAtMs >= BATCH_WINDOW_MS) {
+    private void broadcastIfDue(long now) {
+        if (isUpdatePending() && now - lastBroadcastAtMs >= BATCH_WINDOW_MS) {
             broadcastPending(now, null);
         }
     }
@@ -335,58 +351,62 @@
     }
 
     private void broadcastNow(long now, Registry.Update update, String except) {
-        broadcastAtMs = now;
-        Set<String> to = new LinkedHashSet<>(core ? subscribers.keySet() : peers());
-        if (core) {
-            to.addAll(cores());
+        lastBroadcastAtMs = now;
+        Set<String> recipients = new LinkedHashSet<>(isCoreMachine ? subscribers.keySet() : peers());
+        if (isCoreMachine) {
+            recipients.addAll(cores());
         }
-        List<StateDelta> steps = core && update.state() ? registry.states().since(broadcastIndex) : List.of();
-        broadcastIndex = registry.stateIndex();
-        GossipMessage index = GossipMessage.update(0, broadcastIndex, update.entries(), List.of());
-        GossipMessage full = GossipMessage.update(0, broadcastIndex, update.entries(), steps);
-        for (String other : to) {
-            if (!other.equals(except) && !other.equals(self)) {
-                sender.send(other, publishes || !cores().contains(other) ? full : index);
+        List<StateDelta> deltas = isCoreMachine && update.stateAdvanced()
+                ? registry.stateFollower().deltasSince(lastBroadcastIndex)
+                : List.of();
+        lastBroadcastIndex = registry.stateIndex();
+        GossipMessage withIndex = GossipMessage.update(0, lastBroadcastIndex, update.entries(), List.of());
+        GossipMessage withDeltas = GossipMessage.update(0, lastBroadcastIndex, update.entries(), deltas);
+        for (String recipient : recipients) {
+            if (!recipient.equals(except) && !recipient.equals(self)) {
+                sender.send(recipient, pendingStateIsOwn || !cores().contains(recipient) ? withDeltas : withIndex);
             }
         }
-        publishes = false;
+        pendingStateIsOwn = false;
     }
 
-    /** This process has published a new state: it is the only one that sends it to the other core machines. */
+    /** Broadcasts a state that this process has published. Only the publisher sends its deltas to the other core machines. */
     public void onPublished(long now) {
-        publishes = true;
+        pendingStateIsOwn = true;
         broadcast(now, new Registry.Update(List.of(), true), null);
     }
 
     /**
-     * Broadcasts entries until enough other core machines have acknowledged them: then they outlive this process and others
-     * with it. They are sent again to the other ones until then, or until {@link #cancelBroadcast}.
+     * Broadcasts entries until enough other core machines have acknowledged them, so that they survive the failure of this
+     * process and of some others. Until then, or until {@link #cancelBroadcast}, they are sent again to the core machines that
+     * have not acknowledged them.
      *
-     * @param wanted number of other core machines that must have them, at least one
-     * @return the argument of {@link #cancelBroadcast}
+     * @param required number of other core machines that must acknowledge, at least one
+     * @return the nonce to pass to {@link #cancelBroadcast}
      */
-    public long broadcastUntilAcknowledged(long now, List<RegistryEntry> update, int wanted, Runnable onAcknowledged) {
+    public long broadcastUntilAcknowledged(
+            long now, List<RegistryEntry> update, int required, Runnable onAcknowledged) {
         List<String> cores = cores();
         List<String> others = new ArrayList<>(subscribers.keySet());
-        if (!core) {
+        if (!isCoreMachine) {
             peers().stream().filter(p -> !others.contains(p)).forEach(others::add);
         }
         others.removeAll(cores);
-        GossipMessage plain = GossipMessage.update(0, registry.stateIndex(), update, List.of());
-        others.forEach(to -> sender.send(to, plain));
+        GossipMessage message = GossipMessage.update(0, registry.stateIndex(), update, List.of());
+        others.forEach(to -> sender.send(to, message));
         long nonce = ++lastNonce;
-        acknowledgements.track(now, nonce, wanted, cores, update, onAcknowledged);
+        acknowledgements.track(now, nonce, required, cores, update, onAcknowledged);
         sendForAcknowledgement(nonce, update, cores);
         return nonce;
     }
 
-    /** The acknowledgements of a broadcast are not needed any more. */
-    public void cancelBroadcast(long receipt) {
-        acknowledgements.cancel(receipt);
+    /** Stops the retries of {@link #broadcastUntilAcknowledged}. */
+    public void cancelBroadcast(long nonce) {
+        acknowledgements.cancel(nonce);
     }
 
     private void sendForAcknowledgement(long nonce, List<RegistryEntry> update, List<String> to) {
-        GossipMessage asking = GossipMessage.update(nonce, registry.stateIndex(), update, List.of());
-        to.forEach(c -> sender.send(c, asking));
+        GossipMessage message = GossipMessage.update(nonce, registry.stateIndex(), update, List.of());
+        to.forEach(c -> sender.send(c, message));
     }
 }
--- a/src/main/java/quartzspan/registry/GossipMessage.java
+++ b/src/main/java/quartzspan/registry/GossipMessage.java
@@ -3,65 +3,65 @@
 import java.util.List;
 
 /**
- * A message of the gossip between processes.
+ * A message of the gossip protocol.
  *
- * @param nonce of the query; a reply repeats it
- * @param ageMs time since the state of the sender was surely the newest; -1 if it never was
- * @param stateIndex the committed index of the state at the sender; -1 if it has none
- * @param buckets digests of the sender's entries by bucket of key, or one digest of all; empty where nothing is compared
- * @param entries updated entries, or those that the receiver lacks by its digests
+ * @param nonce identifies the query or request; the reply repeats it
+ * @param ageMs time since the sender's state was last known to be the newest; -1 if never
+ * @param stateIndex the committed index of the sender's state; -1 if it has none
+ * @param digests digests of the sender's entries by bucket, or one digest of all entries; empty if there is nothing to compare
+ * @param entries updated entries, or those of the buckets that differ from the receiver's
  * @param deltas deltas of the published state
- * @param chunk a chunk of a snapshot, or the request for one
+ * @param chunk a chunk of a snapshot, or a request for one
  */
 public record GossipMessage(
         Kind kind,
         long nonce,
         long ageMs,
         long stateIndex,
-        long[] buckets,
+        long[] digests,
         List<RegistryEntry> entries,
         List<StateDelta> deltas,
         SnapshotChunk chunk) {
 
-    /** Kinds of messages. */
+    /** Kinds of messages. The ordinal is sent, so the order must not change. */
     public enum Kind {
-        /** Asks for the entries that the sender lacks, by digests. */
+        /** Requests the entries that the sender lacks, by digests. */
         QUERY,
         REPLY,
-        /** Entries, and the index of the state, that were not queried. */
+        /** Unsolicited entries and the index of the sender's state. */
         UPDATE,
-        /** Between core machines: the servers and proxies that were heard of late. */
+        /** Between core machines: the servers and proxies from which messages were recently received. */
         HEARTBEATS,
-        /** Asks for the published state: the deltas to it, or a chunk of a snapshot. */
+        /** Requests the published state: its deltas, or a chunk of a snapshot. */
         FETCH,
-        /** Answers {@link #FETCH}. */
+        /** The reply to {@link #FETCH}. */
         FETCH_REPLY
     }
 
-    static final long[] UNCOMPARED = {};
+    static final long[] NO_DIGESTS = {};
 
-    /** Between core machines: the servers and proxies that were heard. */
+    /** A report of the servers and proxies from which messages were received. */
     public static GossipMessage heartbeats(List<RegistryEntry> entries) {
-        return new GossipMessage(Kind.HEARTBEATS, 0, -1, -1, UNCOMPARED, entries, List.of(), SnapshotChunk.NONE);
+        return new GossipMessage(Kind.HEARTBEATS, 0, -1, -1, NO_DIGESTS, entries, List.of(), SnapshotChunk.NONE);
     }
 
-    /** Entries that were not queried; the nonce is to be acknowledged, 0 for none. */
+    /** An unsolicited update; its nonce is to be acknowledged unless it is 0. */
     static GossipMessage update(
             long acknowledgementNonce, long stateIndex, List<RegistryEntry> entries, List<StateDelta> deltas) {
         return new GossipMessage(
-                Kind.UPDATE, acknowledgementNonce, -1, stateIndex, UNCOMPARED, entries, deltas, SnapshotChunk.NONE);
+                Kind.UPDATE, acknowledgementNonce, -1, stateIndex, NO_DIGESTS, entries, deltas, SnapshotChunk.NONE);
     }
 
-    /** Acknowledges an update. */
+    /** The acknowledgement of an update. */
     static GossipMessage acknowledgement(long nonce) {
-        return new GossipMessage(Kind.REPLY, nonce, -1, -1, UNCOMPARED, List.of(), List.of(), SnapshotChunk.NONE);
+        return new GossipMessage(Kind.REPLY, nonce, -1, -1, NO_DIGESTS, List.of(), List.of(), SnapshotChunk.NONE);
     }
 
-    static GossipMessage fetch(long nonce, long stateIndex, SnapshotChunk wanted) {
-        return new GossipMessage(Kind.FETCH, nonce, -1, stateIndex, UNCOMPARED, List.of(), List.of(), wanted);
+    static GossipMessage fetch(long nonce, long stateIndex, SnapshotChunk requested) {
+        return new GossipMessage(Kind.FETCH, nonce, -1, stateIndex, NO_DIGESTS, List.of(), List.of(), requested);
     }
 
     static GossipMessage fetchReply(long nonce, long stateIndex, List<StateDelta> deltas, SnapshotChunk chunk) {
-        return new GossipMessage(Kind.FETCH_REPLY, nonce, -1, stateIndex, UNCOMPARED, List.of(), deltas, chunk);
+        return new GossipMessage(Kind.FETCH_REPLY, nonce, -1, stateIndex, NO_DIGESTS, List.of(), deltas, chunk);
     }
 }
--- a/src/main/java/quartzspan/registry/PublishedState.java
+++ b/src/main/java/quartzspan/registry/PublishedState.java
@@ -15,38 +15,38 @@
 import quartzspan.replication.ControlState;
 
 /**
- * The part of the control state that all processes need; it lacks what only a primary needs to judge changes.
+ * The part of the control state that all processes need. It omits what only the primary uses to validate changes.
  *
- * @param weights versions of weights that were named, by model
- * @param rolloutHolder the replica that last claimed the rollout of weights; empty if none did
+ * @param weights the target version of the weights, by model
+ * @param rolloutHolder the replica that last claimed the rollout of weights; empty if none has
  */
 public record PublishedState(Configuration configuration, Map<String, Long> weights, String rolloutHolder) {
-    /** Before the first change. */
+    /** The state before the first change. */
     public static final PublishedState EMPTY = of(ControlState.EMPTY);
 
-    /** What is published of a control state. */
+    /** The published part of a control state. */
     public static PublishedState of(ControlState state) {
         return new PublishedState(state.configuration(), Map.copyOf(state.weights()), state.rolloutHolder());
     }
 
-    /** The difference from this state to a later one; null if only the complete later one expresses it. */
+    /** Encodes the delta from this state to a later one; null if the change can't be expressed as a delta. */
     byte[] deltaTo(PublishedState later) {
         JsonObject patch = later.configuration.patchFrom(configuration);
         if (patch == null || !later.weights.keySet().containsAll(weights.keySet())) {
             return null;
         }
-        Map<String, Long> named = new TreeMap<>(later.weights);
-        named.entrySet().removeIf(weight -> weight.getValue().equals(weights.get(weight.getKey())));
+        Map<String, Long> changedWeights = new TreeMap<>(later.weights);
+        changedWeights.entrySet().removeIf(weight -> weight.getValue().equals(weights.get(weight.getKey())));
         boolean sameConfiguration = later.configuration.version() == configuration.version();
-        return encode(sameConfiguration ? NOTHING : JsonFields.toBytes(patch), named, later.rolloutHolder);
+        return encode(sameConfiguration ? NO_PATCH : JsonFields.toBytes(patch), changedWeights, later.rolloutHolder);
     }
 
     /**
-     * The state that a difference leads to.
+     * Applies a delta to this state.
      *
-     * @throws FleetException if it doesn't fit this state
+     * @throws FleetException if the delta doesn't apply to this state
      */
-    PublishedState with(byte[] delta) {
+    PublishedState withDelta(byte[] delta) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(delta))) {
             byte[] patch = readBytes(in, delta.length);
             Map<String, Long> next = new TreeMap<>(weights);
@@ -56,16 +56,16 @@
                     Map.copyOf(next),
                     in.readUTF());
         } catch (IOException e) {
-            throw unreadable(e);
+            throw malformed(e);
         }
     }
 
-    /** The complete state in binary form. */
+    /** Encodes the complete state. */
     byte[] bytes() {
         return encode(configuration.bytes(), weights, rolloutHolder);
     }
 
-    /** Reads {@link #bytes}. */
+    /** Decodes the result of {@link #bytes}. */
     static PublishedState parse(byte[] bytes) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             Configuration configuration = Configuration.read(readBytes(in, bytes.length));
@@ -73,17 +73,17 @@
             readWeights(in, weights);
             return new PublishedState(configuration, Map.copyOf(weights), in.readUTF());
         } catch (IOException e) {
-            throw unreadable(e);
+            throw malformed(e);
         }
     }
 
-    private static final byte[] NOTHING = {};
+    private static final byte[] NO_PATCH = {};
 
-    private static byte[] encode(byte[] document, Map<String, Long> weights, String rolloutHolder) {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream(document.length + 64);
+    private static byte[] encode(byte[] configurationBytes, Map<String, Long> weights, String rolloutHolder) {
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream(configurationBytes.length + 64);
         try (DataOutputStream out = new DataOutputStream(bytes)) {
-            out.writeInt(document.length);
-            out.write(document);
+            out.writeInt(configurationBytes.length);
+            out.write(configurationBytes);
             out.writeInt(weights.size());
             for (Map.Entry<String, Long> weight : weights.entrySet()) {
                 out.writeUTF(weight.getKey());
@@ -96,24 +96,24 @@
         return bytes.toByteArray();
     }
 
-    private static byte[] readBytes(DataInputStream in, int atMost) throws IOException {
+    private static byte[] readBytes(DataInputStream in, int maxLength) throws IOException {
         int length = in.readInt();
-        if (length < 0 || length > atMost) {
-            throw unreadable(null);
+        if (length < 0 || length > maxLength) {
+            throw malformed(null);
         }
         return in.readNBytes(length);
     }
 
-    private static void readWeights(DataInputStream in, Map<String, Long> into) throws IOException {
+    private static void readWeights(DataInputStream in, Map<String, Long> target) throws IOException {
         for (int n = in.readInt(); n > 0; n--) {
-            into.put(in.readUTF(), in.readLong());
+            target.put(in.readUTF(), in.readLong());
         }
     }
 
-    private static FleetException unreadable(IOException why) {
+    private static FleetException malformed(IOException cause) {
         return new FleetException(
                 FleetException.Code.MESSAGE_INVALID,
-                "a published state can't be read" + (why == null ? "" : ": " + why),
+                "a published state can't be decoded" + (cause == null ? "" : ": " + cause),
                 "run the same version on all machines");
     }
 }
--- a/src/main/java/quartzspan/registry/StateFollower.java
+++ b/src/main/java/quartzspan/registry/StateFollower.java
@@ -5,17 +5,17 @@
 import quartzspan.replication.ControlState;
 
 /**
- * The published state at one process: reached by deltas or by a snapshot, and passed on likewise. It only ever moves
- * to higher committed indexes. No clock, no I/O.
+ * The published state at one process, updated by deltas or snapshots, and the source of deltas and snapshots for other
+ * processes. Its committed index never decreases. Performs no I/O and reads no clock.
  */
 final class StateFollower {
-    /** A longer step is dearer to send than a compressed snapshot. */
-    private static final int MAX_STEP_BYTES = 64 * 1024;
+    /** A larger delta costs more to send than a compressed snapshot. */
+    private static final int MAX_DELTA_BYTES = 64 * 1024;
 
     private long index = -1;
     private PublishedState state = PublishedState.EMPTY;
-    private final StateHistory history = new StateHistory();
-    /** The snapshot that was last requested; later changes do not make a reader of its chunks start again. */
+    private final DeltaHistory history = new DeltaHistory();
+    /** The snapshot served or installed last. It is kept after later changes, so that processes that fetch it need not start over. */
     private Snapshot snapshot;
 
     long index() {
@@ -26,14 +26,14 @@
         return state;
     }
 
-    /** Takes a committed state from the replica at this process; whether it is newer. */
+    /** Publishes a committed state of the local replica; returns whether it is newer. */
     boolean publish(long committedIndex, ControlState committed) {
         if (committedIndex <= index) {
             return false;
         }
         PublishedState next = PublishedState.of(committed);
         byte[] change = index < 0 ? null : state.deltaTo(next);
-        if (change == null || change.length > MAX_STEP_BYTES) {
+        if (change == null || change.length > MAX_DELTA_BYTES) {
             history.clear();
         } else {
             history.append(new StateDelta(index, committedIndex, change));
@@ -43,28 +43,28 @@
         return true;
     }
 
-    /** Applies the deltas that follow the state here; whether there were any. */
-    boolean apply(List<StateDelta> steps) {
+    /** Applies the deltas that follow the local state; returns whether the state advanced. */
+    boolean apply(List<StateDelta> deltas) {
         boolean advanced = false;
-        for (StateDelta step : steps) {
-            if (step.from() != index || step.to() <= index) {
+        for (StateDelta delta : deltas) {
+            if (delta.fromIndex() != index || delta.toIndex() <= index) {
                 continue;
             }
             try {
-                state = state.with(step.change());
+                state = state.withDelta(delta.change());
             } catch (FleetException e) {
-                // Not the state of its sender: the state here stays, and a snapshot is requested.
+                // The delta doesn't apply: the local state is kept, and a snapshot is requested.
                 return advanced;
             }
-            index = step.to();
-            history.append(step);
+            index = delta.toIndex();
+            history.append(delta);
             advanced = true;
         }
         return advanced;
     }
 
-    /** Takes a snapshot; whether it is newer. */
-    boolean take(Snapshot newer) {
+    /** Installs a snapshot; returns whether it is newer than the local state. */
+    boolean install(Snapshot newer) {
         if (newer.index() <= index) {
             return false;
         }
@@ -75,31 +75,31 @@
         return true;
     }
 
-    /** The deltas from another process's state to the one here; empty if they are not known. */
-    List<StateDelta> since(long from) {
-        return history.since(from);
+    /** The deltas from another process's state to the local one; empty if they are not available. */
+    List<StateDelta> deltasSince(long fromIndex) {
+        return history.deltasSince(fromIndex);
     }
 
     /**
-     * A chunk of a snapshot for a process with the state at an index: of the snapshot that it is reading, else of one that
-     * is newer and from which the deltas to the state here are known.
+     * A chunk of a snapshot for a process whose state is at {@code afterIndex}: of the snapshot that it is already fetching,
+     * otherwise of a newer one from which deltas lead to the local state.
      */
-    SnapshotChunk chunk(long after, SnapshotChunk wanted) {
-        if (index <= after) {
+    SnapshotChunk chunk(long afterIndex, SnapshotChunk requested) {
+        if (index <= afterIndex) {
             return SnapshotChunk.NONE;
         }
-        boolean reading = snapshot != null && wanted.index() == snapshot.index();
-        if (!reading && !usable(after)) {
+        boolean continuing = snapshot != null && requested.index() == snapshot.index();
+        if (!continuing && !canServe(afterIndex)) {
             snapshot = Snapshot.of(index, state);
         }
-        boolean within = reading && wanted.offset() >= 0 && wanted.offset() < snapshot.bytes().length;
-        return snapshot.chunk(within ? wanted.offset() : 0);
+        boolean within = continuing && requested.offset() >= 0 && requested.offset() < snapshot.bytes().length;
+        return snapshot.chunk(within ? requested.offset() : 0);
     }
 
-    private boolean usable(long after) {
+    private boolean canServe(long afterIndex) {
         return snapshot != null
-                && snapshot.index() > after
+                && snapshot.index() > afterIndex
                 && (snapshot.index() == index
-                        || !history.since(snapshot.index()).isEmpty());
+                        || !history.deltasSince(snapshot.index()).isEmpty());
     }
 }
--- a/src/main/java/quartzspan/transport/TcpTransport.java
+++ b/src/main/java/quartzspan/transport/TcpTransport.java
@@ -29,14 +29,17 @@
 import quartzspan.transport.MessageCodec.Hello;
 
 /**
- * Messages between the system's processes over TCP: each keeps one connection to every process that it writes to, and reads from
- * those that others opened. Nothing is promised: what can't be written soon is dropped, and the protocols above ask again.
- * All on one event loop.
+ * Sends messages between the system's processes over TCP. A process keeps one connection to every process to which it sends, and
+ * receives on the connections that others opened. Delivery is not guaranteed: messages that can't be written soon are dropped,
+ * and the protocols above retry. Runs on a single event loop.
  */
 public final class TcpTransport implements Transport {
     private static final Logger LOG = LoggerFactory.getLogger(TcpTransport.class);
     private static final int CONNECT_TIMEOUT_MS = 600;
-    /** A peer that sends nothing for so long: the connection may hang behind a partition, and a new one would not. */
+    /**
+     * Time without a message from the peer after a write, after which the connection is replaced: it can hang after a network
+     * partition, while a new one would work.
+     */
     private static final long RESPONSE_TIMEOUT_MS = 1_200;
 
     private static final long RECONNECT_INTERVAL_MS = 200;
@@ -46,28 +49,28 @@
     private final EventLoop loop;
     private final Hello self;
     private final Receiver receiver;
-    private final Map<String, OutgoingConnection> outgoing = new HashMap<>();
-    private final Bootstrap out;
-    private final ChannelWrites writes = new ChannelWrites();
-    private final InboundConnections incoming = new InboundConnections();
+    private final Map<String, OutgoingConnection> outgoingConnections = new HashMap<>();
+    private final Bootstrap clientBootstrap;
+    private final FrameWriter frameWriter = new FrameWriter();
+    private final InboundConnections inboundConnections = new InboundConnections();
 
     private static final class OutgoingConnection {
         Channel channel;
-        boolean up;
-        long openedAt;
-        /** When something was first written since the other last said anything; 0 if all is answered. */
-        long writtenAt;
+        boolean connected;
+        long connectStartedAtMs;
+        /** Time of the first write since the last message from the peer; 0 if nothing was written since. */
+        long unansweredSinceMs;
 
-        long usedAt;
-        final ArrayDeque<byte[]> queued = new ArrayDeque<>();
+        long lastUsedAtMs;
+        final ArrayDeque<byte[]> queuedFrames = new ArrayDeque<>();
     }
 
-    /** A transport that has no connections yet; to be called on the event loop. */
+    /** Creates a transport without connections; it is to be called on the event loop. */
     public TcpTransport(EventLoop loop, Hello self, Receiver receiver) {
         this.loop = loop;
         this.self = self;
         this.receiver = receiver;
-        this.out = new Bootstrap()
+        this.clientBootstrap = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.ALLOCATOR, ConnectionPool.BUFFERS)
@@ -91,8 +94,8 @@
                 });
     }
 
-    /** Takes connections of others. */
-    public ChannelFuture listen(InetSocketAddress at) {
+    /** Starts to accept connections of other processes. */
+    public ChannelFuture listen(InetSocketAddress address) {
         return new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
@@ -108,12 +111,12 @@
                                         new InboundHandler());
                     }
                 })
-                .bind(at);
+                .bind(address);
     }
 
-    /** Reads one connection; whatever is no message of ours ends it. */
+    /** Receives the messages of one inbound connection; a malformed message closes it. */
     private final class InboundHandler extends SimpleChannelInboundHandler<ByteBuf> {
-        private final long accepted = incoming.accepted();
+        private final long connectionNumber = inboundConnections.nextConnectionNumber();
         private Hello from;
 
         @Override
@@ -124,18 +127,20 @@
             if (from == null) {
                 if (!(message instanceof Hello hello)) {
                     throw new FleetException(
-                            FleetException.Code.MESSAGE_INVALID, "no hello first", "run the same version everywhere");
+                            FleetException.Code.MESSAGE_INVALID,
+                            "the first message on a connection is not a hello",
+                            "run the same version on all machines");
                 }
                 from = hello;
                 return;
             }
-            if (!incoming.isCurrent(from, accepted)) {
+            if (!inboundConnections.isCurrent(from, connectionNumber)) {
                 ctx.close();
                 return;
             }
-            OutgoingConnection connection = outgoing.get(from.address());
+            OutgoingConnection connection = outgoingConnections.get(from.address());
             if (connection != null) {
-                connection.writtenAt = 0;
+                connection.unansweredSinceMs = 0;
             }
             receiver.received(from, message);
         }
@@ -152,78 +157,79 @@
         }
     }
 
-    private static long now() {
+    private static long nowMs() {
         return System.nanoTime() / 1_000_000;
     }
 
     @Override
     public void send(String to, Object message) {
-        OutgoingConnection connection = outgoing.computeIfAbsent(to, t -> new OutgoingConnection());
-        long now = now();
-        connection.usedAt = now;
-        if (connection.writtenAt == 0) {
-            connection.writtenAt = now;
-        } else if (connection.channel != null && now - connection.writtenAt > RESPONSE_TIMEOUT_MS) {
+        OutgoingConnection connection = outgoingConnections.computeIfAbsent(to, address -> new OutgoingConnection());
+        long now = nowMs();
+        connection.lastUsedAtMs = now;
+        if (connection.unansweredSinceMs == 0) {
+            connection.unansweredSinceMs = now;
+        } else if (connection.channel != null && now - connection.unansweredSinceMs > RESPONSE_TIMEOUT_MS) {
             connection.channel.close();
             connection.channel = null;
-            connection.up = false;
-            connection.queued.clear();
-            connection.writtenAt = now;
+            connection.connected = false;
+            connection.queuedFrames.clear();
+            connection.unansweredSinceMs = now;
         }
         if (connection.channel == null) {
-            if (now - connection.openedAt < RECONNECT_INTERVAL_MS) {
+            if (now - connection.connectStartedAtMs < RECONNECT_INTERVAL_MS) {
                 return;
             }
-            open(to, connection, now);
+            connect(to, connection, now);
         }
         byte[] bytes = MessageCodec.encode(message);
-        if (connection.up) {
-            writes.write(connection.channel, bytes);
-        } else if (connection.queued.size() < MAX_QUEUED_MESSAGES) {
-            connection.queued.add(bytes);
+        if (connection.connected) {
+            frameWriter.write(connection.channel, bytes);
+        } else if (connection.queuedFrames.size() < MAX_QUEUED_MESSAGES) {
+            connection.queuedFrames.add(bytes);
         }
     }
 
-    private void open(String to, OutgoingConnection connection, long now) {
-        connection.openedAt = now;
+    private void connect(String to, OutgoingConnection connection, long now) {
+        connection.connectStartedAtMs = now;
         int colon = to.lastIndexOf(':');
-        ChannelFuture f =
-                out.connect(new InetSocketAddress(to.substring(0, colon), Integer.parseInt(to.substring(colon + 1))));
-        Channel channel = f.channel();
+        ChannelFuture connectFuture = clientBootstrap.connect(
+                new InetSocketAddress(to.substring(0, colon), Integer.parseInt(to.substring(colon + 1))));
+        Channel channel = connectFuture.channel();
         connection.channel = channel;
-        f.addListener(done -> {
+        connectFuture.addListener(completed -> {
             if (connection.channel != channel) {
                 channel.close();
-            } else if (done.isSuccess()) {
-                connection.up = true;
-                // What could not be written before does not make this connection a mute one.
-                connection.writtenAt = now();
-                writes.write(channel, MessageCodec.encode(self));
-                for (byte[] b; (b = connection.queued.poll()) != null; ) {
-                    writes.write(channel, b);
+            } else if (completed.isSuccess()) {
+                connection.connected = true;
+                // Messages that could not be written before must not count towards the response timeout of this
+                // connection.
+                connection.unansweredSinceMs = nowMs();
+                frameWriter.write(channel, MessageCodec.encode(self));
+                for (byte[] frame; (frame = connection.queuedFrames.poll()) != null; ) {
+                    frameWriter.write(channel, frame);
                 }
             } else {
-                drop(connection);
+                resetConnection(connection);
             }
         });
         channel.closeFuture().addListener(closed -> {
             if (connection.channel == channel) {
-                drop(connection);
+                resetConnection(connection);
             }
         });
     }
 
-    private static void drop(OutgoingConnection connection) {
+    private static void resetConnection(OutgoingConnection connection) {
         connection.channel = null;
-        connection.up = false;
-        connection.queued.clear();
+        connection.connected = false;
+        connection.queuedFrames.clear();
     }
 
-    /** Closes connections that were not written to for long. */
-    public void closeIdle(long unusedMs) {
-        long now = now();
-        outgoing.values().removeIf(connection -> {
-            if (now - connection.usedAt < unusedMs) {
+    /** Closes outgoing connections on which nothing was sent for {@code idleMs}. */
+    public void closeIdle(long idleMs) {
+        long now = nowMs();
+        outgoingConnections.values().removeIf(connection -> {
+            if (now - connection.lastUsedAtMs < idleMs) {
                 return false;
             }
             if (connection.channel != null) {
@@ -233,21 +239,21 @@
         });
     }
 
-    /** HttpFraming, and a bound to what may pile up behind a peer that does not read. */
-    private final class ChannelWrites {
-        private final Set<Channel> unflushed = new HashSet<>();
+    /** Writes frames in batches, and bounds the bytes buffered for a peer that does not read. */
+    private final class FrameWriter {
+        private final Set<Channel> unflushedChannels = new HashSet<>();
 
-        /** Writes a message; those of one turn of the event loop go out together. */
+        /** Writes a frame; all frames of one iteration of the event loop are flushed together. */
         void write(Channel channel, byte[] bytes) {
             if (channel.unsafe().outboundBuffer() != null
                     && channel.unsafe().outboundBuffer().totalPendingWriteBytes() > MAX_UNSENT_BYTES) {
                 channel.close();
                 return;
             }
-            if (unflushed.isEmpty()) {
+            if (unflushedChannels.isEmpty()) {
                 loop.execute(this::flush);
             }
-            unflushed.add(channel);
+            unflushedChannels.add(channel);
             channel.write(Unpooled.wrappedBuffer(
                     new byte[] {
                         (byte) (bytes.length >>> 24),
@@ -259,8 +265,8 @@
         }
 
         private void flush() {
-            List<Channel> written = List.copyOf(unflushed);
-            unflushed.clear();
+            List<Channel> written = List.copyOf(unflushedChannels);
+            unflushedChannels.clear();
             written.forEach(Channel::flush);
         }
     }
--- a/src/test/java/quartzspan/registry/StateGossipTest.java
+++ b/src/test/java/quartzspan/registry/StateGossipTest.java
@@ -20,7 +20,7 @@
 import quartzspan.replication.ControlState;
 import quartzspan.transport.MessageCodec;
 
-/** How the published state reaches every process: by steps where they fit, else by a snapshot; never backwards. */
+/** Replication of the published state: by deltas where they apply, otherwise by a snapshot; its index never decreases. */
 class StateGossipTest {
     private static final int ROUTES = 200;
 
@@ -29,7 +29,7 @@
                 + "/\",\"route_type\":\"streaming\",\"timeout_ms\":" + timeoutMs + ",\"service\":\"s\"}";
     }
 
-    private static ControlState first() {
+    private static ControlState initialState() {
         StringBuilder routes = new StringBuilder();
         for (int i = 0; i < ROUTES; i++) {
             routes.append(i == 0 ? "" : ",").append(route(i, 3000));
@@ -44,8 +44,8 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    /** The state after one route changed; now and then sent as a whole, as weights, or with routes added and removed. */
-    private static ControlState after(ControlState state, int number) {
+    /** The state after a change: one route updated, or by number the weights, the complete configuration, or a route added and one removed. */
+    private static ControlState withChange(ControlState state, int number) {
         long version = state.configuration().version();
         Change change =
                 switch (number % 5) {
@@ -74,22 +74,23 @@
         return JsonFields.parse(state.configuration().bytes());
     }
 
-    /** Processes on links that lose, delay and reorder messages. */
+    /** Processes on simulated links that lose, delay and reorder messages. */
     private static final class Fleet {
-        private record Flying(long at, long order, String from, String to, GossipMessage message) {}
+        private record InFlight(long deliverAtMs, long sequence, String from, String to, GossipMessage message) {}
 
         final List<String> cores = List.of("c1:1", "c2:1", "c3:1");
         final Map<String, Registry> registries = new LinkedHashMap<>();
         final Map<String, Gossip> gossips = new HashMap<>();
         final Map<String, Long> stateBytesTo = new HashMap<>();
         final Map<String, Integer> chunksTo = new TreeMap<>();
-        final PriorityQueue<Flying> flying = new PriorityQueue<>(
-                (a, b) -> a.at() != b.at() ? Long.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
+        final PriorityQueue<InFlight> inFlight = new PriorityQueue<>((a, b) -> a.deliverAtMs() != b.deliverAtMs()
+                ? Long.compare(a.deliverAtMs(), b.deliverAtMs())
+                : Long.compare(a.sequence(), b.sequence()));
         final SplittableRandom random;
         final int lostPercent;
         final int delayMs;
-        long now;
-        private long sent;
+        long nowMs;
+        private long sentCount;
 
         Fleet(long seed, int proxies, int lostPercent, int delayMs) {
             random = new SplittableRandom(seed);
@@ -105,8 +106,8 @@
             Registry registry = new Registry();
             registries.put(name, registry);
             gossips.put(name, new Gossip(name, cores.contains(name), seeds, registry, (to, m) -> send(name, to, m)));
-            registries.values().forEach(r -> r.merge(now, entry(name)));
-            registries.keySet().forEach(other -> registry.merge(now, entry(other)));
+            registries.values().forEach(r -> r.merge(nowMs, entry(name)));
+            registries.keySet().forEach(other -> registry.merge(nowMs, entry(other)));
         }
 
         private RegistryEntry entry(String name) {
@@ -116,48 +117,48 @@
         }
 
         private void send(String from, String to, GossipMessage message) {
-            boolean state = !message.deltas().isEmpty()
+            boolean carriesState = !message.deltas().isEmpty()
                     || message.kind() == GossipMessage.Kind.UPDATE
                     || message.kind() == GossipMessage.Kind.FETCH
                     || message.kind() == GossipMessage.Kind.FETCH_REPLY;
-            if (state) {
+            if (carriesState) {
                 stateBytesTo.merge(to, (long) MessageCodec.encode(message).length, Long::sum);
             }
-            if (message.chunk().total() > 0) {
+            if (message.chunk().totalBytes() > 0) {
                 chunksTo.merge(to, 1, Integer::sum);
             }
             if (random.nextInt(100) >= lostPercent) {
-                flying.add(new Flying(now + 1 + random.nextInt(delayMs), sent++, from, to, message));
+                inFlight.add(new InFlight(nowMs + 1 + random.nextInt(delayMs), sentCount++, from, to, message));
             }
         }
 
         void run(long untilMs) {
-            for (; now < untilMs; now++) {
-                while (!flying.isEmpty() && flying.peek().at() <= now) {
-                    deliver(flying.poll());
+            for (; nowMs < untilMs; nowMs++) {
+                while (!inFlight.isEmpty() && inFlight.peek().deliverAtMs() <= nowMs) {
+                    deliver(inFlight.poll());
                 }
-                if (now % 50 == 0) {
-                    gossips.values().forEach(g -> g.onTick(now, null));
+                if (nowMs % 50 == 0) {
+                    gossips.values().forEach(g -> g.onTick(nowMs, null));
                 }
             }
         }
 
-        private void deliver(Flying f) {
-            Registry registry = registries.get(f.to());
+        private void deliver(InFlight delivery) {
+            Registry registry = registries.get(delivery.to());
             if (registry != null) {
                 long before = registry.stateIndex();
-                gossips.get(f.to()).onGossip(now, f.from(), f.message());
-                assertTrue(registry.stateIndex() >= before, "backwards");
+                gossips.get(delivery.to()).onGossip(nowMs, delivery.from(), delivery.message());
+                assertTrue(registry.stateIndex() >= before, "the index of the state decreased");
             }
         }
 
         void publish(String core, long index, ControlState state) {
             if (registries.get(core).publish(index, state)) {
-                gossips.get(core).onPublished(now);
+                gossips.get(core).onPublished(nowMs);
             }
         }
 
-        void assertAllHold(long index, ControlState state) {
+        void assertAllHave(long index, ControlState state) {
             registries.forEach((name, registry) -> {
                 assertEquals(index, registry.stateIndex(), name);
                 assertEquals(document(PublishedState.of(state)), document(registry.state()), name);
@@ -168,170 +169,172 @@
     }
 
     @Test
-    void allConvergeAfterLossesDelaysAndElections() {
+    void allProcessesConvergeAfterLossesDelaysAndElections() {
         for (int seed = 0; seed < 12; seed++) {
             Fleet fleet = new Fleet(seed, 12, seed % 4 * 12, seed % 3 * 60 + 5);
-            ControlState state = first();
+            ControlState state = initialState();
             long index = 1;
             fleet.publish("c1:1", index, state);
             for (int i = 1; i <= 60; i++) {
-                fleet.run(fleet.now + 40 + fleet.random.nextInt(120));
-                state = after(state, i);
+                fleet.run(fleet.nowMs + 40 + fleet.random.nextInt(120));
+                state = withChange(state, i);
                 index += 1 + fleet.random.nextInt(2);
-                // Another primary may not have heard of the last changes; its replica has them all the same.
+                // The gossip of a new primary may lack the last changes, but its replica has them.
                 fleet.publish(fleet.cores.get(i / 21), index, state);
                 if (i % 15 == 0) {
                     fleet.start("late" + i + ":1", fleet.cores);
                 }
             }
-            fleet.run(fleet.now + 12_000);
-            fleet.assertAllHold(index, state);
+            fleet.run(fleet.nowMs + 12_000);
+            fleet.assertAllHave(index, state);
         }
     }
 
     @Test
-    void bytesOfAChangeGrowWithTheChangeNotTheConfiguration() {
+    void bytesSentForAChangeDependOnItsSizeNotOnTheConfiguration() {
         Fleet fleet = new Fleet(3, 40, 0, 3);
-        ControlState state = first();
+        ControlState state = initialState();
         fleet.run(2_000);
         fleet.publish("c1:1", 1, state);
         fleet.run(4_000);
-        fleet.assertAllHold(1, state);
+        fleet.assertAllHave(1, state);
         fleet.stateBytesTo.clear();
         int changes = 20;
         for (int i = 0; i < changes; i++) {
             state = state.with(update(state.configuration().version(), route(7, 100 + i), ""));
             fleet.publish("c1:1", 2 + i, state);
-            fleet.run(fleet.now + 200);
+            fleet.run(fleet.nowMs + 200);
         }
-        fleet.run(fleet.now + 1_000);
-        fleet.assertAllHold(1 + changes, state);
-        long most = fleet.stateBytesTo.values().stream().mapToLong(b -> b).max().orElseThrow();
-        long full = state.configuration().bytes().length;
-        assertTrue(full > 20_000, "a configuration of " + full + " bytes");
-        assertTrue(most / changes < 1_300, most / changes + " bytes to one process for each change");
+        fleet.run(fleet.nowMs + 1_000);
+        fleet.assertAllHave(1 + changes, state);
+        long maxBytes =
+                fleet.stateBytesTo.values().stream().mapToLong(b -> b).max().orElseThrow();
+        long configurationBytes = state.configuration().bytes().length;
+        assertTrue(configurationBytes > 20_000, "configuration of " + configurationBytes + " bytes");
+        assertTrue(maxBytes / changes < 1_300, maxBytes / changes + " bytes sent to one process per change");
     }
 
     @Test
-    void completeConfigurationIsFetchedOnceByEach() {
+    void eachProcessFetchesTheCompleteConfigurationOnce() {
         Fleet fleet = new Fleet(4, 40, 0, 3);
         fleet.run(2_000);
-        ControlState state = first();
+        ControlState state = initialState();
         fleet.stateBytesTo.clear();
         fleet.publish("c1:1", 1, state);
         fleet.run(4_000);
-        fleet.assertAllHold(1, state);
-        long one = Snapshot.of(1, PublishedState.of(state)).bytes().length;
-        assertTrue(one < state.configuration().bytes().length / 4, one + " bytes compressed");
-        Map<String, Integer> once = new TreeMap<>();
-        fleet.registries.keySet().forEach(name -> once.put(name, 1));
-        once.remove("c1:1");
-        assertEquals(once, fleet.chunksTo);
+        fleet.assertAllHave(1, state);
+        long compressedBytes = Snapshot.of(1, PublishedState.of(state)).bytes().length;
+        assertTrue(compressedBytes < state.configuration().bytes().length / 4, compressedBytes + " compressed bytes");
+        Map<String, Integer> oneChunkEach = new TreeMap<>();
+        fleet.registries.keySet().forEach(name -> oneChunkEach.put(name, 1));
+        oneChunkEach.remove("c1:1");
+        assertEquals(oneChunkEach, fleet.chunksTo);
     }
 
     @Test
-    void deltasOfAnotherStateChangeNothing() {
-        ControlState first = first();
-        ControlState second = after(first, 4);
-        ControlState third = after(second, 5);
-        StateFollower teller = new StateFollower();
-        teller.publish(3, first);
-        teller.publish(4, second);
-        teller.publish(6, third);
-        List<StateDelta> steps = teller.since(3);
-        assertEquals(2, steps.size());
-        assertTrue(teller.since(5).isEmpty(), "no state at 5 is known");
+    void deltasOfAnotherStateAreNotApplied() {
+        ControlState first = initialState();
+        ControlState second = withChange(first, 4);
+        ControlState third = withChange(second, 5);
+        StateFollower publisher = new StateFollower();
+        publisher.publish(3, first);
+        publisher.publish(4, second);
+        publisher.publish(6, third);
+        List<StateDelta> deltas = publisher.deltasSince(3);
+        assertEquals(2, deltas.size());
+        assertTrue(publisher.deltasSince(5).isEmpty(), "there is no state with index 5");
 
         StateFollower empty = new StateFollower();
-        assertFalse(empty.apply(steps), "nothing to build on");
+        assertFalse(empty.apply(deltas), "there is no state to which the deltas apply");
         StateFollower gap = new StateFollower();
         gap.publish(3, first);
-        assertFalse(gap.apply(steps.subList(1, 2)), "a step is missing");
+        assertFalse(gap.apply(deltas.subList(1, 2)), "a delta is missing");
         assertEquals(3, gap.index());
-        assertTrue(gap.apply(List.of(steps.get(1), steps.get(0))), "what fits is taken");
+        assertTrue(gap.apply(List.of(deltas.get(1), deltas.get(0))), "the delta that applies is applied");
         assertEquals(4, gap.index());
-        assertTrue(gap.apply(steps), "the rest follows");
-        assertFalse(gap.apply(steps), "stale");
+        assertTrue(gap.apply(deltas), "the remaining delta is applied");
+        assertFalse(gap.apply(deltas), "already applied");
         assertEquals(document(PublishedState.of(third)), document(gap.state()));
-        assertEquals(steps.size(), gap.since(3).size(), "and is passed on");
+        assertEquals(deltas.size(), gap.deltasSince(3).size(), "received deltas are passed on");
 
         StateFollower damaged = new StateFollower();
         damaged.publish(3, first);
         assertFalse(damaged.apply(List.of(new StateDelta(3, 4, new byte[] {1, 2, 3}))));
-        assertEquals(3, damaged.index(), "what can't be applied is not guessed");
+        assertEquals(3, damaged.index(), "a malformed delta does not change the state");
     }
 
     @Test
-    void deltaThatDoesNotApplyIsRepairedByASnapshot() {
+    void inapplicableDeltaIsFollowedByASnapshotRequest() {
         Map<String, List<GossipMessage>> sent = new HashMap<>();
         Registry registry = new Registry();
         Gossip gossip = new Gossip(
                 "p:1", false, List.of("c1:1"), registry, (to, m) -> sent.computeIfAbsent(to, t -> new ArrayList<>())
                         .add(m));
-        ControlState first = first();
-        registry.states().take(Snapshot.of(1, PublishedState.of(first)));
-        GossipMessage broken =
+        ControlState first = initialState();
+        registry.stateFollower().install(Snapshot.of(1, PublishedState.of(first)));
+        GossipMessage inapplicable =
                 GossipMessage.update(0, 2, List.of(), List.of(new StateDelta(1, 2, new byte[] {9, 9, 9, 9, 9})));
-        gossip.onGossip(0, "c1:1", broken);
+        gossip.onGossip(0, "c1:1", inapplicable);
         GossipMessage fetch = sent.get("c1:1").get(0);
         assertEquals(GossipMessage.Kind.FETCH, fetch.kind());
-        gossip.onGossip(5, "c1:1", GossipMessage.fetchReply(fetch.nonce(), 2, broken.deltas(), SnapshotChunk.NONE));
+        gossip.onGossip(
+                5, "c1:1", GossipMessage.fetchReply(fetch.nonce(), 2, inapplicable.deltas(), SnapshotChunk.NONE));
         assertEquals(1, registry.stateIndex());
-        GossipMessage again = sent.get("c1:1").get(1);
-        assertEquals(SnapshotChunk.WITHOUT_STEPS, again.chunk().index());
-        Snapshot full = Snapshot.of(2, PublishedState.of(after(first, 4)));
-        assertTrue(gossip.onGossip(9, "c1:1", GossipMessage.fetchReply(again.nonce(), 2, List.of(), full.chunk(0)))
-                .state());
+        GossipMessage retry = sent.get("c1:1").get(1);
+        assertEquals(SnapshotChunk.SNAPSHOT_ONLY, retry.chunk().index());
+        Snapshot snapshot = Snapshot.of(2, PublishedState.of(withChange(first, 4)));
+        assertTrue(gossip.onGossip(9, "c1:1", GossipMessage.fetchReply(retry.nonce(), 2, List.of(), snapshot.chunk(0)))
+                .stateAdvanced());
         assertEquals(2, registry.stateIndex());
     }
 
-    /** A snapshot in parts: reading goes on while newer states come, and each part is asked for by itself. */
+    /** A large snapshot is fetched chunk by chunk, and the fetch continues while newer states are published. */
     @Test
-    void largeSnapshotComesInChunksWhileChangesGoOn() {
+    void largeSnapshotIsFetchedInChunksDuringFurtherChanges() {
         SplittableRandom random = new SplittableRandom(1);
-        StringBuilder noise = new StringBuilder();
+        StringBuilder randomText = new StringBuilder();
         for (int i = 0; i < 300_000; i++) {
-            noise.append((char) ('a' + random.nextInt(26)));
+            randomText.append((char) ('a' + random.nextInt(26)));
         }
         ControlState state = ControlState.EMPTY.with(new Change(
                 Change.Kind.REPLACE,
                 0,
-                utf8("{\"version\":1,\"routes\":[],\"services\":[{\"name\":\"s\"}],\"note\":\"" + noise + "\"}")));
+                utf8("{\"version\":1,\"routes\":[],\"services\":[{\"name\":\"s\"}],\"note\":\"" + randomText + "\"}")));
         Fleet fleet = new Fleet(5, 3, 0, 20);
         fleet.publish("c1:1", 1, state);
         for (int i = 0; i < 40; i++) {
             state = state.with(update(state.configuration().version(), route(i, 100 + i), ""));
             fleet.publish("c1:1", 2 + i, state);
-            fleet.run(fleet.now + 20);
+            fleet.run(fleet.nowMs + 20);
         }
-        fleet.run(fleet.now + 1_000);
-        fleet.assertAllHold(41, state);
-        int parts = (Snapshot.of(41, PublishedState.of(state)).bytes().length + SnapshotChunk.MAX_BYTES - 1)
+        fleet.run(fleet.nowMs + 1_000);
+        fleet.assertAllHave(41, state);
+        int chunks = (Snapshot.of(41, PublishedState.of(state)).bytes().length + SnapshotChunk.MAX_BYTES - 1)
                 / SnapshotChunk.MAX_BYTES;
-        assertTrue(parts > 2, parts + " parts");
+        assertTrue(chunks > 2, chunks + " chunks");
         fleet.stateBytesTo.forEach((name, bytes) ->
-                assertTrue(bytes < 2L * (parts + 1) * SnapshotChunk.MAX_BYTES, bytes + " bytes to " + name));
+                assertTrue(bytes < 2L * (chunks + 1) * SnapshotChunk.MAX_BYTES, bytes + " bytes to " + name));
     }
 
     @Test
-    void processThatHearsOnlyAStaleCoreMachineIsNotFresh() {
+    void processConnectedOnlyToAStaleCoreMachineIsNotFresh() {
         Fleet fleet = new Fleet(6, 4, 0, 3);
-        ControlState old = first();
+        ControlState old = initialState();
         fleet.publish("c1:1", 1, old);
-        fleet.registries.get("c1:1").confirmFresh(fleet.now);
+        fleet.registries.get("c1:1").confirmFresh(fleet.nowMs);
         fleet.run(1_000);
         fleet.start("alone:1", List.of());
-        Registry alone = fleet.registries.get("alone:1");
+        Registry isolated = fleet.registries.get("alone:1");
         Gossip gossip = fleet.gossips.get("alone:1");
         Registry stale = new Registry();
         stale.publish(1, old);
-        gossip.onGossip(fleet.now, "stale:1", GossipMessage.update(0, 1, List.of(), List.of()));
-        gossip.onGossip(fleet.now, "stale:1", stale.reply(fleet.now, alone.query(fleet.now, 5, false)));
-        assertTrue(alone.freshAt() < -1_000_000, "nobody fresh was asked");
-        ControlState next = after(old, 4);
+        gossip.onGossip(fleet.nowMs, "stale:1", GossipMessage.update(0, 1, List.of(), List.of()));
+        gossip.onGossip(fleet.nowMs, "stale:1", stale.reply(fleet.nowMs, isolated.query(fleet.nowMs, 5, false)));
+        assertTrue(isolated.freshAtMs() < -1_000_000, "no process with a fresh state was queried");
+        ControlState next = withChange(old, 4);
         fleet.publish("c2:1", 2, next);
-        fleet.run(fleet.now + 3_000);
-        gossip.onGossip(fleet.now, "stale:1", GossipMessage.update(0, 1, List.of(), List.of()));
-        fleet.assertAllHold(2, next);
+        fleet.run(fleet.nowMs + 3_000);
+        gossip.onGossip(fleet.nowMs, "stale:1", GossipMessage.update(0, 1, List.of(), List.of()));
+        fleet.assertAllHave(2, next);
     }
 }
