--- a/src/main/java/quartzspan/controlplane/ControlPlane.java
+++ b/src/main/java/quartzspan/controlplane/ControlPlane.java
@@ -40,7 +40,7 @@
  */
 public final class ControlPlane implements HttpServer.RequestHandler {
     private static final Logger LOG = LoggerFactory.getLogger(ControlPlane.class);
-    private static final int TICK_MS = 50;
+    private static final int TICK_INTERVAL_MS = 50;
     private static final int MAX_HEADER_BYTES = 32 * 1024;
     private static final int MAX_BODY_BYTES = 12 * 1024 * 1024;
     private static final int CLIENT_TIMEOUT_MS = 30_000;
@@ -48,10 +48,10 @@
     /** With an older state no server or proxy may be counted as lost. */
     private static final long MAX_STALENESS_MS = 1_000;
 
-    private static final int CONNECT_TIMEOUT_US = 500_000;
-    private static final int IDLE_TIMEOUT_US = 2_000_000;
+    private static final int SERVER_CONNECT_TIMEOUT_US = 500_000;
+    private static final int SERVER_IDLE_TIMEOUT_US = 2_000_000;
     private static final int MAX_SERVER_CONNECTIONS = 256;
-    private static final int IDLE_CONNECTION_MS = 10_000;
+    private static final int INTERNAL_IDLE_TIMEOUT_MS = 10_000;
     /** A core machine that was not heard for so long counts as down. */
     private static final long CORE_TIMEOUT_MS = 1_500;
 
@@ -73,70 +73,71 @@
     private final RequestRouter router;
     private final String self;
     private final DrainAcknowledger drainAcknowledger;
-    private final ServerClient servers;
+    private final ServerClient serverClient;
     private final WeightsDeadlines weightsDeadlines;
-    private final RolloutActions rollout;
+    private final RolloutActions rolloutActions;
     private final PrefixCacheIndexer prefixCacheIndexer;
     private final GracefulShutdown shutdown;
-    private final CountDownLatch ended = new CountDownLatch(1);
+    private final CountDownLatch stopped = new CountDownLatch(1);
     /** When other core machines were last heard. */
-    private final Map<String, Long> coreHeardAtMs = new HashMap<>();
+    private final Map<String, Long> lastCoreMessageAtMs = new HashMap<>();
 
     private ControlPlane(Settings settings, EventLoopGroup group, EventLoop loop) {
         this.settings = settings;
         this.group = group;
         this.loop = loop;
-        this.self = text(settings.internal());
+        this.self = hostAndPort(settings.internal());
         this.connectionLimits = new HttpServer.ConnectionLimits(
                 Math.max(MIN_CLIENT_CONNECTIONS, settings.descriptors() / 2),
                 MAX_HEADER_BYTES,
                 MAX_BODY_BYTES,
                 CLIENT_TIMEOUT_MS,
                 CLIENT_TIMEOUT_MS);
-        List<String> seeds = seeds(settings);
-        String control = text(settings.listens("control_plane"));
-        this.transport = new TcpTransport(loop, new Hello(true, self, control, settings.zone()), this::received);
-        this.replicaHost = new ReplicaHost(settings, self, seeds, loop, this::nowMs, transport, this::stateCommitted);
+        List<String> seeds = internalSeeds(settings);
+        String control = hostAndPort(settings.listens("control_plane"));
+        this.transport = new TcpTransport(loop, new Hello(true, self, control, settings.zone()), this::onMessage);
+        this.replicaHost = new ReplicaHost(settings, self, seeds, loop, this::nowMs, transport, this::onStateCommitted);
         this.replica = replicaHost.replica();
-        this.connectionPool = new ConnectionPool(loop, CONNECT_TIMEOUT_US, IDLE_TIMEOUT_US, MAX_SERVER_CONNECTIONS);
-        this.servers = new ServerClient(connectionPool);
+        this.connectionPool =
+                new ConnectionPool(loop, SERVER_CONNECT_TIMEOUT_US, SERVER_IDLE_TIMEOUT_US, MAX_SERVER_CONNECTIONS);
+        this.serverClient = new ServerClient(connectionPool);
         this.heartbeats = new HeartbeatTracker(registry, settings.heartbeatMs());
         this.gossip = new Gossip(self, true, seeds, registry, transport::send, Gossip.firstNonce(System.nanoTime()));
         this.httpServer = new HttpServer(this, loop);
         this.drainAcknowledger = new DrainAcknowledger(gossip);
         this.weightsDeadlines = new WeightsDeadlines(settings.bounds().versionApplyMs());
-        this.rollout = new RolloutActions(
-                settings, self, this::nowMs, replicaHost, heartbeats, gossip, servers, weightsDeadlines);
-        this.prefixCacheIndexer = new PrefixCacheIndexer(this::nowMs, self, registry, gossip, transport, servers);
+        this.rolloutActions = new RolloutActions(
+                settings, self, this::nowMs, replicaHost, heartbeats, gossip, serverClient, weightsDeadlines);
+        this.prefixCacheIndexer = new PrefixCacheIndexer(this::nowMs, self, registry, gossip, transport, serverClient);
         this.shutdown = new GracefulShutdown(new ReplicaHandover(), gracePeriodMs());
-        this.router = router();
+        this.router = createRouter();
     }
 
-    private RequestRouter router() {
+    private RequestRouter createRouter() {
         ServerApi serverApi = new ServerApi(
                 this::nowMs,
                 new HeartbeatHandler(registry, heartbeats, gossip, weightsDeadlines, this::freshAtMs),
                 drainAcknowledger,
-                this::requiredDrainHolders);
+                this::requiredDrainAcks);
         OperatorApi operatorApi = new OperatorApi(this::nowMs, replicaHost, registry);
         return new RequestRouter()
-                .on("POST", "/quartzspan/Instances.Heartbeat/", serverApi::heartbeat)
-                .on("POST", "/quartzspan/Instances.Deregister/", serverApi::deregister)
-                .on("POST", "/quartzspan/Configuration.Replace", operatorApi::replace)
-                .on("POST", "/quartzspan/Configuration.Update", operatorApi::update)
-                .on("GET", "/quartzspan/Configuration.Describe", operatorApi::describe)
-                .on("POST", "/quartzspan/version-put", operatorApi::nameWeights)
-                .on("GET", "/quartzspan/status", this::status);
+                .addRoute("POST", "/quartzspan/Instances.Heartbeat/", serverApi::heartbeat)
+                .addRoute("POST", "/quartzspan/Instances.Deregister/", serverApi::deregister)
+                .addRoute("POST", "/quartzspan/Configuration.Replace", operatorApi::replace)
+                .addRoute("POST", "/quartzspan/Configuration.Update", operatorApi::update)
+                .addRoute("GET", "/quartzspan/Configuration.Describe", operatorApi::describe)
+                .addRoute("POST", "/quartzspan/version-put", operatorApi::setTargetVersion)
+                .addRoute("GET", "/quartzspan/status", this::status);
     }
 
     /** Internal addresses of the seeds: the settings give their control_plane addresses, and ports are alike on all machines. */
-    private static List<String> seeds(Settings settings) {
+    private static List<String> internalSeeds(Settings settings) {
         return settings.seeds().stream()
                 .map(seed -> seed.getHostString() + ':' + settings.internalPort())
                 .toList();
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String hostAndPort(InetSocketAddress address) {
         return address.getHostString() + ':' + address.getPort();
     }
 
@@ -173,17 +174,17 @@
 
     private void begin() {
         connectionPool.begin();
-        String control = text(settings.listens("control_plane"));
+        String control = hostAndPort(settings.listens("control_plane"));
         registry.merge(nowMs(), new CoreMachine(self, control, settings.zone()).entry());
         loop.scheduleWithFixedDelay(
-                new PeriodicTask("control plane tick", this::tick), 1, TICK_MS, TimeUnit.MILLISECONDS);
+                new PeriodicTask("control plane tick", this::tick), 1, TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Hands over, answering or redirecting requests meanwhile, and ends: what was acknowledged is on disk. */
     public void stop() {
         loop.execute(() -> shutdown.begin(nowMs()));
         try {
-            ended.await(gracePeriodMs(), TimeUnit.MILLISECONDS);
+            stopped.await(gracePeriodMs(), TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -207,13 +208,13 @@
     }
 
     @Override
-    public void onRequest(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
-        router.route(client, in, body);
+    public void onRequest(HttpServer.ClientConnection client, HttpRequest request, byte[] body, long receivedAtUs) {
+        router.route(client, request, body);
     }
 
-    private void status(HttpServer.ClientConnection client, HttpRequest in, byte[] body, String pathSuffix) {
-        byte[] report = StatusReport.json(nowMs(), settings.nodeName(), replica, registry);
-        RequestRouter.answer(client, HttpResponseStatus.OK, report);
+    private void status(HttpServer.ClientConnection client, HttpRequest request, byte[] body, String pathSuffix) {
+        byte[] json = StatusReport.toJson(nowMs(), settings.nodeName(), replica, registry);
+        RequestRouter.answer(client, HttpResponseStatus.OK, json);
     }
 
     // ---- the event loop ------------------------------------------------------------------------------
@@ -224,15 +225,15 @@
         freshAtMs();
         gossip.onTick(now, replica.isPrimary() ? null : replica.knownPrimary(now));
         reportHeartbeats(now);
-        expireSilent(now);
+        expireUnresponsive(now);
         registry.expire(now);
-        transport.closeIdle(IDLE_CONNECTION_MS);
-        servers.forget(this::isDeregistered);
+        transport.closeIdle(INTERNAL_IDLE_TIMEOUT_MS);
+        serverClient.closeDeregistered(this::isDeregistered);
         drainAcknowledger.onTick(now);
-        rollout.onTick(now, registry);
-        prefixCacheIndexer.onTick(now, liveCores(now));
-        if (shutdown.isOver(now, drainAcknowledger.isIdle() && replicaHost.isIdle())) {
-            ended.countDown();
+        rolloutActions.onTick(now, registry);
+        prefixCacheIndexer.onTick(now, reachableCores(now));
+        if (shutdown.isComplete(now, drainAcknowledger.isIdle() && replicaHost.isIdle())) {
+            stopped.countDown();
         }
     }
 
@@ -246,14 +247,14 @@
 
     /** Reports to the other core machines which servers and proxies were heard here. */
     private void reportHeartbeats(long now) {
-        List<RegistryEntry> heard = heartbeats.takeUnreported(now);
-        if (!heard.isEmpty()) {
-            GossipMessage report = GossipMessage.heartbeats(heard);
+        List<RegistryEntry> unreported = heartbeats.takeUnreported(now);
+        if (!unreported.isEmpty()) {
+            GossipMessage report = GossipMessage.heartbeats(unreported);
             gossip.cores().forEach(core -> transport.send(core, report));
         }
     }
 
-    private void expireSilent(long now) {
+    private void expireUnresponsive(long now) {
         if (now - freshAtMs() > MAX_STALENESS_MS) {
             heartbeats.restartTimeouts(now);
             return;
@@ -270,26 +271,26 @@
         return entry != null && entry.state() == RegistryEntry.State.GONE;
     }
 
-    private List<String> liveCores(long now) {
-        coreHeardAtMs.values().removeIf(at -> now - at > CORE_TIMEOUT_MS);
-        return List.copyOf(coreHeardAtMs.keySet());
+    private List<String> reachableCores(long now) {
+        lastCoreMessageAtMs.values().removeIf(at -> now - at > CORE_TIMEOUT_MS);
+        return List.copyOf(lastCoreMessageAtMs.keySet());
     }
 
-    private void received(Hello from, Object message) {
+    private void onMessage(Hello from, Object message) {
         long now = nowMs();
         if (from.core()) {
-            coreHeardAtMs.put(from.address(), now);
+            lastCoreMessageAtMs.put(from.address(), now);
         }
         if (message instanceof PrefixCacheUpdate update) {
-            prefixCacheIndexer.received(from.address(), from.core(), update);
+            prefixCacheIndexer.onUpdate(from.address(), from.core(), update);
         } else if (message instanceof ReplicaMessage replicaMessage && from.core()) {
             replica.onMessage(now, from.address(), replicaMessage);
         } else if (message instanceof GossipMessage gossipMessage) {
-            receivedGossip(now, from, gossipMessage);
+            onGossip(now, from, gossipMessage);
         }
     }
 
-    private void receivedGossip(long now, Hello from, GossipMessage message) {
+    private void onGossip(long now, Hello from, GossipMessage message) {
         if (message.kind() == GossipMessage.Kind.HEARTBEATS) {
             heartbeats.onPeerReport(now, message.entries());
             return;
@@ -303,14 +304,14 @@
         gossip.onGossip(now, from.address(), message);
     }
 
-    private void stateCommitted(long index, ControlState state) {
+    private void onStateCommitted(long index, ControlState state) {
         if (registry.publish(index, state)) {
             gossip.onPublished(nowMs());
         }
     }
 
     /** Number of other core machines that must have the entry of a draining server: as many as may be lost at once. */
-    private int requiredDrainHolders() {
+    private int requiredDrainAcks() {
         int others = replica.membership().voters().size() - 1;
         return others < 0 ? settings.losses() : Math.min(settings.losses(), others);
     }
--- a/src/main/java/quartzspan/controlplane/DrainAcknowledger.java
+++ b/src/main/java/quartzspan/controlplane/DrainAcknowledger.java
@@ -23,16 +23,16 @@
     interface Caller {
         void acknowledge();
 
-        void refuse(FleetException why);
+        void refuse(FleetException refusal);
     }
 
     /** One request that waits; {@link #cancel} ends it without a response. */
-    final class Pending {
+    final class PendingRequest {
         private final Caller caller;
         private final long deadlineMs;
-        private long broadcast;
+        private long broadcastId;
 
-        private Pending(Caller caller, long deadlineMs) {
+        private PendingRequest(Caller caller, long deadlineMs) {
             this.caller = caller;
             this.deadlineMs = deadlineMs;
         }
@@ -45,13 +45,13 @@
         /** The caller has disconnected. */
         void cancel() {
             if (pending.remove(this)) {
-                gossip.cancelBroadcast(broadcast);
+                gossip.cancelBroadcast(broadcastId);
             }
         }
     }
 
     private final Gossip gossip;
-    private final Set<Pending> pending = new LinkedHashSet<>();
+    private final Set<PendingRequest> pending = new LinkedHashSet<>();
 
     DrainAcknowledger(Gossip gossip) {
         this.gossip = gossip;
@@ -60,32 +60,32 @@
     /**
      * Broadcasts an entry, and acknowledges it once enough core machines have it.
      *
-     * @param requiredHolders number of other core machines that must have it
+     * @param requiredAcks number of other core machines that must have it
      */
-    Pending begin(long now, RegistryEntry entry, int requiredHolders, Caller caller) {
-        Pending call = new Pending(caller, now + ACKNOWLEDGEMENT_TIMEOUT_MS);
-        if (requiredHolders == 0) {
+    PendingRequest begin(long now, RegistryEntry entry, int requiredAcks, Caller caller) {
+        PendingRequest request = new PendingRequest(caller, now + ACKNOWLEDGEMENT_TIMEOUT_MS);
+        if (requiredAcks == 0) {
             gossip.broadcast(now, new Registry.Update(List.of(entry), false), null);
             caller.acknowledge();
-            return call;
+            return request;
         }
-        pending.add(call);
-        call.broadcast = gossip.broadcastUntilAcknowledged(now, List.of(entry), requiredHolders, () -> {
-            if (pending.remove(call)) {
+        pending.add(request);
+        request.broadcastId = gossip.broadcastUntilAcknowledged(now, List.of(entry), requiredAcks, () -> {
+            if (pending.remove(request)) {
                 caller.acknowledge();
             }
         });
-        return call;
+        return request;
     }
 
     /** Refuses requests that have timed out; to be called every 50 ms or so. */
     void onTick(long now) {
-        for (Iterator<Pending> all = pending.iterator(); all.hasNext(); ) {
-            Pending call = all.next();
-            if (now >= call.deadlineMs) {
-                all.remove();
-                gossip.cancelBroadcast(call.broadcast);
-                call.caller.refuse(new FleetException(
+        for (Iterator<PendingRequest> requests = pending.iterator(); requests.hasNext(); ) {
+            PendingRequest request = requests.next();
+            if (now >= request.deadlineMs) {
+                requests.remove();
+                gossip.cancelBroadcast(request.broadcastId);
+                request.caller.refuse(new FleetException(
                         FleetException.Code.NOT_PRIMARY,
                         "too few other core machines have confirmed it",
                         "ask another machine of the core"));
--- a/src/main/java/quartzspan/controlplane/GracefulShutdown.java
+++ b/src/main/java/quartzspan/controlplane/GracefulShutdown.java
@@ -37,7 +37,7 @@
     }
 
     /** Whether the process was asked to end. */
-    boolean started() {
+    boolean hasStarted() {
         return started;
     }
 
@@ -46,7 +46,7 @@
      *
      * @param idle whether no request waits for its answer
      */
-    boolean isOver(long now, boolean idle) {
+    boolean isComplete(long now, boolean idle) {
         return started
                 && (participant.isHandoverComplete(now) && idle || now - startedAtMs >= gracePeriodMs - KILL_MARGIN_MS);
     }
--- a/src/main/java/quartzspan/controlplane/HeartbeatHandler.java
+++ b/src/main/java/quartzspan/controlplane/HeartbeatHandler.java
@@ -47,7 +47,7 @@
      * @return the entry that other core machines must have before the heartbeat is acknowledged; null if none
      * @throws FleetException if the server has to call another machine
      */
-    RegistryEntry heartbeat(long now, String id, byte[] body) {
+    RegistryEntry onHeartbeat(long now, String id, byte[] body) {
         JsonObject json = JsonFields.parse(body);
         boolean draining = json.getString("state", "ready").equals("draining");
         RegistryEntry update = heartbeats.onServerHeartbeat(
@@ -55,7 +55,7 @@
                 id,
                 JsonFields.wholeNumber(json, "call_count", 0),
                 draining ? RegistryEntry.State.DRAINING : RegistryEntry.State.READY,
-                server(now, id, json));
+                parseServer(now, id, json));
         if (draining) {
             return update != null ? update : registry.entry(RegistryEntry.Subject.SERVER, id);
         }
@@ -72,13 +72,13 @@
     }
 
     /** A deregistration; returns the entry that other core machines must have before it is acknowledged. */
-    RegistryEntry deregistration(long now, String id) {
+    RegistryEntry onDeregistration(long now, String id) {
         RegistryEntry update = heartbeats.onDeregistered(now, id);
         return update != null ? update : registry.entry(RegistryEntry.Subject.SERVER, id);
     }
 
     /** The server that a heartbeat describes; one with overdue weights counts as loading, so that it gets no requests. */
-    private Server server(long now, String id, JsonObject json) {
+    private Server parseServer(long now, String id, JsonObject json) {
         String model = "";
         long weights = 0;
         if (json.get("models") instanceof JsonArray models && !models.isEmpty()) {
@@ -91,7 +91,7 @@
                 json.getString("zone", ""),
                 model,
                 weights,
-                weights == 0 ? 0 : deadlines.versionDueBy(now, model));
+                weights == 0 ? 0 : deadlines.latestOverdueVersion(now, model));
         Server server =
                 Server.of(new RegistryEntry(RegistryEntry.Subject.SERVER, id, 0, RegistryEntry.State.READY, text));
         if (server == null) {
--- a/src/main/java/quartzspan/controlplane/LoadTracker.java
+++ b/src/main/java/quartzspan/controlplane/LoadTracker.java
@@ -18,59 +18,59 @@
     /**
      * A load.
      *
-     * @param orderedAt when it was ordered last
-     * @param retryAt when it counts as lost, unless there is another sign of it
+     * @param orderedAtMs when it was ordered last
+     * @param retryAtMs when it counts as lost, unless there is another sign of it
      * @param refused whether the server did not take the order: it serves on
      */
-    private record Load(long version, long firstOrderedAt, long orderedAt, long retryAt, boolean refused) {}
+    private record Load(long version, long firstOrderedAtMs, long orderedAtMs, long retryAtMs, boolean refused) {}
 
-    /** A load that has ended, {@code tookMs} after its first order. */
-    record Finished(Server server, long tookMs) {}
+    /** A load that has ended, {@code durationMs} after its first order. */
+    record FinishedLoad(Server server, long durationMs) {}
 
     private final Map<String, Load> loads = new HashMap<>();
-    private final List<Finished> finished = new ArrayList<>();
+    private final List<FinishedLoad> finished = new ArrayList<>();
 
-    void ordered(long now, String server, long version) {
-        Load before = loads.get(server);
-        long first = before == null ? now : before.firstOrderedAt();
-        loads.put(server, new Load(version, first, now, now + RETRY_INTERVAL_MS, false));
+    void onOrdered(long now, String server, long version) {
+        Load previous = loads.get(server);
+        long firstOrderedAtMs = previous == null ? now : previous.firstOrderedAtMs();
+        loads.put(server, new Load(version, firstOrderedAtMs, now, now + RETRY_INTERVAL_MS, false));
     }
 
     /** The server has said that it is loading. */
-    void confirmed(long now, String server) {
+    void onConfirmed(long now, String server) {
         loads.computeIfPresent(
                 server,
                 (id, load) -> new Load(
-                        load.version(), load.firstOrderedAt(), load.orderedAt(), now + RETRY_INTERVAL_MS, false));
+                        load.version(), load.firstOrderedAtMs(), load.orderedAtMs(), now + RETRY_INTERVAL_MS, false));
     }
 
     /** The server did not take the order. */
-    void refused(long now, String server) {
+    void onRefused(long now, String server) {
         loads.computeIfPresent(
                 server,
                 (id, load) -> new Load(
                         load.version(),
-                        load.firstOrderedAt(),
-                        load.orderedAt(),
+                        load.firstOrderedAtMs(),
+                        load.orderedAtMs(),
                         now + REFUSED_RETRY_INTERVAL_MS,
                         true));
     }
 
     /** The server has reported that it is not loading: if that is not older than the order, the order was lost. */
-    void idle(long now, String server) {
+    void onIdle(long now, String server) {
         Load load = loads.get(server);
-        if (load != null && now - load.orderedAt() >= REPORT_LAG_MS && now < load.retryAt()) {
-            loads.put(server, new Load(load.version(), load.firstOrderedAt(), load.orderedAt(), now, true));
+        if (load != null && now - load.orderedAtMs() >= REPORT_LAG_MS && now < load.retryAtMs()) {
+            loads.put(server, new Load(load.version(), load.firstOrderedAtMs(), load.orderedAtMs(), now, true));
         }
     }
 
     /** Takes note of the weights that servers have. */
-    void update(long now, List<Server> servers) {
+    void onWeights(long now, List<Server> servers) {
         for (Server server : servers) {
             Load load = loads.get(server.id());
             if (load != null && server.weights() >= load.version()) {
                 loads.remove(server.id());
-                finished.add(new Finished(server, now - load.firstOrderedAt()));
+                finished.add(new FinishedLoad(server, now - load.firstOrderedAtMs()));
             }
         }
     }
@@ -78,29 +78,29 @@
     /** Whether a server is loading, or may be. */
     boolean isLoading(long now, String server) {
         Load load = loads.get(server);
-        return load != null && !load.refused() && now < load.retryAt();
+        return load != null && !load.refused() && now < load.retryAtMs();
     }
 
     /** Whether a server may be ordered. */
     boolean mayOrder(long now, String server) {
         Load load = loads.get(server);
-        return load == null || now >= load.retryAt();
+        return load == null || now >= load.retryAtMs();
     }
 
     /** The servers that are loading, or may be. */
-    List<String> loading(long now) {
+    List<String> loadingServers(long now) {
         return loads.keySet().stream().filter(server -> isLoading(now, server)).toList();
     }
 
     /** The loads that have ended since the last call. */
-    List<Finished> takeFinished() {
-        List<Finished> taken = List.copyOf(finished);
+    List<FinishedLoad> takeFinished() {
+        List<FinishedLoad> taken = List.copyOf(finished);
         finished.clear();
         return taken;
     }
 
     /** Forgets the loads of servers that are gone. */
-    void retain(List<String> servers) {
+    void retainServers(List<String> servers) {
         loads.keySet().retainAll(servers);
     }
 }
--- a/src/main/java/quartzspan/controlplane/Main.java
+++ b/src/main/java/quartzspan/controlplane/Main.java
@@ -15,15 +15,15 @@
     public static void main(String[] args) {
         try {
             run(Settings.load());
-        } catch (Exception why) {
-            Settings.refuse(why, LOG::error);
+        } catch (Exception e) {
+            Settings.refuse(e, LOG::error);
         }
     }
 
     /** Starts the core machine and ties it to the process's signals; returns once it listens. */
     public static void run(Settings settings) throws Exception {
         // Nothing of a core machine's settings may change while it runs.
-        Signal.handle(new Signal("HUP"), hup -> {});
+        Signal.handle(new Signal("HUP"), signal -> {});
         ControlPlane controlPlane = ControlPlane.start(settings);
         Runtime.getRuntime().addShutdownHook(new Thread(controlPlane::stop));
     }
--- a/src/main/java/quartzspan/controlplane/OperatorApi.java
+++ b/src/main/java/quartzspan/controlplane/OperatorApi.java
@@ -30,38 +30,39 @@
         this.registry = registry;
     }
 
-    void replace(ClientConnection client, HttpRequest in, byte[] body, String pathSuffix) {
-        change(client, in, Change.Kind.REPLACE, base(in), body);
+    void replace(ClientConnection client, HttpRequest request, byte[] body, String pathSuffix) {
+        change(client, request, Change.Kind.REPLACE, baseVersion(request), body);
     }
 
-    void update(ClientConnection client, HttpRequest in, byte[] body, String pathSuffix) {
-        change(client, in, Change.Kind.UPDATE, base(in), body);
+    void update(ClientConnection client, HttpRequest request, byte[] body, String pathSuffix) {
+        change(client, request, Change.Kind.UPDATE, baseVersion(request), body);
     }
 
-    void nameWeights(ClientConnection client, HttpRequest in, byte[] body, String pathSuffix) {
-        change(client, in, Change.Kind.WEIGHTS, 0, body);
+    void setTargetVersion(ClientConnection client, HttpRequest request, byte[] body, String pathSuffix) {
+        change(client, request, Change.Kind.WEIGHTS, 0, body);
     }
 
-    private static long base(HttpRequest in) {
-        long base = HttpFraming.number(in.headers().get("X-Base-Version"));
-        if (base < 0) {
+    private static long baseVersion(HttpRequest request) {
+        long baseVersion = HttpFraming.number(request.headers().get("X-Base-Version"));
+        if (baseVersion < 0) {
             throw new FleetException(
                     FleetException.Code.CONFIG_INVALID,
                     "X-Base-Version is missing",
                     "name the version that the change builds on, 0 for the first");
         }
-        return base;
+        return baseVersion;
     }
 
-    private void change(ClientConnection client, HttpRequest in, Change.Kind kind, long base, byte[] body) {
-        if (!redirectedToPrimary(client, in)) {
-            replicaHost.submit(new Change(kind, base, body), answerTo(client, state -> RequestRouter.ok(client)));
+    private void change(ClientConnection client, HttpRequest request, Change.Kind kind, long baseVersion, byte[] body) {
+        if (!redirectToPrimary(client, request)) {
+            replicaHost.submit(
+                    new Change(kind, baseVersion, body), respondTo(client, state -> RequestRouter.ok(client)));
         }
     }
 
-    void describe(ClientConnection client, HttpRequest in, byte[] body, String pathSuffix) {
-        if (!redirectedToPrimary(client, in)) {
-            replicaHost.read(answerTo(
+    void describe(ClientConnection client, HttpRequest request, byte[] body, String pathSuffix) {
+        if (!redirectToPrimary(client, request)) {
+            replicaHost.read(respondTo(
                     client,
                     state -> RequestRouter.answer(
                             client, HttpResponseStatus.OK, state.configuration().bytes())));
@@ -69,7 +70,8 @@
     }
 
     /** Passes the replica's answer on to a client, unless that has disconnected by then. */
-    private static PendingReplicaRequests.Callback answerTo(ClientConnection client, Consumer<ControlState> onGranted) {
+    private static PendingReplicaRequests.Callback respondTo(
+            ClientConnection client, Consumer<ControlState> onGranted) {
         AtomicBoolean disconnected = new AtomicBoolean();
         client.onDisconnect(() -> disconnected.set(true));
         return (refusal, state) -> {
@@ -85,7 +87,7 @@
     }
 
     /** Redirects the caller to the primary, if that is another machine; whether it did. */
-    private boolean redirectedToPrimary(ClientConnection client, HttpRequest in) {
+    private boolean redirectToPrimary(ClientConnection client, HttpRequest request) {
         Replica replica = replicaHost.replica();
         if (replica.isPrimary()) {
             return false;
@@ -96,7 +98,7 @@
             throw new FleetException(
                     FleetException.Code.NOT_PRIMARY, "no primary is known at present", "retry in a moment");
         }
-        RequestRouter.redirect(client, "http://" + CoreMachine.of(entry).control() + in.uri());
+        RequestRouter.redirect(client, "http://" + CoreMachine.of(entry).control() + request.uri());
         return true;
     }
 }
--- a/src/main/java/quartzspan/controlplane/PendingReplicaRequests.java
+++ b/src/main/java/quartzspan/controlplane/PendingReplicaRequests.java
@@ -9,7 +9,7 @@
 final class PendingReplicaRequests {
     /** Called once with the answer; {@code refusal} is null if the request was granted. */
     interface Callback {
-        void completed(FleetException refusal, ControlState state);
+        void onComplete(FleetException refusal, ControlState state);
     }
 
     private final Map<Long, Callback> callbacks = new HashMap<>();
@@ -25,7 +25,7 @@
     void complete(long requestId, FleetException refusal, ControlState state) {
         Callback callback = callbacks.remove(requestId);
         if (callback != null) {
-            callback.completed(refusal, state);
+            callback.onComplete(refusal, state);
         }
     }
 
--- a/src/main/java/quartzspan/controlplane/PrefixCacheIndexer.java
+++ b/src/main/java/quartzspan/controlplane/PrefixCacheIndexer.java
@@ -27,12 +27,12 @@
  * one. Two at once do no harm.
  */
 final class PrefixCacheIndexer {
-    private static final long INTERVAL_MS = 100;
-    private static final String WAIT_MS = "1000";
+    private static final long RUN_INTERVAL_MS = 100;
+    private static final String LONG_POLL_WAIT_MS = "1000";
 
     /** Reads an answer as the reports it makes. */
     private interface ResponseParser {
-        List<PrefixCacheUpdate> read(JsonObject answer);
+        List<PrefixCacheUpdate> parse(JsonObject response);
     }
 
     private final LongSupplier clockMs;
@@ -42,11 +42,11 @@
     private final Transport transport;
     private final ServerClient servers;
     private final PrefixCacheIndex prefixCacheIndex = new PrefixCacheIndex();
-    private final Map<String, KvEventReader> followers = new HashMap<>();
+    private final Map<String, KvEventReader> readers = new HashMap<>();
     /** Reports to be sent with the next tick, by whom they go to: those to one process cost it one read. */
-    private final Map<String, List<PrefixCacheUpdate>> unsent = new LinkedHashMap<>();
+    private final Map<String, List<PrefixCacheUpdate>> pendingUpdates = new LinkedHashMap<>();
 
-    private long nextAt;
+    private long nextRunAtMs;
 
     PrefixCacheIndexer(
             LongSupplier clockMs,
@@ -63,31 +63,28 @@
         this.servers = servers;
     }
 
-    /** @param heard the other core machines that were heard of late */
-    void onTick(long now, List<String> heard) {
-        if (now < nextAt) {
+    /** @param reachableCores the other core machines that were heard of late */
+    void onTick(long now, List<String> reachableCores) {
+        if (now < nextRunAtMs) {
             return;
         }
-        nextAt = now + INTERVAL_MS;
-        unsent.forEach((to, reports) -> reports.forEach(report -> transport.send(to, report)));
-        unsent.clear();
-        List<String> cores = new ArrayList<>(heard);
+        nextRunAtMs = now + RUN_INTERVAL_MS;
+        pendingUpdates.forEach((to, updates) -> updates.forEach(update -> transport.send(to, update)));
+        pendingUpdates.clear();
+        List<String> cores = new ArrayList<>(reachableCores);
         cores.add(self);
         Map<String, Server> sources = sources();
-        followers
-                .keySet()
-                .removeIf(id -> !sources.containsKey(id) || !follower(id, cores).equals(self));
+        readers.keySet()
+                .removeIf(id ->
+                        !sources.containsKey(id) || !assignedCore(id, cores).equals(self));
         for (Server source : sources.values()) {
-            if (follower(source.id(), cores).equals(self)) {
-                ask(
-                        now,
-                        source,
-                        followers.computeIfAbsent(source.id(), id -> new KvEventReader(id, System.nanoTime())));
+            if (assignedCore(source.id(), cores).equals(self)) {
+                poll(now, source, readers.computeIfAbsent(source.id(), id -> new KvEventReader(id, System.nanoTime())));
             }
         }
     }
 
-    private static String follower(String server, List<String> cores) {
+    private static String assignedCore(String server, List<String> cores) {
         return Registry.rendezvousSelect(server, cores, 1).get(0);
     }
 
@@ -95,22 +92,23 @@
     private Map<String, Server> sources() {
         Map<String, Server> all = new HashMap<>();
         for (Server server : registry.servers()) {
-            boolean there = server.state() != RegistryEntry.State.GONE && server.state() != RegistryEntry.State.LOST;
-            if (there && !server.model().isEmpty()) {
+            boolean available =
+                    server.state() != RegistryEntry.State.GONE && server.state() != RegistryEntry.State.LOST;
+            if (available && !server.model().isEmpty()) {
                 all.put(server.id(), server);
             }
         }
         for (Configuration.Service service :
                 registry.state().configuration().services().values()) {
             if (service.store() != null) {
-                Server store = store(service);
+                Server store = storeAsServer(service);
                 all.put(store.id(), store);
             }
         }
         return all;
     }
 
-    private static Server store(Configuration.Service service) {
+    private static Server storeAsServer(Configuration.Service service) {
         return new Server(
                 PrefixCacheIndex.store(service.store()),
                 service.name(),
@@ -123,47 +121,47 @@
                 RegistryEntry.State.READY);
     }
 
-    private void ask(long now, Server source, KvEventReader follower) {
-        switch (follower.due(now)) {
+    private void poll(long now, Server source, KvEventReader reader) {
+        switch (reader.due(now)) {
             case EVENTS -> call(
                     source,
-                    follower,
-                    "/quartzspan/kv-events?since=" + follower.since(),
-                    Map.of("Wait-Ms", WAIT_MS),
-                    answer -> follower.events(
+                    reader,
+                    "/quartzspan/kv-events?since=" + reader.since(),
+                    Map.of("Wait-Ms", LONG_POLL_WAIT_MS),
+                    response -> reader.events(
                             clockMs.getAsLong(),
-                            JsonFields.wholeNumber(answer, "epoch", 0),
-                            JsonFields.wholeNumber(answer, "next_token", 0),
-                            answer.getBoolean("lost", false),
-                            blocks(answer.getJsonArray("events"), 2)));
+                            JsonFields.wholeNumber(response, "epoch", 0),
+                            JsonFields.wholeNumber(response, "next_token", 0),
+                            response.getBoolean("lost", false),
+                            blocks(response.getJsonArray("events"), 2)));
             case LIST -> call(
                     source,
-                    follower,
+                    reader,
                     "/quartzspan/kv-list",
                     Map.of(),
-                    answer -> List.of(follower.list(
+                    response -> List.of(reader.list(
                             clockMs.getAsLong(),
-                            JsonFields.wholeNumber(answer, "epoch", 0),
-                            JsonFields.wholeNumber(answer, "next_token", 0),
-                            blocks(answer.getJsonArray("held"), 0))));
+                            JsonFields.wholeNumber(response, "epoch", 0),
+                            JsonFields.wholeNumber(response, "next_token", 0),
+                            blocks(response.getJsonArray("held"), 0))));
             default -> {}
         }
     }
 
     /** An answer that can't be read counts as a failure: the follower must hear of every call's end, or it asks no more. */
     private void call(
-            Server source, KvEventReader follower, String path, Map<String, String> headers, ResponseParser parser) {
-        servers.get(source, path, headers, (status, body) -> publish(reports(follower, status, body, parser)));
+            Server source, KvEventReader reader, String path, Map<String, String> headers, ResponseParser parser) {
+        servers.get(source, path, headers, (status, body) -> publish(parseUpdates(reader, status, body, parser)));
     }
 
-    private List<PrefixCacheUpdate> reports(KvEventReader follower, int status, byte[] body, ResponseParser parser) {
+    private List<PrefixCacheUpdate> parseUpdates(KvEventReader reader, int status, byte[] body, ResponseParser parser) {
         if (status != 200) {
-            return follower.failed(clockMs.getAsLong());
+            return reader.failed(clockMs.getAsLong());
         }
         try {
-            return parser.read(JsonFields.parse(body));
+            return parser.parse(JsonFields.parse(body));
         } catch (FleetException | ClassCastException | NullPointerException | IndexOutOfBoundsException unreadable) {
-            return follower.failed(clockMs.getAsLong());
+            return reader.failed(clockMs.getAsLong());
         }
     }
 
@@ -180,21 +178,21 @@
         return blocks;
     }
 
-    private void publish(List<PrefixCacheUpdate> reports) {
-        Set<String> to = new LinkedHashSet<>(gossip.cores());
-        to.addAll(gossip.subscribers());
-        for (PrefixCacheUpdate report : reports) {
-            prefixCacheIndex.take(clockMs.getAsLong(), report);
-            to.forEach(other -> send(other, report));
+    private void publish(List<PrefixCacheUpdate> updates) {
+        Set<String> recipients = new LinkedHashSet<>(gossip.cores());
+        recipients.addAll(gossip.subscribers());
+        for (PrefixCacheUpdate update : updates) {
+            prefixCacheIndex.take(clockMs.getAsLong(), update);
+            recipients.forEach(to -> enqueue(to, update));
         }
     }
 
-    private void send(String to, PrefixCacheUpdate report) {
-        unsent.computeIfAbsent(to, other -> new ArrayList<>()).add(report);
+    private void enqueue(String to, PrefixCacheUpdate update) {
+        pendingUpdates.computeIfAbsent(to, other -> new ArrayList<>()).add(update);
     }
 
     /** Another process's report or question. */
-    void received(String from, boolean fromCore, PrefixCacheUpdate update) {
+    void onUpdate(String from, boolean fromCore, PrefixCacheUpdate update) {
         if (update.kind() == PrefixCacheUpdate.Kind.SNAPSHOT_REQUEST) {
             PrefixCacheUpdate snapshot = prefixCacheIndex.snapshot(update.server());
             if (snapshot != null) {
@@ -206,7 +204,9 @@
             transport.send(from, PrefixCacheUpdate.snapshotRequest(update.server()));
         } else if (fromCore) {
             List<String> cores = gossip.cores();
-            gossip.subscribers().stream().filter(a -> !cores.contains(a)).forEach(to -> send(to, update));
+            gossip.subscribers().stream()
+                    .filter(address -> !cores.contains(address))
+                    .forEach(to -> enqueue(to, update));
         }
     }
 }
--- a/src/main/java/quartzspan/controlplane/ReplicaHost.java
+++ b/src/main/java/quartzspan/controlplane/ReplicaHost.java
@@ -29,7 +29,7 @@
 
     /** Called with each state that is committed. */
     interface CommitListener {
-        void committed(long index, ControlState state);
+        void onCommitted(long index, ControlState state);
     }
 
     private final EventLoop loop;
@@ -59,7 +59,7 @@
         this.transport = transport;
         this.listener = listener;
         this.store = new ReplicaStore(new SlotStore(new FileDisk(settings.disk())));
-        List<byte[]> records = open(store);
+        List<byte[]> records = openStore(store);
         this.replica = new Replica(
                 self,
                 seeds,
@@ -72,7 +72,7 @@
     }
 
     /** Damage is as good as an empty disk: the other machines know what this one has promised. */
-    private static List<byte[]> open(ReplicaStore store) {
+    private static List<byte[]> openStore(ReplicaStore store) {
         try {
             return store.open();
         } catch (FleetException refusal) {
@@ -135,10 +135,10 @@
         }
 
         @Override
-        public void persist(long number, byte[] record) {
+        public void persist(long recordId, byte[] record) {
             diskThread.execute(() -> {
                 boolean durable = store.keep(record);
-                loop.execute(() -> replica.onPersisted(clockMs.getAsLong(), number, durable));
+                loop.execute(() -> replica.onPersisted(clockMs.getAsLong(), recordId, durable));
             });
         }
 
@@ -149,7 +149,7 @@
 
         @Override
         public void committed(long index, ControlState state, ChangeHistory history) {
-            listener.committed(index, state);
+            listener.onCommitted(index, state);
         }
     }
 }
--- a/src/main/java/quartzspan/controlplane/RequestRouter.java
+++ b/src/main/java/quartzspan/controlplane/RequestRouter.java
@@ -20,14 +20,14 @@
 
     /** Handles one kind of request; {@code pathSuffix} is what follows the declared path. */
     interface Handler {
-        void handle(ClientConnection client, HttpRequest in, byte[] body, String pathSuffix);
+        void handle(ClientConnection client, HttpRequest request, byte[] body, String pathSuffix);
     }
 
     /** By method and path. The key is a string: a record's hash and equality are built by the JVM at their first use, during a start. */
     private final Map<String, Handler> handlers = new LinkedHashMap<>();
 
     /** Adds a route; a path that ends with a slash takes a name after it. */
-    RequestRouter on(String method, String path, Handler handler) {
+    RequestRouter addRoute(String method, String path, Handler handler) {
         handlers.put(key(method, path), handler);
         return this;
     }
@@ -36,16 +36,16 @@
         return method + ' ' + path;
     }
 
-    void route(ClientConnection client, HttpRequest in, byte[] body) {
-        String path = in.uri().split("\\?", 2)[0];
+    void route(ClientConnection client, HttpRequest request, byte[] body) {
+        String path = request.uri().split("\\?", 2)[0];
         int slash = path.lastIndexOf('/');
-        Handler exact = handlers.get(key(in.method().name(), path));
-        Handler byPrefix = handlers.get(key(in.method().name(), path.substring(0, slash + 1)));
+        Handler exact = handlers.get(key(request.method().name(), path));
+        Handler byPrefix = handlers.get(key(request.method().name(), path.substring(0, slash + 1)));
         try {
             if (exact != null) {
-                exact.handle(client, in, body, "");
+                exact.handle(client, request, body, "");
             } else if (byPrefix != null && slash + 1 < path.length()) {
-                byPrefix.handle(client, in, body, path.substring(slash + 1));
+                byPrefix.handle(client, request, body, path.substring(slash + 1));
             } else {
                 error(
                         client,
@@ -58,7 +58,7 @@
             refuse(client, refusal);
         } catch (RuntimeException failure) {
             // The caller goes on to another machine; without an answer it would have to wait for its own timeout.
-            LOG.error("request {} {} failed", in.method(), path, failure);
+            LOG.error("request {} {} failed", request.method(), path, failure);
             error(
                     client,
                     HttpResponseStatus.INTERNAL_SERVER_ERROR,
@@ -96,8 +96,8 @@
     }
 
     /** Redirects the caller to another machine. */
-    static void redirect(ClientConnection client, String to) {
-        HttpHeaders headers = new DefaultHttpHeaders().set("Location", to);
+    static void redirect(ClientConnection client, String location) {
+        HttpHeaders headers = new DefaultHttpHeaders().set("Location", location);
         client.answer(HttpResponseStatus.TEMPORARY_REDIRECT, new Response(new byte[0], null, headers), 0);
     }
 }
--- a/src/main/java/quartzspan/controlplane/RolloutActions.java
+++ b/src/main/java/quartzspan/controlplane/RolloutActions.java
@@ -31,11 +31,11 @@
     private final ReplicaHost replicaHost;
     private final HeartbeatTracker heartbeats;
     private final Gossip gossip;
-    private final ServerClient servers;
+    private final ServerClient serverClient;
     private final WeightsDeadlines deadlines;
     private final RolloutCoordinator coordinator;
     /** Named weights that were logged, by model. */
-    private final Map<String, Long> loggedWeights = new HashMap<>();
+    private final Map<String, Long> loggedTargets = new HashMap<>();
     /** The progress that was last logged, by model. */
     private final Map<String, RolloutPlanner.Status> loggedProgress = new HashMap<>();
 
@@ -46,7 +46,7 @@
             ReplicaHost replicaHost,
             HeartbeatTracker heartbeats,
             Gossip gossip,
-            ServerClient servers,
+            ServerClient serverClient,
             WeightsDeadlines deadlines) {
         this.deadlines = deadlines;
         this.self = self;
@@ -55,21 +55,21 @@
         this.replicaHost = replicaHost;
         this.heartbeats = heartbeats;
         this.gossip = gossip;
-        this.servers = servers;
+        this.serverClient = serverClient;
         RolloutPlanner planner = new RolloutPlanner(deadlines);
         this.coordinator = new RolloutCoordinator(self, settings.bounds().leaseMs(), planner, this::leadership, this);
     }
 
     void onTick(long now, Registry registry) {
-        Map<String, Long> named = registry.state().weights();
-        logNamedWeights(named);
-        deadlines.observe(now, named);
+        Map<String, Long> targets = registry.state().weights();
+        logTargetVersions(targets);
+        deadlines.observe(now, targets);
         coordinator.onTick(now, registry::servers);
     }
 
-    private void logNamedWeights(Map<String, Long> weights) {
-        weights.forEach((model, version) -> {
-            Long logged = loggedWeights.put(model, version);
+    private void logTargetVersions(Map<String, Long> targets) {
+        targets.forEach((model, version) -> {
+            Long logged = loggedTargets.put(model, version);
             if (!version.equals(logged)) {
                 LOG.info("version {} of {} is named", version, model);
             }
@@ -95,7 +95,7 @@
         Change claim = new Change(Change.Kind.ROLLOUT_CLAIM, 0, self.getBytes(StandardCharsets.UTF_8));
         replicaHost.submit(claim, (refusal, state) -> {
             boolean granted = refusal == null && state.rolloutHolder().equals(self);
-            coordinator.claimed(epoch, granted, granted ? state.fencingToken() : 0);
+            coordinator.onClaimResult(epoch, granted, granted ? state.fencingToken() : 0);
         });
     }
 
@@ -111,17 +111,17 @@
     }
 
     @Override
-    public void order(RolloutCoordinator.Order order) {
+    public void sendOrder(RolloutCoordinator.Order order) {
         Server server = order.server();
         LOG.info("server {} is ordered to load version {} of {}", server.id(), order.version(), order.model());
-        servers.post(
+        serverClient.post(
                 server,
                 "/quartzspan/order",
-                RolloutCoordinator.json(order, nodeName),
+                RolloutCoordinator.toJson(order, nodeName),
                 RolloutCoordinator.ORDER_TIMEOUT_MS,
                 () -> coordinator.mayOrder(clockMs.getAsLong(), order),
                 (status, body) -> {
-                    if (status != RolloutCoordinator.STATUS_DONE && status != RolloutCoordinator.STATUS_ACCEPTED) {
+                    if (status != RolloutCoordinator.STATUS_OK && status != RolloutCoordinator.STATUS_ACCEPTED) {
                         LOG.info("server {} answers an order with status {}", server.id(), status);
                     }
                     coordinator.onResponse(clockMs.getAsLong(), order, status);
@@ -129,16 +129,16 @@
     }
 
     @Override
-    public void report(Server server) {
-        servers.get(server, "/quartzspan/report", Map.of(), (status, body) -> {
-            if (status == RolloutCoordinator.STATUS_DONE) {
+    public void requestReport(Server server) {
+        serverClient.get(server, "/quartzspan/report", Map.of(), (status, body) -> {
+            if (status == RolloutCoordinator.STATUS_OK) {
                 onReport(server, JsonFields.parse(body));
             }
         });
     }
 
     @Override
-    public void progress(RolloutPlanner.Status status) {
+    public void onProgress(RolloutPlanner.Status status) {
         RolloutPlanner.Status logged = loggedProgress.get(status.model());
         if (logged != null && logged.version() == status.version() && logged.limit() == status.limit()) {
             return;
@@ -148,20 +148,20 @@
                 "rollout of {} to version {}: {} of {} servers lack it, {} are under an order, at most {} at once",
                 status.model(),
                 status.version(),
-                status.behind(),
+                status.outdated(),
                 status.servers(),
                 status.loading(),
                 status.limit());
     }
 
     @Override
-    public void loaded(LoadTracker.Finished load) {
+    public void onLoaded(LoadTracker.FinishedLoad load) {
         LOG.info(
                 "server {} has version {} of {}, {} ms after its first order",
                 load.server().id(),
                 load.server().weights(),
                 load.server().model(),
-                load.tookMs());
+                load.durationMs());
     }
 
     private void onReport(Server server, JsonObject report) {
--- a/src/main/java/quartzspan/controlplane/RolloutCoordinator.java
+++ b/src/main/java/quartzspan/controlplane/RolloutCoordinator.java
@@ -29,12 +29,12 @@
     /** Longest time for which an order may be on its way: after that it is taken back from its connection. */
     static final long ORDER_TIMEOUT_MS = 550;
     /** Between telling proxies that a server will load weights and ordering it to. */
-    static final long ANNOUNCE_MS = 60;
+    static final long ANNOUNCE_LEAD_MS = 60;
 
-    static final int STATUS_DONE = 200;
+    static final int STATUS_OK = 200;
     static final int STATUS_ACCEPTED = 202;
     private static final int STATUS_CONFLICT = 409;
-    private static final int STATUS_FENCED = 412;
+    private static final int STATUS_PRECONDITION_FAILED = 412;
     private static final int FIRST_SERVER_ERROR = 500;
 
     private static final long REPORT_INTERVAL_MS = 250;
@@ -44,19 +44,19 @@
      * This machine's place as primary.
      *
      * @param epoch names the term; each has one primary
-     * @param confirmedAt when the last heartbeat that a majority acknowledged was sent
+     * @param confirmedAtMs when the last heartbeat that a majority acknowledged was sent
      * @param holder the replica that last claimed the rollout; empty if none ever did
      * @param fencingToken fencing token of that claim
-     * @param weights versions of weights that were named, by model
+     * @param targets versions of weights that were named, by model
      */
-    record Leadership(Epoch epoch, long confirmedAt, String holder, long fencingToken, Map<String, Long> weights) {}
+    record Leadership(Epoch epoch, long confirmedAtMs, String holder, long fencingToken, Map<String, Long> targets) {}
 
     /** An order to one server. */
     record Order(Server server, String model, long version, long fencingToken) {}
 
     /** The actions of the rollout. */
     interface Actions {
-        /** Claims the rollout in the control state; {@link RolloutCoordinator#claimed} reports the outcome. */
+        /** Claims the rollout in the control state; {@link RolloutCoordinator#onClaimResult} reports the outcome. */
         void claim(Epoch leadership);
 
         /** Announces to proxies that a server is about to load weights: they send it no requests for other versions. */
@@ -64,97 +64,97 @@
 
         /** Sends an order, if {@link RolloutCoordinator#mayOrder} permits it right before the write; {@link
          * RolloutCoordinator#onResponse} reports the outcome. */
-        void order(Order order);
+        void sendOrder(Order order);
 
         /** Asks a server which weights it has. */
-        void report(Server server);
+        void requestReport(Server server);
 
         /** How far a rollout is; called at each tick of the lease holder. */
-        void progress(RolloutPlanner.Status status);
+        void onProgress(RolloutPlanner.Status status);
 
         /** A server has the weights that it was ordered to load. */
-        void loaded(LoadTracker.Finished load);
+        void onLoaded(LoadTracker.FinishedLoad load);
     }
 
-    private record Announced(long dueAt, Order order) {}
+    private record AnnouncedOrder(long dueAtMs, Order order) {}
 
     private final String self;
     private final long leaseMs;
-    private final Supplier<Optional<Leadership>> leaderships;
+    private final Supplier<Optional<Leadership>> currentLeadership;
     private final Actions actions;
-    private final RolloutPlanner rollout;
-    private final List<Announced> announced = new ArrayList<>();
-    private final Map<String, Long> reportAt = new HashMap<>();
+    private final RolloutPlanner planner;
+    private final List<AnnouncedOrder> announcedOrders = new ArrayList<>();
+    private final Map<String, Long> nextReportAtMs = new HashMap<>();
 
     private Epoch epoch = Epoch.NONE;
     private long leadershipSinceMs;
     private boolean claiming;
     private boolean claimGranted;
     private long fencingToken;
-    private long leaseBeginsAtMs;
+    private long leaseStartsAtMs;
     /** Fence of the claim under which this process was last free to give orders. */
-    private long servedToken = -1;
+    private long lastActiveToken = -1;
 
     /**
-     * @param rollout plans which server is ordered when
-     * @param leaderships this machine's leadership at the moment; empty while it is not primary
+     * @param planner plans which server is ordered when
+     * @param currentLeadership this machine's leadership at the moment; empty while it is not primary
      */
     RolloutCoordinator(
             String self,
             long leaseMs,
-            RolloutPlanner rollout,
-            Supplier<Optional<Leadership>> leaderships,
+            RolloutPlanner planner,
+            Supplier<Optional<Leadership>> currentLeadership,
             Actions actions) {
         this.self = self;
         this.leaseMs = leaseMs;
-        this.rollout = rollout;
-        this.leaderships = leaderships;
+        this.planner = planner;
+        this.currentLeadership = currentLeadership;
         this.actions = actions;
     }
 
     /**
      * To be called every 50 ms or so.
      *
-     * @param known the servers known at present
+     * @param knownServers the servers known at present
      */
-    void onTick(long now, Supplier<List<Server>> known) {
-        Optional<Leadership> leadership = leaderships.get();
+    void onTick(long now, Supplier<List<Server>> knownServers) {
+        Optional<Leadership> leadership = currentLeadership.get();
         if (leadership.isEmpty()) {
-            resign();
+            resetLeadership();
             return;
         }
-        follow(now, leadership.get());
-        rollout.observe(now, leadership.get().weights());
-        if (leadership.get().weights().isEmpty()) {
+        trackLeadership(now, leadership.get());
+        planner.observe(now, leadership.get().targets());
+        if (leadership.get().targets().isEmpty()) {
             return;
         }
         if (!claimGranted) {
             claim(leadership.get());
             return;
         }
-        List<Server> servers = known.get();
+        List<Server> servers = knownServers.get();
         withdraw(now, leadership.get(), servers);
         if (!holdsLease(now, leadership.get())) {
             return;
         }
-        servedToken = fencingToken;
-        sendAnnounced(now);
-        announce(now, leadership.get(), servers);
-        report(now, servers);
-        rollout.takeFinished().forEach(actions::loaded);
-        rollout.statuses().forEach(actions::progress);
+        lastActiveToken = fencingToken;
+        sendAnnouncedOrders(now);
+        announceDueOrders(now, leadership.get(), servers);
+        requestReports(now, servers);
+        planner.takeFinished().forEach(actions::onLoaded);
+        planner.statuses().forEach(actions::onProgress);
     }
 
-    private void resign() {
+    private void resetLeadership() {
         epoch = Epoch.NONE;
         claiming = false;
         claimGranted = false;
-        announced.clear();
+        announcedOrders.clear();
     }
 
-    private void follow(long now, Leadership leadership) {
+    private void trackLeadership(long now, Leadership leadership) {
         if (!leadership.epoch().equals(epoch)) {
-            resign();
+            resetLeadership();
             epoch = leadership.epoch();
             leadershipSinceMs = now;
         }
@@ -165,76 +165,76 @@
             return;
         }
         claiming = true;
-        boolean noOtherSince = leadership.holder().isEmpty()
-                || leadership.holder().equals(self) && leadership.fencingToken() == servedToken;
-        leaseBeginsAtMs = noOtherSince
+        boolean noOtherHolderSince = leadership.holder().isEmpty()
+                || leadership.holder().equals(self) && leadership.fencingToken() == lastActiveToken;
+        leaseStartsAtMs = noOtherHolderSince
                 ? leadershipSinceMs
                 : leadershipSinceMs + CONFIRMATION_VALID_MS + ORDER_TIMEOUT_MS + leaseMs;
         actions.claim(leadership.epoch());
     }
 
     /** What became of the claim made in a term; {@code claimFence} is its fence if it was granted. */
-    void claimed(Epoch leadership, boolean granted, long grantedToken) {
+    void onClaimResult(Epoch leadership, boolean granted, long claimToken) {
         if (!leadership.equals(epoch) || !claiming) {
             return;
         }
         claiming = false;
         claimGranted = granted;
-        fencingToken = grantedToken;
+        fencingToken = claimToken;
     }
 
     private boolean holdsLease(long now, Leadership leadership) {
         return claimGranted
                 && leadership.epoch().equals(epoch)
-                && now >= leaseBeginsAtMs
-                && now - leadership.confirmedAt() <= CONFIRMATION_VALID_MS;
+                && now >= leaseStartsAtMs
+                && now - leadership.confirmedAtMs() <= CONFIRMATION_VALID_MS;
     }
 
     /** Whether an order may go out at this very moment. */
     boolean mayOrder(long now, Order order) {
-        Optional<Leadership> leadership = leaderships.get();
+        Optional<Leadership> leadership = currentLeadership.get();
         return leadership.isPresent() && order.fencingToken() == fencingToken && holdsLease(now, leadership.get());
     }
 
-    private void sendAnnounced(long now) {
-        for (Iterator<Announced> all = announced.iterator(); all.hasNext(); ) {
-            Announced next = all.next();
-            if (now >= next.dueAt()) {
-                all.remove();
-                actions.order(next.order());
+    private void sendAnnouncedOrders(long now) {
+        for (Iterator<AnnouncedOrder> orders = announcedOrders.iterator(); orders.hasNext(); ) {
+            AnnouncedOrder next = orders.next();
+            if (now >= next.dueAtMs()) {
+                orders.remove();
+                actions.sendOrder(next.order());
             }
         }
     }
 
     /** Takes servers whose weights are about to be overdue out of service; that needs no lease, for it orders nothing. */
     private void withdraw(long now, Leadership leadership, List<Server> servers) {
-        for (RolloutPlanner.Order late : rollout.toWithdraw(now, leadership.weights(), servers)) {
+        for (RolloutPlanner.Order late : planner.dueWithdrawals(now, leadership.targets(), servers)) {
             actions.announce(late.server(), late.version());
         }
     }
 
-    private void announce(long now, Leadership leadership, List<Server> servers) {
-        for (RolloutPlanner.Order due : rollout.due(now, leadership.weights(), servers)) {
-            rollout.ordered(now, due);
-            reportAt.put(due.server().id(), now + REPORT_INTERVAL_MS);
+    private void announceDueOrders(long now, Leadership leadership, List<Server> servers) {
+        for (RolloutPlanner.Order due : planner.dueOrders(now, leadership.targets(), servers)) {
+            planner.onOrdered(now, due);
+            nextReportAtMs.put(due.server().id(), now + REPORT_INTERVAL_MS);
             actions.announce(due.server(), due.version());
-            announced.add(new Announced(
-                    now + ANNOUNCE_MS, new Order(due.server(), due.model(), due.version(), fencingToken)));
+            announcedOrders.add(new AnnouncedOrder(
+                    now + ANNOUNCE_LEAD_MS, new Order(due.server(), due.model(), due.version(), fencingToken)));
         }
     }
 
-    private void report(long now, List<Server> servers) {
-        for (String id : rollout.under(now)) {
-            if (now >= reportAt.getOrDefault(id, 0L)) {
-                reportAt.put(id, now + REPORT_INTERVAL_MS);
-                servers.stream().filter(s -> s.id().equals(id)).findFirst().ifPresent(actions::report);
+    private void requestReports(long now, List<Server> servers) {
+        for (String id : planner.loadingServers(now)) {
+            if (now >= nextReportAtMs.getOrDefault(id, 0L)) {
+                nextReportAtMs.put(id, now + REPORT_INTERVAL_MS);
+                servers.stream().filter(s -> s.id().equals(id)).findFirst().ifPresent(actions::requestReport);
             }
         }
-        reportAt.values().removeIf(at -> now - at > REPORT_EXPIRY_MS);
+        nextReportAtMs.values().removeIf(at -> now - at > REPORT_EXPIRY_MS);
     }
 
     /** An order as sent to its server. */
-    static String json(Order order, String holder) {
+    static String toJson(Order order, String holder) {
         StringBuilder json = new StringBuilder("{\"operation\":\"version\",\"model\":");
         JsonLines.quote(json, order.model());
         json.append(",\"version\":").append(order.version()).append(",\"method\":\"queue\",\"holder\":");
@@ -248,13 +248,13 @@
     /** How an order ended; see {@link ServerClient.ResponseListener}. */
     void onResponse(long now, Order order, int status) {
         String server = order.server().id();
-        if (status == STATUS_DONE || status == STATUS_ACCEPTED || status == STATUS_CONFLICT) {
+        if (status == STATUS_OK || status == STATUS_ACCEPTED || status == STATUS_CONFLICT) {
             // In conflict is a server that is under an earlier order.
-            rollout.confirmed(now, server);
+            planner.onConfirmed(now, server);
         } else if (status == ServerClient.NOT_SENT || status >= FIRST_SERVER_ERROR) {
-            rollout.refused(now, server);
+            planner.onRefused(now, server);
         }
-        if (status == STATUS_FENCED && order.fencingToken() == fencingToken) {
+        if (status == STATUS_PRECONDITION_FAILED && order.fencingToken() == fencingToken) {
             // The server has seen a higher token: only a new claim can be above it.
             claimGranted = false;
         }
@@ -263,9 +263,9 @@
     /** A server has reported whether it is loading. */
     void onReport(long now, String server, boolean loading) {
         if (loading) {
-            rollout.confirmed(now, server);
+            planner.onConfirmed(now, server);
         } else {
-            rollout.idle(now, server);
+            planner.onIdle(now, server);
         }
     }
 }
--- a/src/main/java/quartzspan/controlplane/RolloutPlanner.java
+++ b/src/main/java/quartzspan/controlplane/RolloutPlanner.java
@@ -25,11 +25,11 @@
      * How far a rollout is.
      *
      * @param servers servers that have the model or are to have it
-     * @param behind those of them that lack the version
+     * @param outdated those of them that lack the version
      * @param loading those that are under an order
      * @param limit how many may be at once
      */
-    record Status(String model, long version, int servers, int behind, int loading, long limit) {}
+    record Status(String model, long version, int servers, int outdated, int loading, long limit) {}
 
     private final WeightsDeadlines deadlines;
     private final LoadTracker loads = new LoadTracker();
@@ -40,26 +40,27 @@
     }
 
     /** Takes note of what is named while no orders may be given: the time runs. */
-    void observe(long now, Map<String, Long> named) {
-        deadlines.observe(now, named);
+    void observe(long now, Map<String, Long> targets) {
+        deadlines.observe(now, targets);
     }
 
     /** The orders to give now. */
-    List<Order> due(long now, Map<String, Long> named, List<Server> servers) {
-        deadlines.observe(now, named);
-        loads.retain(servers.stream().map(Server::id).toList());
-        loads.update(now, servers);
+    List<Order> dueOrders(long now, Map<String, Long> targets, List<Server> servers) {
+        deadlines.observe(now, targets);
+        loads.retainServers(servers.stream().map(Server::id).toList());
+        loads.onWeights(now, servers);
         List<Order> due = new ArrayList<>();
-        named.forEach((model, version) -> due.addAll(due(now, model, version, loadable(model, servers))));
+        targets.forEach(
+                (model, version) -> due.addAll(dueOrders(now, model, version, loadableServers(model, servers))));
         return due;
     }
 
-    private List<Order> due(long now, String model, long version, List<Server> servers) {
+    private List<Order> dueOrders(long now, String model, long version, List<Server> servers) {
         RolloutRound round = new RolloutRound(now, deadlines, model, servers);
         servers.stream().filter(server -> loads.isLoading(now, server.id())).forEach(round::addLoading);
-        int loading = round.loading();
+        int loading = round.loadingCount();
         List<Order> due = new ArrayList<>();
-        for (Server server : behind(model, version, servers)) {
+        for (Server server : outdatedServers(model, version, servers)) {
             if (loads.mayOrder(now, server.id()) && round.mayLoad(server)) {
                 round.addLoading(server);
                 due.add(new Order(server, model, version));
@@ -67,19 +68,20 @@
         }
         statuses.put(
                 model,
-                new Status(model, version, servers.size(), round.lacking(version), loading, round.limit(version)));
+                new Status(
+                        model, version, servers.size(), round.outdatedCount(version), loading, round.limit(version)));
         return due;
     }
 
     /** The servers that lack a version, the earliest deadline first. */
-    private List<Server> behind(String model, long version, List<Server> servers) {
+    private List<Server> outdatedServers(String model, long version, List<Server> servers) {
         return servers.stream()
                 .filter(server -> server.weights() < version)
-                .sorted(Comparator.comparingLong(server -> deadlines.deadline(model, server.weights())))
+                .sorted(Comparator.comparingLong(server -> deadlines.deadlineOf(model, server.weights())))
                 .toList();
     }
 
-    private static List<Server> loadable(String model, List<Server> servers) {
+    private static List<Server> loadableServers(String model, List<Server> servers) {
         return servers.stream()
                 .filter(s -> s.model().equals(model)
                         && s.state() != RegistryEntry.State.GONE
@@ -88,46 +90,47 @@
     }
 
     /** The servers that are to get no more requests until they have the weights that were named, ordered or not. */
-    List<Order> toWithdraw(long now, Map<String, Long> named, List<Server> servers) {
-        long soon = now + deadlines.share(WITHDRAWAL_FRACTION);
+    List<Order> dueWithdrawals(long now, Map<String, Long> targets, List<Server> servers) {
+        long withdrawalHorizon = now + deadlines.fractionOfApplyTime(WITHDRAWAL_FRACTION);
         List<Order> withdrawn = new ArrayList<>();
-        named.forEach((model, version) -> loadable(model, servers).stream()
-                .filter(server -> server.loading() == 0 && deadlines.deadline(model, server.weights()) <= soon)
+        targets.forEach((model, version) -> loadableServers(model, servers).stream()
+                .filter(server ->
+                        server.loading() == 0 && deadlines.deadlineOf(model, server.weights()) <= withdrawalHorizon)
                 .forEach(server -> withdrawn.add(new Order(server, model, version))));
         return withdrawn;
     }
 
     /** An order is about to be sent. */
-    void ordered(long now, Order order) {
-        loads.ordered(now, order.server().id(), order.version());
+    void onOrdered(long now, Order order) {
+        loads.onOrdered(now, order.server().id(), order.version());
     }
 
     /** The server has taken the order, or is loading under an earlier one. */
-    void confirmed(long now, String id) {
-        loads.confirmed(now, id);
+    void onConfirmed(long now, String id) {
+        loads.onConfirmed(now, id);
     }
 
     /** The server refused the order; it is sent again soon. */
-    void refused(long now, String id) {
-        loads.refused(now, id);
+    void onRefused(long now, String id) {
+        loads.onRefused(now, id);
     }
 
     /** The server reports that it is not loading. */
-    void idle(long now, String id) {
-        loads.idle(now, id);
+    void onIdle(long now, String id) {
+        loads.onIdle(now, id);
     }
 
     /** Servers under an order. */
-    List<String> under(long now) {
-        return loads.loading(now);
+    List<String> loadingServers(long now) {
+        return loads.loadingServers(now);
     }
 
     /** The loads that have ended since the last call. */
-    List<LoadTracker.Finished> takeFinished() {
+    List<LoadTracker.FinishedLoad> takeFinished() {
         return loads.takeFinished();
     }
 
-    /** How far each rollout is, as of the last {@link #due}. */
+    /** How far each rollout is, as of the last {@link #dueOrders}. */
     Collection<Status> statuses() {
         return statuses.values();
     }
--- a/src/main/java/quartzspan/controlplane/RolloutRound.java
+++ b/src/main/java/quartzspan/controlplane/RolloutRound.java
@@ -7,66 +7,68 @@
 /** One look at the servers of a model: how many lack each version that binds them, and how many of those are loading. */
 final class RolloutRound {
     /** A named version. */
-    private static final class Naming {
+    private static final class TargetVersion {
         final long version;
-        final RolloutPace pace;
-        final int lacking;
+        final LoadConcurrencyLimit concurrencyLimit;
+        final int outdated;
         int loading;
 
-        Naming(long version, int lacking, RolloutPace pace) {
+        TargetVersion(long version, int outdated, LoadConcurrencyLimit concurrencyLimit) {
             this.version = version;
-            this.lacking = lacking;
-            this.pace = pace;
+            this.outdated = outdated;
+            this.concurrencyLimit = concurrencyLimit;
         }
 
-        boolean isLackedBy(Server server) {
+        boolean isOutdated(Server server) {
             return server.weights() < version;
         }
     }
 
-    private final List<Naming> namings = new ArrayList<>();
+    private final List<TargetVersion> targets = new ArrayList<>();
     private int loading;
 
     RolloutRound(long now, WeightsDeadlines deadlines, String model, List<Server> servers) {
-        deadlines.of(model).forEach((version, deadline) -> {
-            int lacking = (int) servers.stream()
+        deadlines.targetsOf(model).forEach((version, deadline) -> {
+            int outdated = (int) servers.stream()
                     .filter(server -> server.weights() < version)
                     .count();
             double elapsed = deadlines.elapsedFraction(now, deadline);
-            namings.add(new Naming(version, lacking, new RolloutPace(servers.size(), lacking, elapsed)));
+            targets.add(
+                    new TargetVersion(version, outdated, new LoadConcurrencyLimit(servers.size(), outdated, elapsed)));
         });
     }
 
     /** A server is loading, or about to. */
     void addLoading(Server server) {
         loading++;
-        namings.stream().filter(naming -> naming.isLackedBy(server)).forEach(naming -> naming.loading++);
+        targets.stream().filter(target -> target.isOutdated(server)).forEach(target -> target.loading++);
     }
 
     /** Whether one of the versions that a server lacks lets it load beside those that are loading. */
     boolean mayLoad(Server server) {
-        return namings.stream()
-                .filter(naming -> naming.isLackedBy(server))
-                .anyMatch(naming -> naming.loading < naming.pace.limit() && loading < naming.pace.maximum());
+        return targets.stream()
+                .filter(target -> target.isOutdated(server))
+                .anyMatch(target -> target.loading < target.concurrencyLimit.maxForVersion()
+                        && loading < target.concurrencyLimit.maxTotal());
     }
 
-    int loading() {
+    int loadingCount() {
         return loading;
     }
 
     /** How many servers lack a version. */
-    int lacking(long version) {
-        return namings.stream()
-                .filter(naming -> naming.version == version)
-                .mapToInt(naming -> naming.lacking)
+    int outdatedCount(long version) {
+        return targets.stream()
+                .filter(target -> target.version == version)
+                .mapToInt(target -> target.outdated)
                 .sum();
     }
 
     /** How many servers that lack a version may load at once. */
     long limit(long version) {
-        return namings.stream()
-                .filter(naming -> naming.version == version && naming.lacking > 0)
-                .mapToLong(naming -> naming.pace.limit())
+        return targets.stream()
+                .filter(target -> target.version == version && target.outdated > 0)
+                .mapToLong(target -> target.concurrencyLimit.maxForVersion())
                 .sum();
     }
 }
--- a/src/main/java/quartzspan/controlplane/ServerApi.java
+++ b/src/main/java/quartzspan/controlplane/ServerApi.java
@@ -11,19 +11,23 @@
 final class ServerApi {
     private final LongSupplier clockMs;
     private final HeartbeatHandler handler;
-    private final DrainAcknowledger drains;
-    private final IntSupplier requiredHolders;
+    private final DrainAcknowledger drainAcknowledger;
+    private final IntSupplier requiredAcks;
 
-    /** @param requiredHolders number of other core machines that must have the entry of a draining server */
-    ServerApi(LongSupplier clockMs, HeartbeatHandler handler, DrainAcknowledger drains, IntSupplier requiredHolders) {
+    /** @param requiredAcks number of other core machines that must have the entry of a draining server */
+    ServerApi(
+            LongSupplier clockMs,
+            HeartbeatHandler handler,
+            DrainAcknowledger drainAcknowledger,
+            IntSupplier requiredAcks) {
         this.clockMs = clockMs;
         this.handler = handler;
-        this.drains = drains;
-        this.requiredHolders = requiredHolders;
+        this.drainAcknowledger = drainAcknowledger;
+        this.requiredAcks = requiredAcks;
     }
 
-    void heartbeat(ClientConnection client, HttpRequest in, byte[] body, String id) {
-        RegistryEntry draining = handler.heartbeat(clockMs.getAsLong(), id, body);
+    void heartbeat(ClientConnection client, HttpRequest request, byte[] body, String id) {
+        RegistryEntry draining = handler.onHeartbeat(clockMs.getAsLong(), id, body);
         if (draining == null) {
             RequestRouter.ok(client);
         } else {
@@ -31,8 +35,8 @@
         }
     }
 
-    void deregister(ClientConnection client, HttpRequest in, byte[] body, String id) {
-        acknowledgeDrain(client, handler.deregistration(clockMs.getAsLong(), id));
+    void deregister(ClientConnection client, HttpRequest request, byte[] body, String id) {
+        acknowledgeDrain(client, handler.onDeregistration(clockMs.getAsLong(), id));
     }
 
     private void acknowledgeDrain(ClientConnection client, RegistryEntry draining) {
@@ -43,12 +47,12 @@
             }
 
             @Override
-            public void refuse(FleetException why) {
-                RequestRouter.refuse(client, why);
+            public void refuse(FleetException refusal) {
+                RequestRouter.refuse(client, refusal);
             }
         };
-        DrainAcknowledger.Pending pending =
-                drains.begin(clockMs.getAsLong(), draining, requiredHolders.getAsInt(), caller);
+        DrainAcknowledger.PendingRequest pending =
+                drainAcknowledger.begin(clockMs.getAsLong(), draining, requiredAcks.getAsInt(), caller);
         if (pending.isPending()) {
             client.onDisconnect(pending::cancel);
         }
--- a/src/main/java/quartzspan/controlplane/ServerClient.java
+++ b/src/main/java/quartzspan/controlplane/ServerClient.java
@@ -44,9 +44,9 @@
     }
 
     /** Closes the connections to servers that have deregistered. */
-    void forget(Predicate<String> gone) {
+    void closeDeregistered(Predicate<String> deregistered) {
         endpoints.entrySet().removeIf(e -> {
-            if (!gone.test(e.getKey())) {
+            if (!deregistered.test(e.getKey())) {
                 return false;
             }
             connectionPool.closeIdle(e.getValue());
@@ -56,7 +56,7 @@
 
     /** Sends a GET request. */
     void get(Server server, String path, Map<String, String> headers, ResponseListener listener) {
-        call(server, "GET", path, headers, "", CALL_TIMEOUT_MS, () -> true, listener);
+        send(server, "GET", path, headers, "", CALL_TIMEOUT_MS, () -> true, listener);
     }
 
     /**
@@ -73,14 +73,14 @@
             BooleanSupplier permitted,
             ResponseListener listener) {
         Map<String, String> headers = Map.of("Content-Type", "application/json");
-        call(server, "POST", path, headers, json, timeoutMs, permitted, listener);
+        send(server, "POST", path, headers, json, timeoutMs, permitted, listener);
     }
 
-    private void call(
+    private void send(
             Server server,
             String method,
             String path,
-            Map<String, String> more,
+            Map<String, String> extraHeaders,
             String body,
             long timeoutMs,
             BooleanSupplier permitted,
@@ -89,13 +89,13 @@
         if (!server.model().isEmpty()) {
             headers.set("X-Expected-Instance", server.id());
         }
-        more.forEach(headers::set);
-        AnyResponse reading = new AnyResponse();
-        ConnectionPool.CompletionListener end = (outcome, answer) -> {
+        extraHeaders.forEach(headers::set);
+        AnyStatusHandler responseHandler = new AnyStatusHandler();
+        ConnectionPool.CompletionListener onCompletion = (outcome, response) -> {
             try {
                 listener.onResponse(
-                        answer != null ? reading.status : outcome.neverRan() ? NOT_SENT : NO_RESPONSE,
-                        answer != null ? answer.body() : new byte[0]);
+                        response != null ? responseHandler.status : outcome.neverRan() ? NOT_SENT : NO_RESPONSE,
+                        response != null ? response.body() : new byte[0]);
             } catch (RuntimeException e) {
                 LOG.warn("response of server {} can't be read", server.id(), e);
             }
@@ -109,8 +109,8 @@
                         new OutgoingRequest(method, path, headers, body.getBytes(StandardCharsets.UTF_8)),
                         TimeUnit.MILLISECONDS.toMicros(timeoutMs),
                         permitted,
-                        reading,
-                        end)
+                        responseHandler,
+                        onCompletion)
                 .start(reuse);
     }
 
@@ -127,7 +127,7 @@
     }
 
     /** Takes the complete response of a server, whatever its status. */
-    private static final class AnyResponse implements ConnectionPool.ResponseHandler {
+    private static final class AnyStatusHandler implements ConnectionPool.ResponseHandler {
         private int status;
 
         @Override
--- a/src/main/java/quartzspan/controlplane/StatusReport.java
+++ b/src/main/java/quartzspan/controlplane/StatusReport.java
@@ -14,7 +14,7 @@
 final class StatusReport {
     private StatusReport() {}
 
-    static byte[] json(long now, String node, Replica replica, Registry registry) {
+    static byte[] toJson(long now, String node, Replica replica, Registry registry) {
         StringBuilder json = new StringBuilder("{\"node\":");
         JsonLines.quote(json, node);
         JsonLines.quote(json.append(",\"role\":"), replica.role().statusName());
@@ -32,20 +32,20 @@
                 .append(",\"fresh_ms\":")
                 .append(now - registry.freshAt());
         for (RegistryEntry.Subject subject : RegistryEntry.Subject.values()) {
-            entries(json, subject, registry);
+            appendEntries(json, subject, registry);
         }
         return json.append('}').toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    private static void entries(StringBuilder json, RegistryEntry.Subject subject, Registry registry) {
+    private static void appendEntries(StringBuilder json, RegistryEntry.Subject subject, Registry registry) {
         json.append(",\"").append(subject.name().toLowerCase(Locale.ROOT)).append("s\":[");
-        String comma = "";
+        String separator = "";
         for (RegistryEntry entry : registry.all(subject)) {
-            JsonLines.quote(json.append(comma).append("{\"key\":"), entry.key());
+            JsonLines.quote(json.append(separator).append("{\"key\":"), entry.key());
             JsonLines.quote(json.append(",\"state\":"), entry.state().name());
             JsonLines.quote(json.append(",\"text\":"), entry.text());
             json.append('}');
-            comma = ",";
+            separator = ",";
         }
         json.append(']');
     }
--- a/src/main/java/quartzspan/controlplane/WeightsDeadlines.java
+++ b/src/main/java/quartzspan/controlplane/WeightsDeadlines.java
@@ -15,7 +15,7 @@
  */
 final class WeightsDeadlines {
     /** The deadline of a server that lacks nothing. */
-    static final long NONE = Long.MAX_VALUE;
+    static final long NO_DEADLINE = Long.MAX_VALUE;
 
     private final long applyMs;
     /** Deadlines by model and version; both rise together. */
@@ -27,8 +27,8 @@
     }
 
     /** Takes note of the versions that are named at present, by model. */
-    void observe(long now, Map<String, Long> named) {
-        named.forEach((model, version) -> {
+    void observe(long now, Map<String, Long> targets) {
+        targets.forEach((model, version) -> {
             NavigableMap<Long, Long> known = deadlines.computeIfAbsent(model, m -> new TreeMap<>());
             if (known.isEmpty() || known.lastKey() < version) {
                 known.put(version, now + applyMs);
@@ -39,7 +39,7 @@
 
     /** Of the namings that are overdue the last one says all: whoever lacks an earlier one lacks it too. */
     private static void dropSuperseded(long now, NavigableMap<Long, Long> known) {
-        Long lastOverdue = lastDueBy(now, known);
+        Long lastOverdue = latestDueBy(now, known);
         for (Iterator<Long> versions = known.keySet().iterator(); lastOverdue != null && versions.hasNext(); ) {
             if (versions.next() >= lastOverdue) {
                 return;
@@ -48,7 +48,7 @@
         }
     }
 
-    private static Long lastDueBy(long time, NavigableMap<Long, Long> known) {
+    private static Long latestDueBy(long time, NavigableMap<Long, Long> known) {
         Long last = null;
         for (Map.Entry<Long, Long> naming : known.entrySet()) {
             if (naming.getValue() > time) {
@@ -60,24 +60,24 @@
     }
 
     /** The versions of a model that bind servers, with their deadlines. */
-    NavigableMap<Long, Long> of(String model) {
+    NavigableMap<Long, Long> targetsOf(String model) {
         return Collections.unmodifiableNavigableMap(deadlines.getOrDefault(model, new TreeMap<>()));
     }
 
     /** Until when a server with these weights has to have others. */
-    long deadline(String model, long weights) {
-        Map.Entry<Long, Long> oldestLacked = of(model).higherEntry(weights);
-        return oldestLacked == null ? NONE : oldestLacked.getValue();
+    long deadlineOf(String model, long weights) {
+        Map.Entry<Long, Long> earliestTarget = targetsOf(model).higherEntry(weights);
+        return earliestTarget == null ? NO_DEADLINE : earliestTarget.getValue();
     }
 
     /** The last version whose deadline lies before a time; 0 if there is none. */
-    long versionDueBy(long time, String model) {
-        Long last = lastDueBy(time, of(model));
+    long latestOverdueVersion(long time, String model) {
+        Long last = latestDueBy(time, targetsOf(model));
         return last == null ? 0 : last;
     }
 
     /** A fraction of the time within which weights have to be applied. */
-    long share(double fraction) {
+    long fractionOfApplyTime(double fraction) {
         return Math.round(applyMs * fraction);
     }
 
--- a/src/test/java/quartzspan/controlplane/ApiCompatibilityTest.java
+++ b/src/test/java/quartzspan/controlplane/ApiCompatibilityTest.java
@@ -32,7 +32,7 @@
     @TempDir
     Path folder;
 
-    private final StringBuilder answers = new StringBuilder();
+    private final StringBuilder responses = new StringBuilder();
     private CoreCluster cluster;
 
     @Test
@@ -41,56 +41,56 @@
             cluster = started;
             cluster.startAll();
             String primary = cluster.primary(CoreCluster.HOSTS);
-            operators(primary);
-            servers(primary);
-            redirects(primary);
-            status(primary);
+            recordOperatorCalls(primary);
+            recordServerCalls(primary);
+            recordRedirects(primary);
+            recordStatus(primary);
         }
-        GoldenFile.assertText("api/answers.txt", answers.toString());
+        GoldenFile.assertText("api/answers.txt", responses.toString());
     }
 
     @Test
     void refusalsOfAnIsolatedMachineAreThoseOfEarlierVersions() throws Exception {
         try (CoreCluster started = new CoreCluster(folder, GRACE_PERIOD_S)) {
             cluster = started;
-            String alone = CoreCluster.HOSTS.get(0);
-            cluster.start(alone, false);
-            note(alone, DESCRIBE, "", "");
-            note(alone, REPLACE, BASE_0, CONFIGURATION);
-            note(alone, HEARTBEAT, "", heartbeat(1, "ready"));
-            note(alone, DEREGISTER, "", "{}");
-            status(alone);
+            String isolated = CoreCluster.HOSTS.get(0);
+            cluster.start(isolated, false);
+            record(isolated, DESCRIBE, "", "");
+            record(isolated, REPLACE, BASE_0, CONFIGURATION);
+            record(isolated, HEARTBEAT, "", heartbeat(1, "ready"));
+            record(isolated, DEREGISTER, "", "{}");
+            recordStatus(isolated);
         }
-        GoldenFile.assertText("api/refusals.txt", answers.toString());
+        GoldenFile.assertText("api/refusals.txt", responses.toString());
     }
 
-    private void operators(String primary) throws IOException {
-        note(primary, DESCRIBE, "", "");
-        note(primary, REPLACE, "", CONFIGURATION);
-        note(primary, REPLACE, BASE_0, "{");
-        note(primary, REPLACE, BASE_0, "{}");
-        note(primary, REPLACE, BASE_0, CONFIGURATION.replace("\"/a/\"", "\"a\""));
-        note(primary, REPLACE, BASE_0, CONFIGURATION);
-        note(primary, REPLACE, BASE_0, CONFIGURATION);
-        note(primary, REPLACE, BASE_0, CONFIGURATION.replace("1000", "1001"));
-        note(primary, UPDATE, BASE_2, "{\"version\":2}");
-        note(primary, UPDATE, BASE_2, "{\"version\":3,\"remove\":{\"services\":[\"s\"]}}");
-        note(primary, UPDATE, BASE_2, "{\"version\":4,\"upsert\":{\"services\":[{\"name\":\"t\"}]}}");
-        note(primary, DESCRIBE, "", "");
-        note(primary, WEIGHTS, "", "{\"model\":\"m\",\"version\":7}");
-        note(primary, WEIGHTS, "", "{\"model\":\"m\",\"version\":6}");
-        note(primary, WEIGHTS, "", "{\"version\":6}");
-        note(primary, "GET /quartzspan/nothing", "", "");
-        note(primary, "GET /quartzspan/Configuration.Replace", "", "");
+    private void recordOperatorCalls(String primary) throws IOException {
+        record(primary, DESCRIBE, "", "");
+        record(primary, REPLACE, "", CONFIGURATION);
+        record(primary, REPLACE, BASE_0, "{");
+        record(primary, REPLACE, BASE_0, "{}");
+        record(primary, REPLACE, BASE_0, CONFIGURATION.replace("\"/a/\"", "\"a\""));
+        record(primary, REPLACE, BASE_0, CONFIGURATION);
+        record(primary, REPLACE, BASE_0, CONFIGURATION);
+        record(primary, REPLACE, BASE_0, CONFIGURATION.replace("1000", "1001"));
+        record(primary, UPDATE, BASE_2, "{\"version\":2}");
+        record(primary, UPDATE, BASE_2, "{\"version\":3,\"remove\":{\"services\":[\"s\"]}}");
+        record(primary, UPDATE, BASE_2, "{\"version\":4,\"upsert\":{\"services\":[{\"name\":\"t\"}]}}");
+        record(primary, DESCRIBE, "", "");
+        record(primary, WEIGHTS, "", "{\"model\":\"m\",\"version\":7}");
+        record(primary, WEIGHTS, "", "{\"model\":\"m\",\"version\":6}");
+        record(primary, WEIGHTS, "", "{\"version\":6}");
+        record(primary, "GET /quartzspan/nothing", "", "");
+        record(primary, "GET /quartzspan/Configuration.Replace", "", "");
     }
 
-    private void servers(String primary) throws IOException {
-        note(primary, HEARTBEAT, "", heartbeat(1, "ready"));
-        note(primary, HEARTBEAT, "", "[]");
-        note(primary, HEARTBEAT, "", "{\"address\":\"a\\tb\"}");
-        note(primary, HEARTBEAT, "", heartbeat(2, "draining"));
-        note(primary, DEREGISTER, "", "{}");
-        note(primary, DEREGISTER, "", "{}");
+    private void recordServerCalls(String primary) throws IOException {
+        record(primary, HEARTBEAT, "", heartbeat(1, "ready"));
+        record(primary, HEARTBEAT, "", "[]");
+        record(primary, HEARTBEAT, "", "{\"address\":\"a\\tb\"}");
+        record(primary, HEARTBEAT, "", heartbeat(2, "draining"));
+        record(primary, DEREGISTER, "", "{}");
+        record(primary, DEREGISTER, "", "{}");
     }
 
     private static String heartbeat(long count, String state) {
@@ -98,39 +98,40 @@
                 + "\",\"models\":[{\"name\":\"m\",\"version\":3}],\"call_count\":" + count + "}";
     }
 
-    private void redirects(String primary) throws IOException {
+    private void recordRedirects(String primary) throws IOException {
         String backup = CoreCluster.HOSTS.stream()
                 .filter(host -> !host.equals(primary))
                 .findFirst()
                 .orElseThrow();
-        for (long end = System.nanoTime() + CoreCluster.PATIENCE_NANOS; cluster.describe(backup) != 307; ) {
+        for (long end = System.nanoTime() + CoreCluster.TIMEOUT_NANOS; cluster.describe(backup) != 307; ) {
             assertTrue(System.nanoTime() < end, "a backup learns who is primary");
         }
-        note(backup, DESCRIBE, "", "");
-        note(backup, REPLACE, BASE_2, CONFIGURATION);
+        record(backup, DESCRIBE, "", "");
+        record(backup, REPLACE, BASE_2, CONFIGURATION);
     }
 
-    private void status(String host) throws IOException {
-        note(host, STATUS, "", "");
+    private void recordStatus(String host) throws IOException {
+        record(host, STATUS, "", "");
     }
 
-    private void note(String host, String call, String headers, String body) throws IOException {
+    private void record(String host, String call, String headers, String body) throws IOException {
         String answer = cluster.call(host, call, headers, body);
         String[] parts = answer.split("\r\n\r\n", 2);
-        List<String> head = new ArrayList<>(Arrays.asList(parts[0].split("\r\n")));
-        answers.append("== ")
+        List<String> statusAndHeaders = new ArrayList<>(Arrays.asList(parts[0].split("\r\n")));
+        responses
+                .append("== ")
                 .append(call)
                 .append(' ')
                 .append(headers.strip())
                 .append(' ')
                 .append(body)
                 .append('\n');
-        head.forEach(line -> answers.append(same(line)).append('\n'));
-        answers.append('\n').append(same(parts[1])).append("\n\n");
+        statusAndHeaders.forEach(line -> responses.append(normalize(line)).append('\n'));
+        responses.append('\n').append(normalize(parts[1])).append("\n\n");
     }
 
     /** An answer without what differs from run to run (ports, hosts, ages, attempts), and without texts for people. */
-    private String same(String text) {
+    private String normalize(String text) {
         return text.replace(":" + cluster.controlPort(), ":CONTROL")
                 .replace(":" + cluster.internalPort(), ":INTERNAL")
                 .replaceAll("\"fresh_ms\":-?[0-9]+", "\"fresh_ms\":N")
--- a/src/test/java/quartzspan/controlplane/CoreCluster.java
+++ b/src/test/java/quartzspan/controlplane/CoreCluster.java
@@ -20,9 +20,9 @@
 /** Core machines in this process, on the loopback addresses of {@link #HOSTS}. */
 final class CoreCluster implements AutoCloseable {
     static final List<String> HOSTS = List.of("127.0.0.1", "127.0.0.2", "127.0.0.3");
-    static final long PATIENCE_NANOS = TimeUnit.SECONDS.toNanos(30);
-    private static final int ANSWER_MS = 1_000;
-    private static final int MOST_TRIES = 20;
+    static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
+    private static final int RESPONSE_TIMEOUT_MS = 1_000;
+    private static final int MAX_PORT_ATTEMPTS = 20;
 
     private final Path folder;
     private final Map<String, ControlPlane> machines = new TreeMap<>();
@@ -39,7 +39,7 @@
 
     /** A port that is free at all addresses. */
     private static int freePort() throws IOException {
-        for (int tries = 0; ; tries++) {
+        for (int attempt = 0; ; attempt++) {
             List<ServerSocket> reserved = new ArrayList<>();
             try {
                 reserved.add(new ServerSocket(0, 1, InetAddress.getByName(HOSTS.get(0))));
@@ -48,9 +48,9 @@
                     reserved.add(new ServerSocket(port, 1, InetAddress.getByName(host)));
                 }
                 return port;
-            } catch (IOException taken) {
-                if (tries > MOST_TRIES) {
-                    throw taken;
+            } catch (IOException portTaken) {
+                if (attempt > MAX_PORT_ATTEMPTS) {
+                    throw portTaken;
                 }
             } finally {
                 for (ServerSocket socket : reserved) {
@@ -101,20 +101,20 @@
     }
 
     /** The whole answer, of which a caller waits a second for each byte. */
-    String call(String host, String what, String headers, String body) throws IOException {
+    String call(String host, String requestLine, String headers, String body) throws IOException {
         try (Socket socket = new Socket()) {
-            socket.connect(new InetSocketAddress(host, controlPort), ANSWER_MS);
-            socket.setSoTimeout(ANSWER_MS);
+            socket.connect(new InetSocketAddress(host, controlPort), RESPONSE_TIMEOUT_MS);
+            socket.setSoTimeout(RESPONSE_TIMEOUT_MS);
             socket.getOutputStream()
-                    .write((what + " HTTP/1.1\r\nHost: c\r\nConnection: close\r\n" + headers + "Content-Length: "
+                    .write((requestLine + " HTTP/1.1\r\nHost: c\r\nConnection: close\r\n" + headers + "Content-Length: "
                                     + body.length() + "\r\n\r\n" + body)
                             .getBytes(StandardCharsets.ISO_8859_1));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
         }
     }
 
-    int status(String host, String what, String headers, String body) throws IOException {
-        String answer = call(host, what, headers, body);
+    int status(String host, String requestLine, String headers, String body) throws IOException {
+        String answer = call(host, requestLine, headers, body);
         assertTrue(answer.startsWith("HTTP/1.1 "), "an answer within a second: " + answer);
         return Integer.parseInt(answer.substring(9, 12));
     }
@@ -125,7 +125,7 @@
 
     /** Who answers of itself, once somebody does. */
     String primary(Collection<String> hosts) throws IOException {
-        for (long end = System.nanoTime() + PATIENCE_NANOS; System.nanoTime() < end; ) {
+        for (long end = System.nanoTime() + TIMEOUT_NANOS; System.nanoTime() < end; ) {
             for (String host : hosts) {
                 if (describe(host) == 200) {
                     return host;
--- a/src/test/java/quartzspan/controlplane/CoreClusterTest.java
+++ b/src/test/java/quartzspan/controlplane/CoreClusterTest.java
@@ -41,17 +41,17 @@
                 + "\",\"models\":[],\"call_count\":" + count + "}";
     }
 
-    private int beat(String host, String server, long count, String state) throws IOException {
+    private int sendHeartbeat(String host, String server, long count, String state) throws IOException {
         return cluster.status(host, "POST /quartzspan/Instances.Heartbeat/" + server, "", heartbeat(count, state));
     }
 
     @Test
     void primaryHandsOverAndTheLastMachineAloneAcknowledgesNothing() throws Exception {
         cluster.startAll();
-        Set<String> left = new HashSet<>(HOSTS);
-        String first = cluster.primary(left);
+        Set<String> remaining = new HashSet<>(HOSTS);
+        String first = cluster.primary(remaining);
         for (String host : HOSTS) {
-            assertEquals(200, beat(host, "i-" + host, 2, "draining"), "one other holds it: " + host);
+            assertEquals(200, sendHeartbeat(host, "i-" + host, 2, "draining"), "one other holds it: " + host);
         }
         String change = "{\"version\":2,\"routes\":[],\"services\":[]}";
         assertEquals(
@@ -59,36 +59,36 @@
         long started = System.nanoTime();
         cluster.stop(first);
         assertTrue(System.nanoTime() - started < TimeUnit.SECONDS.toNanos(7), "handed over before its time was up");
-        left.remove(first);
-        String second = cluster.primary(left);
+        remaining.remove(first);
+        String second = cluster.primary(remaining);
         assertNotEquals(first, second);
         assertTrue(cluster.call(second, "GET /quartzspan/Configuration.Describe", "", "")
                 .contains("\"version\":2"));
         cluster.stop(second);
-        left.remove(second);
-        String last = left.iterator().next();
-        for (long end = System.nanoTime() + CoreCluster.PATIENCE_NANOS;
+        remaining.remove(second);
+        String last = remaining.iterator().next();
+        for (long end = System.nanoTime() + CoreCluster.TIMEOUT_NANOS;
                 cluster.describe(last) != 503 && System.nanoTime() < end; ) {
             assertNotEquals(400, cluster.describe(last));
         }
-        confirmsNothing(last, change);
+        assertAcknowledgesNothing(last, change);
     }
 
     @Test
     void primaryThatAnswersReadsAcceptsHeartbeats() throws Exception {
         cluster.startAll();
         String primary = cluster.primary(HOSTS);
-        assertEquals(200, beat(primary, "i-1", 1, "ready"));
+        assertEquals(200, sendHeartbeat(primary, "i-1", 1, "ready"));
     }
 
     @Test
     void isolatedMachineAcknowledgesNothing() throws Exception {
         cluster.start(HOSTS.get(0), false);
-        confirmsNothing(HOSTS.get(0), "{\"version\":2,\"routes\":[],\"services\":[]}");
+        assertAcknowledgesNothing(HOSTS.get(0), "{\"version\":2,\"routes\":[],\"services\":[]}");
     }
 
     /** It sends callers on, within the second that they wait: whatever it said could be old. */
-    private void confirmsNothing(String host, String change) throws IOException {
+    private void assertAcknowledgesNothing(String host, String change) throws IOException {
         assertEquals(503, cluster.describe(host));
         for (String base : List.of("0", "1", "7")) {
             String header = "X-Base-Version: " + base + "\r\n";
@@ -97,7 +97,7 @@
         }
         assertEquals(503, cluster.status(host, "POST /quartzspan/Configuration.Replace", "X-Base-Version: 0\r\n", "{"));
         assertEquals(503, cluster.status(host, "POST /quartzspan/version-put", "", "{\"model\":\"m\",\"version\":2}"));
-        assertEquals(503, beat(host, "i-9", 3, "draining"), "nobody else holds it");
+        assertEquals(503, sendHeartbeat(host, "i-9", 3, "draining"), "nobody else holds it");
         assertEquals(503, cluster.status(host, "POST /quartzspan/Instances.Deregister/i-9", "", "{}"));
         assertEquals(200, cluster.status(host, "GET /quartzspan/status", "", ""));
         assertFalse(cluster.call(host, "GET /quartzspan/status", "", "").contains("\"role\":\"PRIMARY\""));
--- a/src/test/java/quartzspan/controlplane/DrainAcknowledgerTest.java
+++ b/src/test/java/quartzspan/controlplane/DrainAcknowledgerTest.java
@@ -27,16 +27,16 @@
     private static final int TICK_MS = 50;
 
     /** A message on its way. */
-    private record Flight(String from, String to, GossipMessage message) {}
+    private record InFlightMessage(String from, String to, GossipMessage message) {}
 
     private final Map<String, Registry> registries = new LinkedHashMap<>();
     private final Map<String, Gossip> gossips = new LinkedHashMap<>();
-    private final ArrayDeque<Flight> flights = new ArrayDeque<>();
+    private final ArrayDeque<InFlightMessage> messagesInFlight = new ArrayDeque<>();
     private final Set<String> down = new HashSet<>();
-    private final List<String> answers = new ArrayList<>();
+    private final List<String> responses = new ArrayList<>();
     private long now;
 
-    private DrainAcknowledger leaves;
+    private DrainAcknowledger drainAcknowledger;
 
     private static RegistryEntry entry(long seq, RegistryEntry.State state) {
         return new RegistryEntry(RegistryEntry.Subject.SERVER, "i", seq, state, "s\t10.0.0.9:80\tz\tm\t1\t0");
@@ -47,7 +47,7 @@
         PROXIES.forEach(name -> start(name, false));
         registries.get("c1:1").merge(now, READY);
         run(2_000);
-        leaves = new DrainAcknowledger(gossips.get("c1:1"));
+        drainAcknowledger = new DrainAcknowledger(gossips.get("c1:1"));
     }
 
     private void start(String name, boolean core) {
@@ -55,33 +55,38 @@
         registries.put(name, registry);
         gossips.put(
                 name,
-                new Gossip(name, core, CORES, registry, (to, message) -> flights.add(new Flight(name, to, message))));
+                new Gossip(
+                        name,
+                        core,
+                        CORES,
+                        registry,
+                        (to, message) -> messagesInFlight.add(new InFlightMessage(name, to, message))));
     }
 
     private DrainAcknowledger.Caller caller() {
         return new DrainAcknowledger.Caller() {
             @Override
             public void acknowledge() {
-                answers.add("acknowledged");
+                responses.add("acknowledged");
             }
 
             @Override
-            public void refuse(FleetException why) {
-                answers.add(why.code().name());
+            public void refuse(FleetException refusal) {
+                responses.add(refusal.code().name());
             }
         };
     }
 
-    private DrainAcknowledger.Pending drain(int holders) {
+    private DrainAcknowledger.PendingRequest drain(int requiredAcks) {
         registries.get("c1:1").merge(now, DRAINING);
-        return leaves.begin(now, DRAINING, holders, caller());
+        return drainAcknowledger.begin(now, DRAINING, requiredAcks, caller());
     }
 
     private void deliver() {
-        while (!flights.isEmpty()) {
-            Flight flight = flights.poll();
-            if (!down.contains(flight.from()) && !down.contains(flight.to())) {
-                gossips.get(flight.to()).onGossip(now, flight.from(), flight.message());
+        while (!messagesInFlight.isEmpty()) {
+            InFlightMessage inFlight = messagesInFlight.poll();
+            if (!down.contains(inFlight.from()) && !down.contains(inFlight.to())) {
+                gossips.get(inFlight.to()).onGossip(now, inFlight.from(), inFlight.message());
             }
         }
     }
@@ -93,14 +98,14 @@
                     gossip.onTick(now, null);
                 }
             });
-            if (leaves != null) {
-                leaves.onTick(now);
+            if (drainAcknowledger != null) {
+                drainAcknowledger.onTick(now);
             }
             deliver();
         }
     }
 
-    private RegistryEntry.State seenBy(String name) {
+    private RegistryEntry.State stateAt(String name) {
         return registries.get(name).entry(RegistryEntry.Subject.SERVER, "i").state();
     }
 
@@ -109,12 +114,12 @@
         down.addAll(List.of("c3:1", "c4:1", "c5:1"));
         drain(2);
         run(DrainAcknowledger.ACKNOWLEDGEMENT_TIMEOUT_MS - 100);
-        assertEquals(List.of(), answers);
+        assertEquals(List.of(), responses);
         run(200);
-        assertEquals(List.of("NOT_PRIMARY"), answers, "in time for the server to call another machine");
-        assertTrue(leaves.isIdle());
+        assertEquals(List.of("NOT_PRIMARY"), responses, "in time for the server to call another machine");
+        assertTrue(drainAcknowledger.isIdle());
         run(2_000);
-        assertEquals(1, answers.size(), "answered once");
+        assertEquals(1, responses.size(), "answered once");
     }
 
     @Test
@@ -123,12 +128,12 @@
         down.addAll(List.of("c4:1", "c5:1", "p1:1", "p2:1"));
         drain(2);
         run(TICK_MS);
-        assertEquals(List.of("acknowledged"), answers);
+        assertEquals(List.of("acknowledged"), responses);
         down.clear();
         down.addAll(List.of("c1:1", "c2:1"));
         run(2_000);
         for (String name : List.of("c3:1", "c4:1", "c5:1", "p1:1", "p2:1")) {
-            assertEquals(RegistryEntry.State.DRAINING, seenBy(name), name);
+            assertEquals(RegistryEntry.State.DRAINING, stateAt(name), name);
         }
     }
 
@@ -142,9 +147,9 @@
         start("c3:1", true);
         start("p1:1", false);
         run(2_000);
-        assertEquals(RegistryEntry.State.DRAINING, seenBy("c3:1"));
-        assertEquals(RegistryEntry.State.DRAINING, seenBy("c5:1"));
-        assertEquals(RegistryEntry.State.DRAINING, seenBy("p1:1"));
+        assertEquals(RegistryEntry.State.DRAINING, stateAt("c3:1"));
+        assertEquals(RegistryEntry.State.DRAINING, stateAt("c5:1"));
+        assertEquals(RegistryEntry.State.DRAINING, stateAt("p1:1"));
     }
 
     @Test
@@ -152,29 +157,29 @@
         down.addAll(List.of("c2:1", "c3:1", "c4:1", "c5:1"));
         drain(2);
         run(300);
-        assertEquals(List.of(), answers);
+        assertEquals(List.of(), responses);
         down.clear();
         run(300);
-        assertEquals(List.of("acknowledged"), answers);
+        assertEquals(List.of("acknowledged"), responses);
     }
 
     @Test
     void disconnectedCallerIsNotAnsweredAndForgotten() {
         down.addAll(List.of("c2:1", "c3:1", "c4:1", "c5:1"));
-        DrainAcknowledger.Pending waiting = drain(1);
-        assertTrue(waiting.isPending());
-        waiting.cancel();
-        assertFalse(waiting.isPending());
-        assertTrue(leaves.isIdle());
+        DrainAcknowledger.PendingRequest request = drain(1);
+        assertTrue(request.isPending());
+        request.cancel();
+        assertFalse(request.isPending());
+        assertTrue(drainAcknowledger.isIdle());
         down.clear();
         run(2_000);
-        assertEquals(List.of(), answers);
+        assertEquals(List.of(), responses);
     }
 
     @Test
     void withoutToleratedLossesTheEntryIsAcknowledgedAtOnce() {
         down.addAll(List.of("c2:1", "c3:1", "c4:1", "c5:1"));
         assertFalse(drain(0).isPending());
-        assertEquals(List.of("acknowledged"), answers);
+        assertEquals(List.of("acknowledged"), responses);
     }
 }
--- a/src/test/java/quartzspan/controlplane/GracefulShutdownPhasesTest.java
+++ b/src/test/java/quartzspan/controlplane/GracefulShutdownPhasesTest.java
@@ -8,46 +8,46 @@
 
 /** When a core machine that was told to end does so. */
 class GracefulShutdownPhasesTest {
-    private static final long GRACE_MS = 8_000;
+    private static final long GRACE_PERIOD_MS = 8_000;
 
-    private int leaves;
-    private boolean left;
-    private final GracefulShutdown stop = new GracefulShutdown(
+    private int handovers;
+    private boolean handoverComplete;
+    private final GracefulShutdown shutdown = new GracefulShutdown(
             new GracefulShutdown.HandoverParticipant() {
                 @Override
                 public void beginHandover(long now) {
-                    leaves++;
+                    handovers++;
                 }
 
                 @Override
                 public boolean isHandoverComplete(long now) {
-                    return left;
+                    return handoverComplete;
                 }
             },
-            GRACE_MS);
+            GRACE_PERIOD_MS);
 
     @Test
     void neverOverBeforeTheShutdownBegins() {
-        left = true;
-        assertFalse(stop.isOver(1_000_000, true));
-        assertFalse(stop.started());
+        handoverComplete = true;
+        assertFalse(shutdown.isComplete(1_000_000, true));
+        assertFalse(shutdown.hasStarted());
     }
 
     @Test
     void overOnceHandedOverAndIdle() {
-        stop.begin(100);
-        stop.begin(150);
-        assertEquals(1, leaves, "once");
-        assertFalse(stop.isOver(200, true), "others need it still");
-        left = true;
-        assertFalse(stop.isOver(300, false), "a call waits for its answer");
-        assertTrue(stop.isOver(350, true));
+        shutdown.begin(100);
+        shutdown.begin(150);
+        assertEquals(1, handovers, "once");
+        assertFalse(shutdown.isComplete(200, true), "others need it still");
+        handoverComplete = true;
+        assertFalse(shutdown.isComplete(300, false), "a call waits for its answer");
+        assertTrue(shutdown.isComplete(350, true));
     }
 
     @Test
     void overBeforeTheGracePeriodEnds() {
-        stop.begin(0);
-        assertFalse(stop.isOver(GRACE_MS - GracefulShutdown.KILL_MARGIN_MS - 1, true));
-        assertTrue(stop.isOver(GRACE_MS - GracefulShutdown.KILL_MARGIN_MS, false));
+        shutdown.begin(0);
+        assertFalse(shutdown.isComplete(GRACE_PERIOD_MS - GracefulShutdown.KILL_MARGIN_MS - 1, true));
+        assertTrue(shutdown.isComplete(GRACE_PERIOD_MS - GracefulShutdown.KILL_MARGIN_MS, false));
     }
 }
--- a/src/test/java/quartzspan/controlplane/HeartbeatHandlerTest.java
+++ b/src/test/java/quartzspan/controlplane/HeartbeatHandlerTest.java
@@ -22,7 +22,7 @@
 
     private final Registry registry = new Registry();
     private final WeightsDeadlines deadlines = new WeightsDeadlines(APPLY_MS);
-    private final HeartbeatHandler receiver = new HeartbeatHandler(
+    private final HeartbeatHandler handler = new HeartbeatHandler(
             registry,
             new HeartbeatTracker(registry, 1_200),
             new Gossip("c1:1", true, List.of("c1:1", "c2:1"), registry, (to, message) -> {}),
@@ -42,49 +42,50 @@
     @Test
     void disconnectedMachineRefusesHeartbeatsButAppliesThem() {
         registry.confirmFresh(10_000);
-        assertNull(receiver.heartbeat(10_000 + HeartbeatHandler.MAX_STALENESS_MS, "i", body(1, "ready")));
-        long cut = 10_001 + HeartbeatHandler.MAX_STALENESS_MS;
-        FleetException why = assertThrows(FleetException.class, () -> receiver.heartbeat(cut, "i", body(2, "ready")));
-        assertEquals(503, why.code().status());
-        assertThrows(FleetException.class, () -> receiver.heartbeat(cut, "j", body(1, "ready")));
+        assertNull(handler.onHeartbeat(10_000 + HeartbeatHandler.MAX_STALENESS_MS, "i", body(1, "ready")));
+        long disconnectedAtMs = 10_001 + HeartbeatHandler.MAX_STALENESS_MS;
+        FleetException refusal =
+                assertThrows(FleetException.class, () -> handler.onHeartbeat(disconnectedAtMs, "i", body(2, "ready")));
+        assertEquals(503, refusal.code().status());
+        assertThrows(FleetException.class, () -> handler.onHeartbeat(disconnectedAtMs, "j", body(1, "ready")));
         assertNotNull(registry.entry(RegistryEntry.Subject.SERVER, "j"), "known here all the same");
-        registry.confirmFresh(cut);
-        assertNull(receiver.heartbeat(cut, "i", body(3, "ready")));
+        registry.confirmFresh(disconnectedAtMs);
+        assertNull(handler.onHeartbeat(disconnectedAtMs, "i", body(3, "ready")));
     }
 
     @Test
     void drainingEntryHasToBeAcknowledgedByOthers() {
         assertEquals(
                 RegistryEntry.State.DRAINING,
-                receiver.heartbeat(99_000, "i", body(1, "draining")).state());
-        assertNotNull(receiver.heartbeat(99_000, "i", body(1, "draining")), "said again, to be held again");
-        assertThrows(FleetException.class, () -> receiver.heartbeat(99_000, "i", body(5, "ready")));
+                handler.onHeartbeat(99_000, "i", body(1, "draining")).state());
+        assertNotNull(handler.onHeartbeat(99_000, "i", body(1, "draining")), "said again, to be held again");
+        assertThrows(FleetException.class, () -> handler.onHeartbeat(99_000, "i", body(5, "ready")));
         assertEquals(RegistryEntry.State.DRAINING, state());
         assertEquals(
-                RegistryEntry.State.GONE, receiver.deregistration(99_000, "i").state());
-        assertNotNull(receiver.deregistration(99_000, "i"));
-        assertNotNull(receiver.heartbeat(99_000, "i", body(9, "draining")));
+                RegistryEntry.State.GONE, handler.onDeregistration(99_000, "i").state());
+        assertNotNull(handler.onDeregistration(99_000, "i"));
+        assertNotNull(handler.onHeartbeat(99_000, "i", body(9, "draining")));
         assertEquals(RegistryEntry.State.GONE, state());
     }
 
     @Test
     void malformedHeartbeatIsRefused() {
-        assertThrows(FleetException.class, () -> receiver.heartbeat(0, "i", new byte[] {'{'}));
+        assertThrows(FleetException.class, () -> handler.onHeartbeat(0, "i", new byte[] {'{'}));
     }
 
     @Test
     void serverThatReturnsWithOverdueWeightsIsListedAsLoadingFromItsFirstHeartbeatOn() {
         deadlines.observe(0, Map.of("m", 2L));
         registry.confirmFresh(2 * APPLY_MS);
-        receiver.heartbeat(APPLY_MS - 1, "i", body(1, "ready"));
-        assertEquals(0, listed("i").loading(), "not overdue yet");
-        receiver.heartbeat(APPLY_MS, "j", body(1, "ready"));
-        assertEquals(2, listed("j").loading());
-        receiver.heartbeat(APPLY_MS, "i", body(2, "ready"));
-        assertEquals(2, listed("i").loading(), "overdue by now");
+        handler.onHeartbeat(APPLY_MS - 1, "i", body(1, "ready"));
+        assertEquals(0, registered("i").loading(), "not overdue yet");
+        handler.onHeartbeat(APPLY_MS, "j", body(1, "ready"));
+        assertEquals(2, registered("j").loading());
+        handler.onHeartbeat(APPLY_MS, "i", body(2, "ready"));
+        assertEquals(2, registered("i").loading(), "overdue by now");
     }
 
-    private Server listed(String id) {
+    private Server registered(String id) {
         return Server.of(registry.entry(RegistryEntry.Subject.SERVER, id));
     }
 }
--- a/src/test/java/quartzspan/controlplane/LoadTrackerTest.java
+++ b/src/test/java/quartzspan/controlplane/LoadTrackerTest.java
@@ -22,7 +22,7 @@
 
     @Test
     void orderWithoutAnySignOfItIsLostAfterTheRetryInterval() {
-        loads.ordered(0, ID, 2);
+        loads.onOrdered(0, ID, 2);
         assertTrue(loads.isLoading(RETRY_MS - 1, ID));
         assertFalse(loads.mayOrder(RETRY_MS - 1, ID));
         assertTrue(loads.mayOrder(RETRY_MS, ID));
@@ -30,18 +30,18 @@
 
     @Test
     void serverThatSaysItIsLoadingIsNotOrderedAgain() {
-        loads.ordered(0, ID, 2);
+        loads.onOrdered(0, ID, 2);
         for (long now = 0; now < 10 * RETRY_MS; now += RETRY_MS / 2) {
-            loads.confirmed(now, ID);
+            loads.onConfirmed(now, ID);
             assertFalse(loads.mayOrder(now, ID));
         }
-        assertEquals(List.of(ID), loads.loading(10 * RETRY_MS - 1));
+        assertEquals(List.of(ID), loads.loadingServers(10 * RETRY_MS - 1));
     }
 
     @Test
     void refusedOrderLeavesTheServerServingUntilItIsRetried() {
-        loads.ordered(0, ID, 2);
-        loads.refused(100, ID);
+        loads.onOrdered(0, ID, 2);
+        loads.onRefused(100, ID);
         assertFalse(loads.isLoading(100, ID));
         assertFalse(loads.mayOrder(100, ID), "not at once");
         assertTrue(loads.mayOrder(600, ID));
@@ -49,21 +49,21 @@
 
     @Test
     void reportOfAnIdleServerEndsTheWaitUnlessItMayBeOlderThanTheOrder() {
-        loads.ordered(0, ID, 2);
-        loads.idle(300, ID);
+        loads.onOrdered(0, ID, 2);
+        loads.onIdle(300, ID);
         assertTrue(loads.isLoading(300, ID), "the report may be from before the order");
-        loads.idle(1_500, ID);
+        loads.onIdle(1_500, ID);
         assertTrue(loads.mayOrder(1_500, ID));
     }
 
     @Test
     void loadIsFinishedByTheWeightsThatWereOrderedOrLaterOnes() {
-        loads.ordered(0, ID, 3);
-        loads.update(500, List.of(server(2)));
+        loads.onOrdered(0, ID, 3);
+        loads.onWeights(500, List.of(server(2)));
         assertTrue(loads.isLoading(500, ID));
-        loads.update(900, List.of(server(4)));
+        loads.onWeights(900, List.of(server(4)));
         assertFalse(loads.isLoading(900, ID));
-        assertEquals(900, loads.takeFinished().get(0).tookMs());
+        assertEquals(900, loads.takeFinished().get(0).durationMs());
         assertEquals(List.of(), loads.takeFinished());
     }
 }
--- a/src/test/java/quartzspan/controlplane/RolloutCoordinatorTest.java
+++ b/src/test/java/quartzspan/controlplane/RolloutCoordinatorTest.java
@@ -26,20 +26,20 @@
     private String holder = "";
 
     private long fencingToken;
-    private final Map<String, Long> named = new HashMap<>(Map.of("m", 2L));
+    private final Map<String, Long> targets = new HashMap<>(Map.of("m", 2L));
     private long now = 100_000;
     private final List<RolloutCoordinator.Order> orders = new ArrayList<>();
-    private final List<Long> orderedAt = new ArrayList<>();
+    private final List<Long> orderedAtMs = new ArrayList<>();
     private final Set<String> announced = new HashSet<>();
 
     /** One machine of the core. */
     private final class Machine implements RolloutCoordinator.Actions {
         private final String name;
-        private RolloutCoordinator duty;
+        private RolloutCoordinator coordinator;
         private long epoch = -1;
-        private long confirmedAt;
-        private boolean cut;
-        private boolean answersClaims = true;
+        private long confirmedAtMs;
+        private boolean partitioned;
+        private boolean reportsClaims = true;
         private final Set<String> held = new HashSet<>();
 
         Machine(String name) {
@@ -49,7 +49,7 @@
 
         void restart() {
             epoch = -1;
-            duty = new RolloutCoordinator(
+            coordinator = new RolloutCoordinator(
                     name, LEASE_MS, new RolloutPlanner(new WeightsDeadlines(APPLY_MS)), this::leadership, this);
         }
 
@@ -57,20 +57,20 @@
             return epoch < 0
                     ? Optional.empty()
                     : Optional.of(new RolloutCoordinator.Leadership(
-                            new Epoch(epoch, name, 0), confirmedAt, holder, fencingToken, named));
+                            new Epoch(epoch, name, 0), confirmedAtMs, holder, fencingToken, targets));
         }
 
-        void leaderships(long inEpoch) {
+        void becomePrimary(long inEpoch) {
             epoch = inEpoch;
-            confirmedAt = now;
+            confirmedAtMs = now;
         }
 
         void run(long ms) {
             for (long end = now + ms; now < end; now += TICK_MS) {
-                if (!cut && epoch >= 0) {
-                    confirmedAt = now;
+                if (!partitioned && epoch >= 0) {
+                    confirmedAtMs = now;
                 }
-                duty.onTick(now, () -> List.of(server("i-1"), server("i-2"), server("i-3")));
+                coordinator.onTick(now, () -> List.of(server("i-1"), server("i-2"), server("i-3")));
             }
         }
 
@@ -78,8 +78,8 @@
         public void claim(Epoch leadership) {
             holder = name;
             fencingToken++;
-            if (answersClaims) {
-                duty.claimed(leadership, true, fencingToken);
+            if (reportsClaims) {
+                coordinator.onClaimResult(leadership, true, fencingToken);
             }
         }
 
@@ -89,38 +89,38 @@
         }
 
         @Override
-        public void order(RolloutCoordinator.Order order) {
+        public void sendOrder(RolloutCoordinator.Order order) {
             if (held.contains(order.server().id())) {
                 return;
             }
-            if (duty.mayOrder(now, order)) {
+            if (coordinator.mayOrder(now, order)) {
                 orders.add(order);
-                orderedAt.add(now);
+                orderedAtMs.add(now);
             }
         }
 
         @Override
-        public void report(Server server) {}
+        public void requestReport(Server server) {}
 
         @Override
-        public void progress(RolloutPlanner.Status status) {}
+        public void onProgress(RolloutPlanner.Status status) {}
 
         @Override
-        public void loaded(LoadTracker.Finished load) {}
+        public void onLoaded(LoadTracker.FinishedLoad load) {}
     }
 
     private static Server server(String id) {
         return new Server(id, "s", "10.0.0.9:80", "z", "m", 1, 0, 1, RegistryEntry.State.READY);
     }
 
-    private long last() {
-        return orderedAt.get(orderedAt.size() - 1);
+    private long lastOrderAtMs() {
+        return orderedAtMs.get(orderedAtMs.size() - 1);
     }
 
     @Test
     void firstLeaseHolderDoesNotWait() {
         Machine a = new Machine("a");
-        a.leaderships(1);
+        a.becomePrimary(1);
         a.run(300);
         assertFalse(orders.isEmpty());
         assertEquals(1, orders.get(0).fencingToken());
@@ -128,9 +128,9 @@
 
     @Test
     void nothingIsOrderedWithoutNamedWeights() {
-        named.clear();
+        targets.clear();
         Machine a = new Machine("a");
-        a.leaderships(1);
+        a.becomePrimary(1);
         a.run(5_000);
         assertTrue(orders.isEmpty());
         assertEquals("", holder, "not even claimed");
@@ -140,25 +140,25 @@
     void partitionedHolderIsSilentForTheLeaseBeforeTheNextOneOrders() {
         Machine a = new Machine("a");
         Machine b = new Machine("b");
-        a.leaderships(1);
+        a.becomePrimary(1);
         a.run(1_000);
-        a.cut = true;
+        a.partitioned = true;
         // At the latest now another machine has a majority; the one that was cut off does not know and goes on.
-        b.leaderships(2);
-        long began = now;
-        List<RolloutCoordinator.Order> old = new ArrayList<>(orders);
+        b.becomePrimary(2);
+        long electedAtMs = now;
+        List<RolloutCoordinator.Order> ordersBefore = new ArrayList<>(orders);
         for (int tick = 0; tick < 200; tick++) {
             long at = now;
             a.run(TICK_MS);
             now = at;
             b.run(TICK_MS);
         }
-        long lastOfA = orderedAt.get(lastIndex(1));
-        long firstOfB = orderedAt.get(firstIndex(2));
-        assertTrue(lastOfA <= began + RolloutCoordinator.CONFIRMATION_VALID_MS, "stops by itself");
+        long lastOfA = orderedAtMs.get(lastIndex(1));
+        long firstOfB = orderedAtMs.get(firstIndex(2));
+        assertTrue(lastOfA <= electedAtMs + RolloutCoordinator.CONFIRMATION_VALID_MS, "stops by itself");
         assertTrue(firstOfB - lastOfA >= LEASE_MS, "no turns within the lease");
-        assertTrue(firstOfB - began < LEASE_MS + 1_500, "and no longer than it must: weights have their time");
-        assertTrue(orders.size() > old.size());
+        assertTrue(firstOfB - electedAtMs < LEASE_MS + 1_500, "and no longer than it must: weights have their time");
+        assertTrue(orders.size() > ordersBefore.size());
     }
 
     private int lastIndex(long token) {
@@ -181,13 +181,14 @@
     @Test
     void thawedHolderSendsNothing() {
         Machine a = new Machine("a");
-        a.leaderships(1);
+        a.becomePrimary(1);
         a.run(200);
         int before = orders.size();
-        RolloutCoordinator.Order open = orders.get(0);
+        RolloutCoordinator.Order earlier = orders.get(0);
         now += 20_000;
-        assertFalse(a.duty.mayOrder(now, open), "asked right before the write, however long the connection took");
-        a.cut = true;
+        assertFalse(
+                a.coordinator.mayOrder(now, earlier), "asked right before the write, however long the connection took");
+        a.partitioned = true;
         a.run(1_000);
         assertEquals(before, orders.size());
     }
@@ -195,59 +196,59 @@
     @Test
     void announcedOrderOfAnEarlierLeadershipIsNotSent() {
         Machine a = new Machine("a");
-        a.leaderships(1);
+        a.becomePrimary(1);
         a.run(200);
         RolloutCoordinator.Order early = orders.get(0);
-        a.leaderships(3);
+        a.becomePrimary(3);
         a.run(200);
-        assertFalse(a.duty.mayOrder(now, early), "its token is of an earlier claim");
+        assertFalse(a.coordinator.mayOrder(now, early), "its token is of an earlier claim");
     }
 
     @Test
     void sameHolderContinuesAtOnceWithAHigherToken() {
         Machine a = new Machine("a");
-        a.leaderships(1);
+        a.becomePrimary(1);
         a.run(200);
-        a.leaderships(2);
-        long again = now;
+        a.becomePrimary(2);
+        long reelectedAtMs = now;
         a.run(4_000);
         int first = firstIndex(2);
         assertTrue(first > 0);
-        assertTrue(orderedAt.get(first) - again < LEASE_MS, "nobody else held the duty in between");
+        assertTrue(orderedAtMs.get(first) - reelectedAtMs < LEASE_MS, "nobody else held the duty in between");
     }
 
     @Test
     void grantedButUnansweredClaimDoesNotHideThePreviousHolder() {
         Machine a = new Machine("a");
         Machine b = new Machine("b");
-        b.leaderships(1);
+        b.becomePrimary(1);
         b.run(1_000);
-        long lastOfB = last();
+        long lastOfB = lastOrderAtMs();
         b.epoch = -1;
-        a.answersClaims = false;
-        a.leaderships(2);
+        a.reportsClaims = false;
+        a.becomePrimary(2);
         a.run(100);
         a.epoch = -1;
         a.run(100);
-        a.answersClaims = true;
-        a.leaderships(3);
+        a.reportsClaims = true;
+        a.becomePrimary(3);
         a.run(6_000);
         assertEquals("a", holder);
         int first = firstIndex(3);
         assertTrue(first > 0, "it does order in the end");
-        assertTrue(orderedAt.get(first) - lastOfB >= LEASE_MS);
+        assertTrue(orderedAtMs.get(first) - lastOfB >= LEASE_MS);
     }
 
     @Test
     void restartedHolderWaitsForTheLease() {
         Machine a = new Machine("a");
-        a.leaderships(1);
+        a.becomePrimary(1);
         a.run(200);
         a.restart();
-        a.leaderships(2);
-        long restarted = now;
+        a.becomePrimary(2);
+        long restartedAtMs = now;
         a.run(6_000);
-        assertTrue(orderedAt.get(firstIndex(2)) - restarted >= LEASE_MS, "it can't know what came of its claims");
+        assertTrue(orderedAtMs.get(firstIndex(2)) - restartedAtMs >= LEASE_MS, "it can't know what came of its claims");
     }
 
     @Test
@@ -260,7 +261,7 @@
             if (epoch % 4 == 0) {
                 next.restart();
             }
-            next.leaderships(epoch);
+            next.becomePrimary(epoch);
             int before = orders.size();
             next.run(epoch % 3 == 0 ? 1_000 : 6_000);
             orders.subList(before, orders.size())
@@ -275,44 +276,44 @@
 
     @Test
     void weightsNamedLongAfterTheElectionAreOrderedAtOnce() {
-        named.clear();
+        targets.clear();
         holder = "other";
         fencingToken = 7;
         Machine a = new Machine("a");
-        a.leaderships(5);
+        a.becomePrimary(5);
         a.run(10_000);
-        named.put("m", 2L);
+        targets.put("m", 2L);
         long at = now;
         a.run(1_000);
         assertFalse(orders.isEmpty(), "all earlier holders have been silent for long");
-        assertTrue(orderedAt.get(0) - at < 500);
+        assertTrue(orderedAtMs.get(0) - at < 500);
     }
 
     @Test
     void unsentOrderIsRetriedSoonAndUnansweredOneLater() {
         Machine a = new Machine("a");
-        a.leaderships(1);
+        a.becomePrimary(1);
         a.run(200);
         RolloutCoordinator.Order first = orders.get(0);
-        a.duty.onResponse(now, first, ServerClient.NOT_SENT);
+        a.coordinator.onResponse(now, first, ServerClient.NOT_SENT);
         int before = orders.size();
         a.run(700);
         assertTrue(orders.size() > before, "nothing went out");
         RolloutCoordinator.Order second = orders.get(orders.size() - 1);
-        a.duty.onResponse(now, second, ServerClient.NO_RESPONSE);
-        int then = orders.size();
+        a.coordinator.onResponse(now, second, ServerClient.NO_RESPONSE);
+        int ordersAfterSecond = orders.size();
         a.run(1_000);
-        assertEquals(then, orders.size(), "it may have been taken");
+        assertEquals(ordersAfterSecond, orders.size(), "it may have been taken");
         a.run(2_000);
-        assertTrue(orders.size() > then);
+        assertTrue(orders.size() > ordersAfterSecond);
     }
 
     @Test
     void higherTokenLeadsToANewClaim() {
         Machine a = new Machine("a");
-        a.leaderships(1);
+        a.becomePrimary(1);
         a.run(200);
-        a.duty.onResponse(now, orders.get(0), 412);
+        a.coordinator.onResponse(now, orders.get(0), 412);
         a.run(4_000);
         assertEquals(2, orders.get(orders.size() - 1).fencingToken());
     }
@@ -322,7 +323,7 @@
         holder = "other";
         fencingToken = 7;
         Machine a = new Machine("a");
-        a.leaderships(5);
+        a.becomePrimary(5);
         a.run(LEASE_MS + RolloutCoordinator.CONFIRMATION_VALID_MS + RolloutCoordinator.ORDER_TIMEOUT_MS + 300);
         assertEquals(2, orders.size(), "two of three at once, where it is one at the beginning of a rollout");
     }
@@ -330,14 +331,14 @@
     @Test
     void serversAreTakenOutOfServiceBeforeTheirWeightsAreOverdueAlsoWhereNoOrderMayBeGiven() {
         Machine a = new Machine("a");
-        a.answersClaims = false;
-        a.leaderships(1);
+        a.reportsClaims = false;
+        a.becomePrimary(1);
         a.run(APPLY_MS / 2);
         assertEquals(Set.of(), announced);
-        a.answersClaims = true;
-        a.leaderships(2);
+        a.reportsClaims = true;
+        a.becomePrimary(2);
         holder = "other";
-        a.cut = true;
+        a.partitioned = true;
         a.run(APPLY_MS / 2);
         assertTrue(orders.isEmpty());
         assertEquals(Set.of("i-1", "i-2", "i-3"), announced);
--- a/src/test/java/quartzspan/controlplane/RolloutDeadlineTest.java
+++ b/src/test/java/quartzspan/controlplane/RolloutDeadlineTest.java
@@ -20,7 +20,7 @@
         for (int i = 0; i < SERVERS; i++) {
             rollout.add(new LoadingServer("i" + i, LOAD_MS));
         }
-        rollout.name(2).run(3_900).name(3).run(4_900).name(4).run(1_500);
+        rollout.setTarget(2).run(3_900).setTarget(3).run(4_900).setTarget(4).run(1_500);
         assertEquals(List.of(), rollout.overdue());
     }
 
@@ -34,10 +34,10 @@
                 rollout.add(new LoadingServer("i" + i, random.nextLong(500, 9_000)));
             }
             for (int version = 2; version < 2 + random.nextInt(1, 8); version++) {
-                rollout.name(version).run(random.nextLong(100, 9_000));
+                rollout.setTarget(version).run(random.nextLong(100, 9_000));
             }
             rollout.run(2 * SimulatedRollout.APPLY_MS);
-            assertEquals(Set.of(), rollout.overdueEver(), "seed " + seed);
+            assertEquals(Set.of(), rollout.everOverdue(), "seed " + seed);
         }
     }
 
@@ -47,7 +47,7 @@
         for (int i = 0; i < SERVERS; i++) {
             rollout.add(new LoadingServer("i" + i, SimulatedRollout.APPLY_MS));
         }
-        rollout.name(2).run(SimulatedRollout.APPLY_MS);
+        rollout.setTarget(2).run(SimulatedRollout.APPLY_MS);
         rollout.restart(0);
         rollout.run(1);
         assertEquals(List.of(), rollout.overdue());
--- a/src/test/java/quartzspan/controlplane/RolloutPlannerTest.java
+++ b/src/test/java/quartzspan/controlplane/RolloutPlannerTest.java
@@ -20,28 +20,28 @@
     private static final long APPLY_MS = 10_000;
     private static final int TICK_MS = 50;
 
-    private final RolloutPlanner rollout = new RolloutPlanner(new WeightsDeadlines(APPLY_MS));
-    private final Map<String, Long> loadedAt = new HashMap<>();
+    private final RolloutPlanner planner = new RolloutPlanner(new WeightsDeadlines(APPLY_MS));
+    private final Map<String, Long> loadedAtMs = new HashMap<>();
     private final Set<String> loaded = new HashSet<>();
-    private int most;
+    private int maxConcurrentLoads;
 
     /** Plays a rollout to {@code servers} that each have the weights {@code loadMs} after their first order. */
-    private long finishedAt(int servers, long loadMs) {
+    private long timeToFinishMs(int servers, long loadMs) {
         for (long now = 0; now < 10 * APPLY_MS; now += TICK_MS) {
-            long at = now;
-            loadedAt.forEach((id, when) -> {
-                if (when <= at) {
+            long atMs = now;
+            loadedAtMs.forEach((id, loadedAt) -> {
+                if (loadedAt <= atMs) {
                     loaded.add(id);
                 }
             });
             if (loaded.size() == servers) {
                 return now;
             }
-            for (RolloutPlanner.Order order : rollout.due(now, Map.of(MODEL, 2L), servers(servers))) {
-                rollout.ordered(now, order);
-                loadedAt.putIfAbsent(order.server().id(), now + loadMs);
+            for (RolloutPlanner.Order order : planner.dueOrders(now, Map.of(MODEL, 2L), servers(servers))) {
+                planner.onOrdered(now, order);
+                loadedAtMs.putIfAbsent(order.server().id(), now + loadMs);
             }
-            most = Math.max(most, loadedAt.size() - loaded.size());
+            maxConcurrentLoads = Math.max(maxConcurrentLoads, loadedAtMs.size() - loaded.size());
         }
         return Long.MAX_VALUE;
     }
@@ -65,16 +65,16 @@
 
     @Test
     void fewLoadsAtOnceWhileTheyAreQuick() {
-        assertTrue(finishedAt(8, 1_000) <= 5_000);
-        assertEquals(2, most);
+        assertTrue(timeToFinishMs(8, 1_000) <= 5_000);
+        assertEquals(2, maxConcurrentLoads);
     }
 
     @Test
     void moreLoadsAtOnceWhereRunsDelayLoads() {
         for (int servers : new int[] {6, 8, 63, 78}) {
             loaded.clear();
-            loadedAt.clear();
-            assertTrue(new RolloutPlannerTest().finishedAt(servers, 3_300) < 0.9 * APPLY_MS, servers + " servers");
+            loadedAtMs.clear();
+            assertTrue(new RolloutPlannerTest().timeToFinishMs(servers, 3_300) < 0.9 * APPLY_MS, servers + " servers");
         }
     }
 
@@ -84,21 +84,21 @@
         for (int i = 0; i < 10; i++) {
             rollout.add(new SimulatedRollout.LoadingServer("i" + i, 9_000));
         }
-        rollout.name(2).run(APPLY_MS / 2);
-        assertEquals(6, rollout.mostLoading());
+        rollout.setTarget(2).run(APPLY_MS / 2);
+        assertEquals(6, rollout.maxConcurrentLoads());
         rollout.run(APPLY_MS / 2);
         assertEquals(List.of(), rollout.overdue());
     }
 
     @Test
     void someServersServeHoweverLateTheRolloutIsWhereLoadsAreOnlySlow() {
-        finishedAt(10, 3_300);
-        assertTrue(most <= 6, most + " at once");
+        timeToFinishMs(10, 3_300);
+        assertTrue(maxConcurrentLoads <= 6, maxConcurrentLoads + " at once");
     }
 
     @Test
     void anotherVersionHasItsOwnSchedule() {
-        finishedAt(8, 1_000);
-        assertEquals(2, rollout.due(60_000, Map.of(MODEL, 3L), servers(8)).size());
+        timeToFinishMs(8, 1_000);
+        assertEquals(2, planner.dueOrders(60_000, Map.of(MODEL, 3L), servers(8)).size());
     }
 }
--- a/src/test/java/quartzspan/controlplane/ServerClientTest.java
+++ b/src/test/java/quartzspan/controlplane/ServerClientTest.java
@@ -28,94 +28,99 @@
 
 /** When an order goes out, and what is known of one that has no answer. */
 class ServerClientTest {
-    private static final int PATIENCE_S = 10;
-    private static final long TIMEOUT_MS = 800;
+    private static final int TIMEOUT_S = 10;
+    private static final long ORDER_TIMEOUT_MS = 800;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final ServerClient client = new ServerClient(new ConnectionPool(loop, 500_000, 2_000_000, 16));
-    private ServerSocket listening;
+    private ServerSocket serverSocket;
     private Server server;
 
     @BeforeEach
     void listen() throws Exception {
-        listening = new ServerSocket(0, 8, InetAddress.getLoopbackAddress());
-        listening.setSoTimeout(PATIENCE_S * 1_000);
+        serverSocket = new ServerSocket(0, 8, InetAddress.getLoopbackAddress());
+        serverSocket.setSoTimeout(TIMEOUT_S * 1_000);
         server = new Server(
-                "i", "s", "127.0.0.1:" + listening.getLocalPort(), "z", "m", 1, 0, 1, RegistryEntry.State.READY);
+                "i", "s", "127.0.0.1:" + serverSocket.getLocalPort(), "z", "m", 1, 0, 1, RegistryEntry.State.READY);
     }
 
     @AfterEach
     void end() throws Exception {
-        listening.close();
+        serverSocket.close();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
     private CompletableFuture<Integer> post(BooleanSupplier permitted) {
-        CompletableFuture<Integer> ended = new CompletableFuture<>();
+        CompletableFuture<Integer> result = new CompletableFuture<>();
         loop.execute(() -> client.post(
-                server, "/quartzspan/order", "{}", TIMEOUT_MS, permitted, (status, body) -> ended.complete(status)));
-        return ended;
+                server,
+                "/quartzspan/order",
+                "{}",
+                ORDER_TIMEOUT_MS,
+                permitted,
+                (status, body) -> result.complete(status)));
+        return result;
     }
 
     @Test
     void permissionIsCheckedOnceConnectedAndNothingIsSentWithoutIt() throws Exception {
-        CompletableFuture<Boolean> early = new CompletableFuture<>();
-        AtomicInteger asked = new AtomicInteger();
-        CompletableFuture<Integer> ended = new CompletableFuture<>();
+        CompletableFuture<Boolean> checkedBeforeConnecting = new CompletableFuture<>();
+        AtomicInteger permissionChecks = new AtomicInteger();
+        CompletableFuture<Integer> result = new CompletableFuture<>();
         loop.execute(() -> {
             client.post(
                     server,
                     "/quartzspan/order",
                     "{}",
-                    TIMEOUT_MS,
-                    () -> asked.incrementAndGet() > 1_000,
-                    (status, body) -> ended.complete(status));
-            early.complete(asked.get() > 0);
+                    ORDER_TIMEOUT_MS,
+                    () -> permissionChecks.incrementAndGet() > 1_000,
+                    (status, body) -> result.complete(status));
+            checkedBeforeConnecting.complete(permissionChecks.get() > 0);
         });
-        try (Socket accepted = listening.accept()) {
-            assertEquals(ServerClient.NOT_SENT, ended.get(PATIENCE_S, TimeUnit.SECONDS));
-            assertFalse(early.get(PATIENCE_S, TimeUnit.SECONDS), "not before it connects");
-            assertEquals(1, asked.get());
+        try (Socket accepted = serverSocket.accept()) {
+            assertEquals(ServerClient.NOT_SENT, result.get(TIMEOUT_S, TimeUnit.SECONDS));
+            assertFalse(checkedBeforeConnecting.get(TIMEOUT_S, TimeUnit.SECONDS), "not before it connects");
+            assertEquals(1, permissionChecks.get());
             assertThrows(SocketException.class, () -> accepted.getInputStream().read(), "reset without a byte");
         }
     }
 
     @Test
     void unansweredOrderIsNotWrittenAgain() throws Exception {
-        AtomicInteger asked = new AtomicInteger();
-        CompletableFuture<Integer> ended = post(() -> asked.incrementAndGet() > 0);
-        try (Socket accepted = listening.accept()) {
+        AtomicInteger permissionChecks = new AtomicInteger();
+        CompletableFuture<Integer> result = post(() -> permissionChecks.incrementAndGet() > 0);
+        try (Socket accepted = serverSocket.accept()) {
             assertTrue(accepted.getInputStream().read() >= 0);
             accepted.setSoLinger(true, 0);
         }
-        assertEquals(ServerClient.NO_RESPONSE, ended.get(PATIENCE_S, TimeUnit.SECONDS));
-        assertEquals(1, asked.get(), "one write");
+        assertEquals(ServerClient.NO_RESPONSE, result.get(TIMEOUT_S, TimeUnit.SECONDS));
+        assertEquals(1, permissionChecks.get(), "one write");
     }
 
     @Test
     void responseOfAnyStatusIsReported() throws Exception {
-        CompletableFuture<Integer> ended = post(() -> true);
-        try (Socket accepted = listening.accept()) {
+        CompletableFuture<Integer> result = post(() -> true);
+        try (Socket accepted = serverSocket.accept()) {
             accepted.getInputStream().read();
             accepted.getOutputStream()
                     .write("HTTP/1.1 409 Conflict\r\nContent-Length: 2\r\n\r\n{}".getBytes(StandardCharsets.US_ASCII));
-            assertEquals(409, ended.get(PATIENCE_S, TimeUnit.SECONDS));
+            assertEquals(409, result.get(TIMEOUT_S, TimeUnit.SECONDS));
         }
     }
 
     @Test
     void unreachableServerCountsAsNotSent() throws Exception {
-        listening.close();
-        assertEquals(ServerClient.NOT_SENT, post(() -> true).get(PATIENCE_S, TimeUnit.SECONDS));
+        serverSocket.close();
+        assertEquals(ServerClient.NOT_SENT, post(() -> true).get(TIMEOUT_S, TimeUnit.SECONDS));
     }
 
     @Test
     void abandonedOrderIsDiscardedFromTheConnection() throws Exception {
-        CompletableFuture<Integer> ended = post(() -> true);
-        try (Socket accepted = listening.accept()) {
-            assertEquals(ServerClient.NO_RESPONSE, ended.get(PATIENCE_S, TimeUnit.SECONDS), "its time runs out");
-            accepted.setSoTimeout(PATIENCE_S * 1_000);
+        CompletableFuture<Integer> result = post(() -> true);
+        try (Socket accepted = serverSocket.accept()) {
+            assertEquals(ServerClient.NO_RESPONSE, result.get(TIMEOUT_S, TimeUnit.SECONDS), "its time runs out");
+            accepted.setSoTimeout(TIMEOUT_S * 1_000);
             assertThrows(
                     SocketException.class,
                     () -> accepted.getInputStream().readAllBytes(),
@@ -127,20 +132,20 @@
     @Test
     void extraResponseOnAPooledConnectionIsNotTheOrders() throws Exception {
         String answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}";
-        CompletableFuture<Integer> asked = new CompletableFuture<>();
+        CompletableFuture<Integer> reported = new CompletableFuture<>();
         loop.execute(
-                () -> client.get(server, "/quartzspan/report", Map.of(), (status, body) -> asked.complete(status)));
-        try (Socket kept = listening.accept()) {
-            kept.getInputStream().read();
-            kept.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
-            assertEquals(200, asked.get(PATIENCE_S, TimeUnit.SECONDS));
+                () -> client.get(server, "/quartzspan/report", Map.of(), (status, body) -> reported.complete(status)));
+        try (Socket pooled = serverSocket.accept()) {
+            pooled.getInputStream().read();
+            pooled.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
+            assertEquals(200, reported.get(TIMEOUT_S, TimeUnit.SECONDS));
             CompletableFuture<Integer> ordered = post(() -> true);
-            try (Socket fresh = listening.accept()) {
-                kept.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
+            try (Socket fresh = serverSocket.accept()) {
+                pooled.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
                 fresh.getInputStream().read();
                 fresh.getOutputStream()
                         .write(answer.replace("200 OK", "409 Conflict").getBytes(StandardCharsets.US_ASCII));
-                assertEquals(409, ordered.get(PATIENCE_S, TimeUnit.SECONDS));
+                assertEquals(409, ordered.get(TIMEOUT_S, TimeUnit.SECONDS));
             }
         }
     }
--- a/src/test/java/quartzspan/controlplane/SimulatedRollout.java
+++ b/src/test/java/quartzspan/controlplane/SimulatedRollout.java
@@ -17,18 +17,18 @@
     private static final long TICK_MS = 50;
 
     private final RolloutPlanner planner = new RolloutPlanner(new WeightsDeadlines(APPLY_MS));
-    private final NavigableMap<Long, Long> namedAtMs = new TreeMap<>();
+    private final NavigableMap<Long, Long> targetSetAtMs = new TreeMap<>();
     private final List<LoadingServer> servers = new ArrayList<>();
     private long nowMs;
-    private int mostLoading;
-    private final Set<String> overdueEver = new TreeSet<>();
+    private int maxConcurrentLoads;
+    private final Set<String> everOverdue = new TreeSet<>();
 
     /** A server, as it is. */
     static final class LoadingServer {
         final String id;
         private final long loadMs;
         private long weights = 1;
-        private long loading;
+        private long loadingVersion;
         private long loadedAtMs;
 
         LoadingServer(String id, long loadMs) {
@@ -38,20 +38,20 @@
 
         /** An order: a server that is under another one does not take it. */
         private void order(long now, long version) {
-            if (loading == 0) {
-                loading = version;
+            if (loadingVersion == 0) {
+                loadingVersion = version;
                 loadedAtMs = now + loadMs;
             }
         }
 
         private void onTick(long now) {
-            if (loading > 0 && now >= loadedAtMs) {
-                weights = loading;
-                loading = 0;
+            if (loadingVersion > 0 && now >= loadedAtMs) {
+                weights = loadingVersion;
+                loadingVersion = 0;
             }
         }
 
-        private Server listed() {
+        private Server registered() {
             return new Server(id, "s", "10.0.0.1:1", "z", MODEL, weights, 0, 1, RegistryEntry.State.READY);
         }
     }
@@ -62,8 +62,8 @@
     }
 
     /** Names a version, to be due {@link #APPLY_MS} later. */
-    SimulatedRollout name(long version) {
-        namedAtMs.put(version, nowMs);
+    SimulatedRollout setTarget(long version) {
+        targetSetAtMs.put(version, nowMs);
         return this;
     }
 
@@ -71,19 +71,20 @@
     SimulatedRollout run(long ms) {
         for (long end = nowMs + ms; nowMs < end; nowMs += TICK_MS) {
             servers.forEach(server -> server.onTick(nowMs));
-            Map<String, Long> wanted = Map.of(MODEL, namedAtMs.lastKey());
-            List<Server> listed = servers.stream().map(LoadingServer::listed).toList();
-            for (RolloutPlanner.Order order : planner.due(nowMs, wanted, listed)) {
-                planner.ordered(nowMs, order);
+            Map<String, Long> targets = Map.of(MODEL, targetSetAtMs.lastKey());
+            List<Server> registered =
+                    servers.stream().map(LoadingServer::registered).toList();
+            for (RolloutPlanner.Order order : planner.dueOrders(nowMs, targets, registered)) {
+                planner.onOrdered(nowMs, order);
                 server(order.server().id()).order(nowMs, order.version());
             }
             servers.stream()
-                    .filter(server -> server.loading > 0)
-                    .forEach(server -> planner.confirmed(nowMs, server.id));
-            int loading =
-                    (int) servers.stream().filter(server -> server.loading > 0).count();
-            mostLoading = Math.max(mostLoading, loading);
-            overdueEver.addAll(overdue());
+                    .filter(server -> server.loadingVersion > 0)
+                    .forEach(server -> planner.onConfirmed(nowMs, server.id));
+            int loading = (int)
+                    servers.stream().filter(server -> server.loadingVersion > 0).count();
+            maxConcurrentLoads = Math.max(maxConcurrentLoads, loading);
+            everOverdue.addAll(overdue());
         }
         return this;
     }
@@ -93,21 +94,21 @@
     }
 
     /** The largest number of servers that were loading at once. */
-    int mostLoading() {
-        return mostLoading;
+    int maxConcurrentLoads() {
+        return maxConcurrentLoads;
     }
 
     /** The servers that were {@link #overdue} at any time. */
-    Set<String> overdueEver() {
-        return overdueEver;
+    Set<String> everOverdue() {
+        return everOverdue;
     }
 
     /** A server ends, and another one with the same weights comes in its place. */
     void restart(int index) {
-        LoadingServer before = servers.get(index);
-        LoadingServer after = new LoadingServer(before.id + "'", before.loadMs);
-        after.weights = before.weights;
-        servers.set(index, after);
+        LoadingServer stopped = servers.get(index);
+        LoadingServer started = new LoadingServer(stopped.id + "'", stopped.loadMs);
+        started.weights = stopped.weights;
+        servers.set(index, started);
     }
 
     /** The servers that begin requests on weights whose successor is overdue: a server under an order begins none. */
@@ -116,7 +117,7 @@
     }
 
     private boolean isOverdue(LoadingServer server) {
-        Map.Entry<Long, Long> oldestLacked = namedAtMs.higherEntry(server.weights);
-        return server.loading == 0 && oldestLacked != null && nowMs - oldestLacked.getValue() > APPLY_MS;
+        Map.Entry<Long, Long> earliestTarget = targetSetAtMs.higherEntry(server.weights);
+        return server.loadingVersion == 0 && earliestTarget != null && nowMs - earliestTarget.getValue() > APPLY_MS;
     }
 }
