--- a/src/test/java/quartzspan/controlplane/ApiCompatibilityTest.java
+++ b/src/test/java/quartzspan/controlplane/ApiCompatibilityTest.java
@@ -36,7 +36,7 @@
     private CoreCluster cluster;
 
     @Test
-    void answersAreThoseOfEarlierVersions() throws Exception {
+    void responsesMatchEarlierVersions() throws Exception {
         try (CoreCluster started = new CoreCluster(folder, GRACE_PERIOD_S)) {
             cluster = started;
             cluster.startAll();
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void refusalsOfAnIsolatedMachineAreThoseOfEarlierVersions() throws Exception {
+    void refusalsOfAnIsolatedMachineMatchEarlierVersions() throws Exception {
         try (CoreCluster started = new CoreCluster(folder, GRACE_PERIOD_S)) {
             cluster = started;
             String isolated = CoreCluster.HOSTS.get(0);
--- a/src/test/java/quartzspan/controlplane/CoreClusterTest.java
+++ b/src/test/java/quartzspan/controlplane/CoreClusterTest.java
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void primaryHandsOverAndTheLastMachineAloneAcknowledgesNothing() throws Exception {
+    void primaryHandsOverAndTheLastRemainingMachineAcknowledgesNothing() throws Exception {
         cluster.startAll();
         Set<String> remaining = new HashSet<>(HOSTS);
         String first = cluster.primary(remaining);
--- a/src/test/java/quartzspan/controlplane/DrainAcknowledgerTest.java
+++ b/src/test/java/quartzspan/controlplane/DrainAcknowledgerTest.java
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void oneOtherMachineIsNotEnoughWhereTwoMayBeLost() {
+    void oneAcknowledgementIsNotEnoughWhereTwoLossesAreTolerated() {
         down.addAll(List.of("c3:1", "c4:1", "c5:1"));
         drain(2);
         run(DrainAcknowledger.ACKNOWLEDGEMENT_TIMEOUT_MS - 100);
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void acknowledgedEntryOutlivesTheAcknowledgerAndAnotherMachine() {
+    void acknowledgedEntrySurvivesTheLossOfTheAcknowledgingAndAnotherMachine() {
         // The proxies are cut off from those that are about to hear it, and hear nothing at first.
         down.addAll(List.of("c4:1", "c5:1", "p1:1", "p2:1"));
         drain(2);
@@ -138,7 +138,7 @@
     }
 
     @Test
-    void restartedMachineLearnsTheEntryFromOneThatMissedTheBroadcast() {
+    void restartedMachineReceivesTheEntryFromOneThatMissedTheBroadcast() {
         down.add("c5:1");
         drain(2);
         run(TICK_MS);
@@ -153,7 +153,7 @@
     }
 
     @Test
-    void aLostMessageIsSentAgainInTime() {
+    void lostMessageIsResentBeforeTheTimeout() {
         down.addAll(List.of("c2:1", "c3:1", "c4:1", "c5:1"));
         drain(2);
         run(300);
@@ -164,7 +164,7 @@
     }
 
     @Test
-    void disconnectedCallerIsNotAnsweredAndForgotten() {
+    void requestOfADisconnectedCallerIsDroppedWithoutAResponse() {
         down.addAll(List.of("c2:1", "c3:1", "c4:1", "c5:1"));
         DrainAcknowledger.PendingRequest request = drain(1);
         assertTrue(request.isPending());
@@ -177,7 +177,7 @@
     }
 
     @Test
-    void withoutToleratedLossesTheEntryIsAcknowledgedAtOnce() {
+    void withoutToleratedLossesTheEntryIsAcknowledgedImmediately() {
         down.addAll(List.of("c2:1", "c3:1", "c4:1", "c5:1"));
         assertFalse(drain(0).isPending());
         assertEquals(List.of("acknowledged"), responses);
--- a/src/test/java/quartzspan/controlplane/GracefulShutdownPhasesTest.java
+++ b/src/test/java/quartzspan/controlplane/GracefulShutdownPhasesTest.java
@@ -27,14 +27,14 @@
             GRACE_PERIOD_MS);
 
     @Test
-    void neverOverBeforeTheShutdownBegins() {
+    void notCompleteBeforeTheShutdownBegins() {
         handoverComplete = true;
         assertFalse(shutdown.isComplete(1_000_000, true));
         assertFalse(shutdown.hasStarted());
     }
 
     @Test
-    void overOnceHandedOverAndIdle() {
+    void completeOnceHandedOverAndIdle() {
         shutdown.begin(100);
         shutdown.begin(150);
         assertEquals(1, handovers, "once");
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void overBeforeTheGracePeriodEnds() {
+    void completeBeforeTheGracePeriodEnds() {
         shutdown.begin(0);
         assertFalse(shutdown.isComplete(GRACE_PERIOD_MS - GracefulShutdown.KILL_MARGIN_MS - 1, true));
         assertTrue(shutdown.isComplete(GRACE_PERIOD_MS - GracefulShutdown.KILL_MARGIN_MS, false));
--- a/src/test/java/quartzspan/controlplane/HeartbeatHandlerTest.java
+++ b/src/test/java/quartzspan/controlplane/HeartbeatHandlerTest.java
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void drainingEntryHasToBeAcknowledgedByOthers() {
+    void drainingEntryMustBeAcknowledgedByOtherMachines() {
         assertEquals(
                 RegistryEntry.State.DRAINING,
                 handler.onHeartbeat(99_000, "i", body(1, "draining")).state());
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void serverThatReturnsWithOverdueWeightsIsListedAsLoadingFromItsFirstHeartbeatOn() {
+    void serverThatReturnsWithOverdueWeightsIsRegisteredAsLoadingOnItsFirstHeartbeat() {
         deadlines.observe(0, Map.of("m", 2L));
         registry.confirmFresh(2 * APPLY_MS);
         handler.onHeartbeat(APPLY_MS - 1, "i", body(1, "ready"));
--- a/src/test/java/quartzspan/controlplane/LoadTrackerTest.java
+++ b/src/test/java/quartzspan/controlplane/LoadTrackerTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void orderWithoutAnySignOfItIsLostAfterTheRetryInterval() {
+    void unconfirmedOrderMayBeSentAgainAfterTheRetryInterval() {
         loads.onOrdered(0, ID, 2);
         assertTrue(loads.isLoading(RETRY_MS - 1, ID));
         assertFalse(loads.mayOrder(RETRY_MS - 1, ID));
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void serverThatSaysItIsLoadingIsNotOrderedAgain() {
+    void serverThatReportsLoadingIsNotOrderedAgain() {
         loads.onOrdered(0, ID, 2);
         for (long now = 0; now < 10 * RETRY_MS; now += RETRY_MS / 2) {
             loads.onConfirmed(now, ID);
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void reportOfAnIdleServerEndsTheWaitUnlessItMayBeOlderThanTheOrder() {
+    void idleReportAllowsANewOrderUnlessItMayPredateTheOrder() {
         loads.onOrdered(0, ID, 2);
         loads.onIdle(300, ID);
         assertTrue(loads.isLoading(300, ID), "the report may be from before the order");
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void loadIsFinishedByTheWeightsThatWereOrderedOrLaterOnes() {
+    void loadFinishesWithTheOrderedVersionOrALaterOne() {
         loads.onOrdered(0, ID, 3);
         loads.onWeights(500, List.of(server(2)));
         assertTrue(loads.isLoading(500, ID));
--- a/src/test/java/quartzspan/controlplane/RolloutCoordinatorTest.java
+++ b/src/test/java/quartzspan/controlplane/RolloutCoordinatorTest.java
@@ -127,7 +127,7 @@
     }
 
     @Test
-    void nothingIsOrderedWithoutNamedWeights() {
+    void nothingIsOrderedWithoutATargetVersion() {
         targets.clear();
         Machine a = new Machine("a");
         a.becomePrimary(1);
@@ -137,7 +137,7 @@
     }
 
     @Test
-    void partitionedHolderIsSilentForTheLeaseBeforeTheNextOneOrders() {
+    void partitionedHolderStopsOrderingForALeaseBeforeTheNextHolderOrders() {
         Machine a = new Machine("a");
         Machine b = new Machine("b");
         a.becomePrimary(1);
@@ -179,7 +179,7 @@
     }
 
     @Test
-    void thawedHolderSendsNothing() {
+    void holderResumedAfterALongPauseSendsNothing() {
         Machine a = new Machine("a");
         a.becomePrimary(1);
         a.run(200);
@@ -205,7 +205,7 @@
     }
 
     @Test
-    void sameHolderContinuesAtOnceWithAHigherToken() {
+    void reelectedHolderContinuesImmediatelyWithAHigherToken() {
         Machine a = new Machine("a");
         a.becomePrimary(1);
         a.run(200);
@@ -218,7 +218,7 @@
     }
 
     @Test
-    void grantedButUnansweredClaimDoesNotHideThePreviousHolder() {
+    void holderWithAnUnreportedClaimStillWaitsForThePreviousHoldersLease() {
         Machine a = new Machine("a");
         Machine b = new Machine("b");
         b.becomePrimary(1);
@@ -252,7 +252,7 @@
     }
 
     @Test
-    void tokensNeverFallAndAreNeverShared() {
+    void tokensNeverDecreaseAndAreNeverShared() {
         List<Machine> machines = List.of(new Machine("a"), new Machine("b"), new Machine("c"));
         Map<Long, String> owners = new HashMap<>();
         for (int epoch = 1; epoch < 12; epoch++) {
@@ -275,7 +275,7 @@
     }
 
     @Test
-    void weightsNamedLongAfterTheElectionAreOrderedAtOnce() {
+    void targetVersionSetLongAfterTheElectionIsOrderedImmediately() {
         targets.clear();
         holder = "other";
         fencingToken = 7;
@@ -319,7 +319,7 @@
     }
 
     @Test
-    void waitOfANewHolderCountsAsTimeUsed() {
+    void leaseWaitOfANewHolderCountsTowardsTheDeadline() {
         holder = "other";
         fencingToken = 7;
         Machine a = new Machine("a");
@@ -329,7 +329,7 @@
     }
 
     @Test
-    void serversAreTakenOutOfServiceBeforeTheirWeightsAreOverdueAlsoWhereNoOrderMayBeGiven() {
+    void serversAreWithdrawnBeforeTheirWeightsAreOverdueEvenWithoutALease() {
         Machine a = new Machine("a");
         a.reportsClaims = false;
         a.becomePrimary(1);
--- a/src/test/java/quartzspan/controlplane/RolloutDeadlineTest.java
+++ b/src/test/java/quartzspan/controlplane/RolloutDeadlineTest.java
@@ -15,7 +15,7 @@
     private static final int SEEDS = 300;
 
     @Test
-    void serverThatEarlierRolloutsDidNotReachIsOrderedWithinTheTimeOfItsOldestNaming() {
+    void serverMissedByEarlierRolloutsIsOrderedBeforeItsEarliestDeadline() {
         SimulatedRollout rollout = new SimulatedRollout();
         for (int i = 0; i < SERVERS; i++) {
             rollout.add(new LoadingServer("i" + i, LOAD_MS));
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void everyServerIsOrderedInTimeWhateverIsNamedAndHoweverLongLoadsTake() {
+    void everyServerIsOrderedInTimeForAnyTargetVersionsAndLoadDurations() {
         for (int seed = 0; seed < SEEDS; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             SimulatedRollout rollout = new SimulatedRollout();
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void serverThatReturnsWithOverdueWeightsIsOrderedAtOnce() {
+    void serverThatReturnsWithOverdueWeightsIsOrderedImmediately() {
         SimulatedRollout rollout = new SimulatedRollout();
         for (int i = 0; i < SERVERS; i++) {
             rollout.add(new LoadingServer("i" + i, SimulatedRollout.APPLY_MS));
--- a/src/test/java/quartzspan/controlplane/RolloutPlannerTest.java
+++ b/src/test/java/quartzspan/controlplane/RolloutPlannerTest.java
@@ -64,13 +64,13 @@
     }
 
     @Test
-    void fewLoadsAtOnceWhileTheyAreQuick() {
+    void fewConcurrentLoadsWhileLoadsAreFast() {
         assertTrue(timeToFinishMs(8, 1_000) <= 5_000);
         assertEquals(2, maxConcurrentLoads);
     }
 
     @Test
-    void moreLoadsAtOnceWhereRunsDelayLoads() {
+    void moreConcurrentLoadsWhereRequestsDelayLoads() {
         for (int servers : new int[] {6, 8, 63, 78}) {
             loaded.clear();
             loadedAtMs.clear();
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void someServersServeUntilTheOthersAreAboutToBeOverdue() {
+    void someServersKeepServingUntilTheDeadlineIsNear() {
         SimulatedRollout rollout = new SimulatedRollout();
         for (int i = 0; i < 10; i++) {
             rollout.add(new SimulatedRollout.LoadingServer("i" + i, 9_000));
@@ -91,13 +91,13 @@
     }
 
     @Test
-    void someServersServeHoweverLateTheRolloutIsWhereLoadsAreOnlySlow() {
+    void someServersKeepServingWhereSlowLoadsDelayTheRollout() {
         timeToFinishMs(10, 3_300);
         assertTrue(maxConcurrentLoads <= 6, maxConcurrentLoads + " at once");
     }
 
     @Test
-    void anotherVersionHasItsOwnSchedule() {
+    void laterTargetVersionHasItsOwnSchedule() {
         timeToFinishMs(8, 1_000);
         assertEquals(2, planner.dueOrders(60_000, Map.of(MODEL, 3L), servers(8)).size());
     }
--- a/src/test/java/quartzspan/controlplane/ServerClientTest.java
+++ b/src/test/java/quartzspan/controlplane/ServerClientTest.java
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void abandonedOrderIsDiscardedFromTheConnection() throws Exception {
+    void timedOutOrderIsDiscardedFromTheConnection() throws Exception {
         CompletableFuture<Integer> result = post(() -> true);
         try (Socket accepted = serverSocket.accept()) {
             assertEquals(ServerClient.NO_RESPONSE, result.get(TIMEOUT_S, TimeUnit.SECONDS), "its time runs out");
@@ -130,7 +130,7 @@
 
     /** A server answers a question twice: the second answer is not taken for that of the order which follows. */
     @Test
-    void extraResponseOnAPooledConnectionIsNotTheOrders() throws Exception {
+    void extraResponseOnAPooledConnectionIsNotTakenForThatOfTheOrder() throws Exception {
         String answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}";
         CompletableFuture<Integer> reported = new CompletableFuture<>();
         loop.execute(
