--- a/src/main/java/quartzspan/controlplane/ControlPlane.java
+++ b/src/main/java/quartzspan/controlplane/ControlPlane.java
@@ -35,8 +35,9 @@
 import quartzspan.transport.TcpTransport;
 
 /**
- * The process of a core machine: replicates the control state with the other core machines, answers servers and operators, and
- * keeps the proxies up to date. One event loop owns all of its state; only the disk has a thread of its own.
+ * The process of a core machine: replicates the control state with the other core machines, serves the APIs of servers and
+ * operators, and sends updates to the proxies. One event loop owns all of its state; only disk I/O runs on a thread of its
+ * own.
  */
 public final class ControlPlane implements HttpServer.RequestHandler {
     private static final Logger LOG = LoggerFactory.getLogger(ControlPlane.class);
@@ -45,14 +46,14 @@
     private static final int MAX_BODY_BYTES = 12 * 1024 * 1024;
     private static final int CLIENT_TIMEOUT_MS = 30_000;
     private static final int MIN_CLIENT_CONNECTIONS = 64;
-    /** With an older state no server or proxy may be counted as lost. */
+    /** No server or proxy is declared lost while the local state is older than this. */
     private static final long MAX_STALENESS_MS = 1_000;
 
     private static final int SERVER_CONNECT_TIMEOUT_US = 500_000;
     private static final int SERVER_IDLE_TIMEOUT_US = 2_000_000;
     private static final int MAX_SERVER_CONNECTIONS = 256;
     private static final int INTERNAL_IDLE_TIMEOUT_MS = 10_000;
-    /** A core machine that was not heard for so long counts as down. */
+    /** A core machine from which no message has arrived for this long counts as unreachable. */
     private static final long CORE_TIMEOUT_MS = 1_500;
 
     private static final long SHUTDOWN_TIMEOUT_MS = 200;
@@ -79,7 +80,7 @@
     private final PrefixCacheIndexer prefixCacheIndexer;
     private final GracefulShutdown shutdown;
     private final CountDownLatch stopped = new CountDownLatch(1);
-    /** When other core machines were last heard. */
+    /** Time of the last message of each other core machine, by internal address. */
     private final Map<String, Long> lastCoreMessageAtMs = new HashMap<>();
 
     private ControlPlane(Settings settings, EventLoopGroup group, EventLoop loop) {
@@ -130,7 +131,10 @@
                 .addRoute("GET", "/quartzspan/status", this::status);
     }
 
-    /** Internal addresses of the seeds: the settings give their control_plane addresses, and ports are alike on all machines. */
+    /**
+     * Internal addresses of the seeds. The settings list their control_plane addresses; the internal port is the same on all
+     * machines.
+     */
     private static List<String> internalSeeds(Settings settings) {
         return settings.seeds().stream()
                 .map(seed -> seed.getHostString() + ':' + settings.internalPort())
@@ -148,7 +152,7 @@
     /**
      * Starts a core machine; returns once it listens.
      *
-     * @throws FleetException if an address is in use or the store refuses
+     * @throws FleetException if an address is in use or the store can't be opened
      */
     public static ControlPlane start(Settings settings) throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -180,7 +184,10 @@
                 new PeriodicTask("control plane tick", this::tick), 1, TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Hands over, answering or redirecting requests meanwhile, and ends: what was acknowledged is on disk. */
+    /**
+     * Hands over this machine's role, answers or redirects requests meanwhile, and ends. Acknowledged changes are on disk by
+     * then.
+     */
     public void stop() {
         loop.execute(() -> shutdown.begin(nowMs()));
         try {
@@ -217,8 +224,6 @@
         RequestRouter.answer(client, HttpResponseStatus.OK, json);
     }
 
-    // ---- the event loop ------------------------------------------------------------------------------
-
     private void tick() {
         long now = nowMs();
         replicaHost.onTick(now);
@@ -237,7 +242,10 @@
         }
     }
 
-    /** When the state here was last surely the newest; a primary has been confirmed since its last tick, perhaps. */
+    /**
+     * Time at which the local state was last known to be the latest. On a primary, a quorum may have confirmed it since the
+     * last tick.
+     */
     private long freshAtMs() {
         if (replica.isPrimary()) {
             registry.confirmFresh(replica.confirmedAtMs());
@@ -245,7 +253,7 @@
         return registry.freshAt();
     }
 
-    /** Reports to the other core machines which servers and proxies were heard here. */
+    /** Reports to the other core machines which servers and proxies have sent messages to this one. */
     private void reportHeartbeats(long now) {
         List<RegistryEntry> unreported = heartbeats.takeUnreported(now);
         if (!unreported.isEmpty()) {
@@ -310,13 +318,16 @@
         }
     }
 
-    /** Number of other core machines that must have the entry of a draining server: as many as may be lost at once. */
+    /**
+     * Number of other core machines that must have the entry of a draining server: the number of machines that may be lost at
+     * once.
+     */
     private int requiredDrainAcks() {
         int others = replica.membership().voters().size() - 1;
         return others < 0 ? settings.losses() : Math.min(settings.losses(), others);
     }
 
-    /** Hands over this machine's role in the control state when the process ends as planned. */
+    /** Hands over this machine's role in the control state during a graceful shutdown. */
     private final class ReplicaHandover implements GracefulShutdown.HandoverParticipant {
         @Override
         public void beginHandover(long now) {
--- a/src/main/java/quartzspan/controlplane/DrainAcknowledger.java
+++ b/src/main/java/quartzspan/controlplane/DrainAcknowledger.java
@@ -10,13 +10,14 @@
 import quartzspan.registry.RegistryEntry;
 
 /**
- * Acknowledges the drain announcements of servers ({@code draining}, {@code Deregister}). After the acknowledgement all proxies
- * must learn of it even if as many core machines as may be lost at once are lost right then, the acknowledging one among them.
- * So a request is acknowledged only when that many other core machines have the entry; else it is refused in time for the
- * server to call another machine. No clock, no I/O; times are milliseconds of a steady clock.
+ * Acknowledges the requests by which servers announce that they drain ({@code draining}, {@code Deregister}). After the
+ * acknowledgement all proxies must be informed even if as many core machines as may be lost at once are lost immediately,
+ * including the acknowledging one. A request is therefore acknowledged only when that many other core machines have the
+ * entry; otherwise it is refused early enough for the server to call another machine. No clock, no I/O; times are
+ * milliseconds of a steady clock.
  */
 final class DrainAcknowledger {
-    /** A server waits one second for the response; a refusal has to reach it before. */
+    /** A server waits one second for the response; a refusal must reach it before that. */
     static final long ACKNOWLEDGEMENT_TIMEOUT_MS = 800;
 
     /** The server that waits for the response. */
@@ -26,7 +27,7 @@
         void refuse(FleetException refusal);
     }
 
-    /** One request that waits; {@link #cancel} ends it without a response. */
+    /** A request that waits for acknowledgements; {@link #cancel} ends it without a response. */
     final class PendingRequest {
         private final Caller caller;
         private final long deadlineMs;
@@ -37,12 +38,12 @@
             this.deadlineMs = deadlineMs;
         }
 
-        /** Whether the caller still waits. */
+        /** Whether the caller is still waiting. */
         boolean isPending() {
             return pending.contains(this);
         }
 
-        /** The caller has disconnected. */
+        /** To be called when the caller has disconnected. */
         void cancel() {
             if (pending.remove(this)) {
                 gossip.cancelBroadcast(broadcastId);
@@ -58,7 +59,7 @@
     }
 
     /**
-     * Broadcasts an entry, and acknowledges it once enough core machines have it.
+     * Broadcasts an entry, and acknowledges the request once enough core machines have the entry.
      *
      * @param requiredAcks number of other core machines that must have it
      */
@@ -78,7 +79,7 @@
         return request;
     }
 
-    /** Refuses requests that have timed out; to be called every 50 ms or so. */
+    /** Refuses requests that have timed out; to be called about every 50 ms. */
     void onTick(long now) {
         for (Iterator<PendingRequest> requests = pending.iterator(); requests.hasNext(); ) {
             PendingRequest request = requests.next();
@@ -93,7 +94,7 @@
         }
     }
 
-    /** Whether no request waits. */
+    /** Whether no request is waiting. */
     boolean isIdle() {
         return pending.isEmpty();
     }
--- a/src/main/java/quartzspan/controlplane/GracefulShutdown.java
+++ b/src/main/java/quartzspan/controlplane/GracefulShutdown.java
@@ -1,19 +1,20 @@
 package quartzspan.controlplane;
 
 /**
- * The planned end of a core machine: it hands over its role in the control state, and answers or redirects requests until that
- * is complete or the platform's grace period is nearly over. No clock, no I/O; times are milliseconds of a steady clock.
+ * The graceful shutdown of a core machine: it hands over its role in the control state, and answers or redirects requests
+ * until the handover is complete or the platform's grace period is nearly over. No clock, no I/O; times are milliseconds of a
+ * steady clock.
  */
 final class GracefulShutdown {
-    /** How long before the platform kills the process it ends by itself. */
+    /** The process ends by itself this long before the platform kills it. */
     static final long KILL_MARGIN_MS = 700;
 
-    /** Whoever has a role to hand over. */
+    /** A component that has a role to hand over. */
     interface HandoverParticipant {
-        /** Begins to hand over; later calls change nothing. */
+        /** Begins the handover; later calls have no effect. */
         void beginHandover(long now);
 
-        /** Whether the other machines can do without this one. */
+        /** Whether the other machines no longer need this one. */
         boolean isHandoverComplete(long now);
     }
 
@@ -27,7 +28,7 @@
         this.gracePeriodMs = gracePeriodMs;
     }
 
-    /** The process was asked to end. */
+    /** Begins the shutdown; later calls have no effect. */
     void begin(long now) {
         if (!started) {
             started = true;
@@ -36,7 +37,7 @@
         }
     }
 
-    /** Whether the process was asked to end. */
+    /** Whether the shutdown has begun. */
     boolean hasStarted() {
         return started;
     }
@@ -44,7 +45,7 @@
     /**
      * Whether the process may end now.
      *
-     * @param idle whether no request waits for its answer
+     * @param idle whether no request waits for its response
      */
     boolean isComplete(long now, boolean idle) {
         return started
--- a/src/main/java/quartzspan/controlplane/HeartbeatHandler.java
+++ b/src/main/java/quartzspan/controlplane/HeartbeatHandler.java
@@ -14,9 +14,9 @@
 /** Applies the heartbeats and deregistrations of servers to the registry. No clock, no I/O; times are milliseconds of a steady clock. */
 final class HeartbeatHandler {
     /**
-     * Disconnected from the rest of the core for longer than this, a machine applies heartbeats but refuses them: the other
-     * machines would count a server as lost that is heard here alone. Together with two heartbeats it has to stay below the
-     * timeout after which they do.
+     * After being disconnected from the rest of the core for longer than this, a machine applies heartbeats but refuses them:
+     * the other machines would declare a server lost that sends its heartbeats only to this one. This time plus two heartbeat
+     * intervals must be shorter than the timeout after which they do.
      */
     static final long MAX_STALENESS_MS = 1_200;
 
@@ -26,8 +26,7 @@
     private final WeightsDeadlines deadlines;
     private final LongSupplier freshAtMs;
 
-    /** @param freshAtMs when the state at this machine was last surely the newest */
-    /** @param freshAtMs when the state at this machine was last surely the newest */
+    /** @param freshAtMs time at which the local state was last known to be the latest */
     HeartbeatHandler(
             Registry registry,
             HeartbeatTracker heartbeats,
@@ -42,7 +41,7 @@
     }
 
     /**
-     * A heartbeat.
+     * Applies a heartbeat.
      *
      * @return the entry that other core machines must have before the heartbeat is acknowledged; null if none
      * @throws FleetException if the server has to call another machine
@@ -71,13 +70,16 @@
         return null;
     }
 
-    /** A deregistration; returns the entry that other core machines must have before it is acknowledged. */
+    /** Applies a deregistration; returns the entry that other core machines must have before it is acknowledged. */
     RegistryEntry onDeregistration(long now, String id) {
         RegistryEntry update = heartbeats.onDeregistered(now, id);
         return update != null ? update : registry.entry(RegistryEntry.Subject.SERVER, id);
     }
 
-    /** The server that a heartbeat describes; one with overdue weights counts as loading, so that it gets no requests. */
+    /**
+     * The server that a heartbeat describes. A server with overdue weights is registered as loading, so that it gets no
+     * requests.
+     */
     private Server parseServer(long now, String id, JsonObject json) {
         String model = "";
         long weights = 0;
--- a/src/main/java/quartzspan/controlplane/LoadTracker.java
+++ b/src/main/java/quartzspan/controlplane/LoadTracker.java
@@ -6,25 +6,25 @@
 import java.util.Map;
 import quartzspan.registry.Server;
 
-/** The loads of weights that servers were ordered to begin and have not finished. No clock, no I/O. */
+/** Tracks the loads of weights that servers were ordered to begin and have not finished. No clock, no I/O. */
 final class LoadTracker {
-    /** Without a sign of a load for so long the order counts as lost. */
+    /** An order counts as lost if its load is not confirmed for this long. */
     static final long RETRY_INTERVAL_MS = 2_500;
 
     private static final long REFUSED_RETRY_INTERVAL_MS = 400;
-    /** What a server reports may be older than an order that it has taken since. */
+    /** A report may predate an order that the server has accepted since, if it arrives within this time of the order. */
     private static final long REPORT_LAG_MS = 1_200;
 
     /**
      * A load.
      *
-     * @param orderedAtMs when it was ordered last
-     * @param retryAtMs when it counts as lost, unless there is another sign of it
-     * @param refused whether the server did not take the order: it serves on
+     * @param orderedAtMs when it was last ordered
+     * @param retryAtMs when the order counts as lost, unless the load is confirmed before
+     * @param refused whether the server did not accept the order, and so keeps serving
      */
     private record Load(long version, long firstOrderedAtMs, long orderedAtMs, long retryAtMs, boolean refused) {}
 
-    /** A load that has ended, {@code durationMs} after its first order. */
+    /** A load that has finished, {@code durationMs} after its first order. */
     record FinishedLoad(Server server, long durationMs) {}
 
     private final Map<String, Load> loads = new HashMap<>();
@@ -36,7 +36,7 @@
         loads.put(server, new Load(version, firstOrderedAtMs, now, now + RETRY_INTERVAL_MS, false));
     }
 
-    /** The server has said that it is loading. */
+    /** The server has reported that it is loading. */
     void onConfirmed(long now, String server) {
         loads.computeIfPresent(
                 server,
@@ -44,7 +44,7 @@
                         load.version(), load.firstOrderedAtMs(), load.orderedAtMs(), now + RETRY_INTERVAL_MS, false));
     }
 
-    /** The server did not take the order. */
+    /** The server did not accept the order. */
     void onRefused(long now, String server) {
         loads.computeIfPresent(
                 server,
@@ -56,7 +56,7 @@
                         true));
     }
 
-    /** The server has reported that it is not loading: if that is not older than the order, the order was lost. */
+    /** The server has reported that it is not loading: unless the report may predate the order, the order was lost. */
     void onIdle(long now, String server) {
         Load load = loads.get(server);
         if (load != null && now - load.orderedAtMs() >= REPORT_LAG_MS && now < load.retryAtMs()) {
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Takes note of the weights that servers have. */
+    /** Finishes the loads of servers that have the ordered version or a later one. */
     void onWeights(long now, List<Server> servers) {
         for (Server server : servers) {
             Load load = loads.get(server.id());
@@ -81,7 +81,7 @@
         return load != null && !load.refused() && now < load.retryAtMs();
     }
 
-    /** Whether a server may be ordered. */
+    /** Whether a server may be sent an order. */
     boolean mayOrder(long now, String server) {
         Load load = loads.get(server);
         return load == null || now >= load.retryAtMs();
@@ -92,14 +92,14 @@
         return loads.keySet().stream().filter(server -> isLoading(now, server)).toList();
     }
 
-    /** The loads that have ended since the last call. */
+    /** The loads that have finished since the last call. */
     List<FinishedLoad> takeFinished() {
         List<FinishedLoad> taken = List.copyOf(finished);
         finished.clear();
         return taken;
     }
 
-    /** Forgets the loads of servers that are gone. */
+    /** Drops the loads of all but these servers. */
     void retainServers(List<String> servers) {
         loads.keySet().retainAll(servers);
     }
--- a/src/main/java/quartzspan/controlplane/Main.java
+++ b/src/main/java/quartzspan/controlplane/Main.java
@@ -5,13 +5,13 @@
 import quartzspan.common.Settings;
 import sun.misc.Signal;
 
-/** The program of a core machine. */
+/** Entry point of a core machine. */
 public final class Main {
     private static final Logger LOG = LoggerFactory.getLogger(Main.class);
 
     private Main() {}
 
-    /** Takes no arguments: all comes from the settings file. */
+    /** Takes no arguments: all settings come from the settings file. */
     public static void main(String[] args) {
         try {
             run(Settings.load());
@@ -20,9 +20,9 @@
         }
     }
 
-    /** Starts the core machine and ties it to the process's signals; returns once it listens. */
+    /** Starts the core machine, and installs its signal handler and shutdown hook; returns once it listens. */
     public static void run(Settings settings) throws Exception {
-        // Nothing of a core machine's settings may change while it runs.
+        // SIGHUP is ignored: a core machine's settings can't be reloaded while it runs.
         Signal.handle(new Signal("HUP"), signal -> {});
         ControlPlane controlPlane = ControlPlane.start(settings);
         Runtime.getRuntime().addShutdownHook(new Thread(controlPlane::stop));
--- a/src/main/java/quartzspan/controlplane/OperatorApi.java
+++ b/src/main/java/quartzspan/controlplane/OperatorApi.java
@@ -16,8 +16,8 @@
 import quartzspan.replication.Replica;
 
 /**
- * The requests of operators. Only the primary answers them, and only what a quorum has confirmed: a refusal that depends on the
- * state as much as an acknowledgement. Any other machine redirects the caller to the primary, or refuses with a remedy.
+ * Handles the requests of operators. Only the primary answers them, and only with what a quorum has confirmed; that includes
+ * refusals that depend on the state. Any other machine redirects the caller to the primary, or refuses with a remedy.
  */
 final class OperatorApi {
     private final LongSupplier clockMs;
@@ -69,7 +69,7 @@
         }
     }
 
-    /** Passes the replica's answer on to a client, unless that has disconnected by then. */
+    /** Sends the replica's result to a client, unless it has disconnected in the meantime. */
     private static PendingReplicaRequests.Callback respondTo(
             ClientConnection client, Consumer<ControlState> onGranted) {
         AtomicBoolean disconnected = new AtomicBoolean();
@@ -86,7 +86,7 @@
         };
     }
 
-    /** Redirects the caller to the primary, if that is another machine; whether it did. */
+    /** Redirects the caller if another machine is primary; returns whether it did. */
     private boolean redirectToPrimary(ClientConnection client, HttpRequest request) {
         Replica replica = replicaHost.replica();
         if (replica.isPrimary()) {
--- a/src/main/java/quartzspan/controlplane/PendingReplicaRequests.java
+++ b/src/main/java/quartzspan/controlplane/PendingReplicaRequests.java
@@ -5,9 +5,9 @@
 import quartzspan.common.FleetException;
 import quartzspan.replication.ControlState;
 
-/** The requests to the replica that wait for its answer, by number. */
+/** The requests to the replica that wait for its result, by ID. */
 final class PendingReplicaRequests {
-    /** Called once with the answer; {@code refusal} is null if the request was granted. */
+    /** Called once with the result; {@code refusal} is null if the request was granted. */
     interface Callback {
         void onComplete(FleetException refusal, ControlState state);
     }
@@ -15,13 +15,13 @@
     private final Map<Long, Callback> callbacks = new HashMap<>();
     private long lastRequestId;
 
-    /** Registers a request; returns its number. */
+    /** Registers a request; returns its ID. */
     long add(Callback callback) {
         callbacks.put(++lastRequestId, callback);
         return lastRequestId;
     }
 
-    /** The replica has answered a request. */
+    /** The replica has completed a request. */
     void complete(long requestId, FleetException refusal, ControlState state) {
         Callback callback = callbacks.remove(requestId);
         if (callback != null) {
--- a/src/main/java/quartzspan/controlplane/PrefixCacheIndexer.java
+++ b/src/main/java/quartzspan/controlplane/PrefixCacheIndexer.java
@@ -23,14 +23,14 @@
 import quartzspan.transport.Transport;
 
 /**
- * Follows what servers and stores keep. Each is followed by one core machine of those that are heard: all work out the same
- * one. Two at once do no harm.
+ * Keeps the index of the blocks that servers and stores have cached. Each of them is polled by one of the reachable core
+ * machines, which all machines determine in the same way; polling by two at once does no harm.
  */
 final class PrefixCacheIndexer {
     private static final long RUN_INTERVAL_MS = 100;
     private static final String LONG_POLL_WAIT_MS = "1000";
 
-    /** Reads an answer as the reports it makes. */
+    /** Converts a response to updates of the index. */
     private interface ResponseParser {
         List<PrefixCacheUpdate> parse(JsonObject response);
     }
@@ -43,7 +43,7 @@
     private final ServerClient servers;
     private final PrefixCacheIndex prefixCacheIndex = new PrefixCacheIndex();
     private final Map<String, KvEventReader> readers = new HashMap<>();
-    /** Reports to be sent with the next tick, by whom they go to: those to one process cost it one read. */
+    /** Updates to be sent with the next run, by recipient: those to one process cost it a single read. */
     private final Map<String, List<PrefixCacheUpdate>> pendingUpdates = new LinkedHashMap<>();
 
     private long nextRunAtMs;
@@ -63,7 +63,7 @@
         this.servers = servers;
     }
 
-    /** @param reachableCores the other core machines that were heard of late */
+    /** @param reachableCores the other core machines that are currently reachable */
     void onTick(long now, List<String> reachableCores) {
         if (now < nextRunAtMs) {
             return;
@@ -88,7 +88,7 @@
         return Registry.rendezvousSelect(server, cores, 1).get(0);
     }
 
-    /** The servers with a model, and the stores. */
+    /** The servers that have a model, and the stores. */
     private Map<String, Server> sources() {
         Map<String, Server> all = new HashMap<>();
         for (Server server : registry.servers()) {
@@ -148,7 +148,10 @@
         }
     }
 
-    /** An answer that can't be read counts as a failure: the follower must hear of every call's end, or it asks no more. */
+    /**
+     * Sends a request. An unreadable response counts as a failure: the reader must be notified of the end of each call, or it
+     * requests no more.
+     */
     private void call(
             Server source, KvEventReader reader, String path, Map<String, String> headers, ResponseParser parser) {
         servers.get(source, path, headers, (status, body) -> publish(parseUpdates(reader, status, body, parser)));
@@ -165,7 +168,7 @@
         }
     }
 
-    /** Blocks as [salt, ID, tokens, model], after {@code skip} other fields. */
+    /** Parses blocks of the form [salt, ID, tokens, model], after {@code skip} other fields. */
     private static List<KvEventReader.Event> blocks(JsonArray all, int skip) {
         List<KvEventReader.Event> blocks = new ArrayList<>();
         for (JsonArray block : all.getValuesAs(JsonArray.class)) {
@@ -191,7 +194,7 @@
         pendingUpdates.computeIfAbsent(to, other -> new ArrayList<>()).add(update);
     }
 
-    /** Another process's report or question. */
+    /** Handles an update or a snapshot request of another process. */
     void onUpdate(String from, boolean fromCore, PrefixCacheUpdate update) {
         if (update.kind() == PrefixCacheUpdate.Kind.SNAPSHOT_REQUEST) {
             PrefixCacheUpdate snapshot = prefixCacheIndex.snapshot(update.server());
--- a/src/main/java/quartzspan/controlplane/ReplicaHost.java
+++ b/src/main/java/quartzspan/controlplane/ReplicaHost.java
@@ -21,13 +21,13 @@
 import quartzspan.transport.Transport;
 
 /**
- * Runs the replica of the control state: gives it the network, a disk with a thread of its own, and the requests that wait
- * for its answer. All calls come on the event loop.
+ * Runs the replica of the control state: connects it to the network, to a disk with a thread of its own, and to the requests
+ * that wait for its result. All calls are made on the event loop.
  */
 final class ReplicaHost {
     private static final Logger LOG = LoggerFactory.getLogger(ReplicaHost.class);
 
-    /** Called with each state that is committed. */
+    /** Called with each committed state. */
     interface CommitListener {
         void onCommitted(long index, ControlState state);
     }
@@ -43,8 +43,8 @@
     private ReplicaRole lastRole;
 
     /**
-     * @param self own internal address
-     * @param seeds internal addresses of the founding core machines
+     * @param self internal address of this machine
+     * @param seeds internal addresses of the initial core machines
      */
     ReplicaHost(
             Settings settings,
@@ -71,7 +71,10 @@
                 new ReplicaOutput());
     }
 
-    /** Damage is as good as an empty disk: the other machines know what this one has promised. */
+    /**
+     * Opens the store. A damaged store is discarded and counts as empty: the other machines know what this one has
+     * promised.
+     */
     private static List<byte[]> openStore(ReplicaStore store) {
         try {
             return store.open();
@@ -89,17 +92,17 @@
         return replica;
     }
 
-    /** Asks for a change of the control state; the callback gets the answer. */
+    /** Submits a change of the control state; the callback receives the result. */
     void submit(Change change, PendingReplicaRequests.Callback callback) {
         replica.submit(clockMs.getAsLong(), pending.add(callback), change);
     }
 
-    /** Asks for the newest control state; the callback gets the answer once a quorum has confirmed it. */
+    /** Reads the latest control state; the callback receives it once a quorum has confirmed it. */
     void read(PendingReplicaRequests.Callback callback) {
         replica.read(clockMs.getAsLong(), pending.add(callback));
     }
 
-    /** Whether no request waits for its answer. */
+    /** Whether no request waits for its result. */
     boolean isIdle() {
         return pending.isEmpty();
     }
@@ -123,7 +126,7 @@
         }
     }
 
-    /** Stops the disk's thread; what was acknowledged is on the disk. */
+    /** Stops the disk thread; acknowledged changes are already on disk. */
     void close() {
         diskThread.shutdownNow();
     }
--- a/src/main/java/quartzspan/controlplane/RolloutActions.java
+++ b/src/main/java/quartzspan/controlplane/RolloutActions.java
@@ -21,7 +21,7 @@
 import quartzspan.replication.Epoch;
 import quartzspan.replication.Replica;
 
-/** Carries out the weights rollout: claims it in the control state, calls servers, and updates the registry. */
+/** Carries out the weights rollout: claims it in the control state, sends requests to servers, and updates the registry. */
 final class RolloutActions implements RolloutCoordinator.Actions {
     private static final Logger LOG = LoggerFactory.getLogger(RolloutActions.class);
 
@@ -34,9 +34,9 @@
     private final ServerClient serverClient;
     private final WeightsDeadlines deadlines;
     private final RolloutCoordinator coordinator;
-    /** Named weights that were logged, by model. */
+    /** Target versions that have been logged, by model. */
     private final Map<String, Long> loggedTargets = new HashMap<>();
-    /** The progress that was last logged, by model. */
+    /** The last logged progress, by model. */
     private final Map<String, RolloutPlanner.Status> loggedProgress = new HashMap<>();
 
     RolloutActions(
--- a/src/main/java/quartzspan/controlplane/RolloutCoordinator.java
+++ b/src/main/java/quartzspan/controlplane/RolloutCoordinator.java
@@ -12,23 +12,24 @@
 import quartzspan.replication.Epoch;
 
 /**
- * The rollout of named weights to servers: a singleton role that one machine has at a time, the primary, under a lease with a
- * fencing token.
+ * The rollout of target versions of weights to servers: a singleton role that one machine holds at a time, the
+ * primary, under a lease with a fencing token.
  *
- * <p>Servers need not check fencing tokens, so the holder before must have surely stopped when the next one begins. A holder
- * sends an order only within {@link #CONFIRMATION_VALID_MS} of the sending of a heartbeat that a majority acknowledged, which is
- * asked right before the bytes go out. Whoever becomes primary was granted its epoch by a majority after that, so all
- * earlier holders are silent {@link #CONFIRMATION_VALID_MS} after its leadership began, and it waits for the lease from there on. The
- * fencing token is the fence of the claim in the control state: it is this claim's alone, and higher than all before it.
+ * <p>Servers need not check fencing tokens, so the previous holder must have stopped when the next one begins. A
+ * holder sends an order only within {@link #CONFIRMATION_VALID_MS} of sending a heartbeat that a majority
+ * acknowledged; this is checked immediately before the bytes are written. A new primary was granted its epoch by a
+ * majority after that heartbeat, so all earlier holders have stopped sending orders {@link #CONFIRMATION_VALID_MS}
+ * after its leadership began, and it waits for the lease from then on. The fencing token is assigned to a claim in
+ * the control state: each claim has its own, higher than those of all earlier claims.
  *
  * <p>No clock, no I/O; times are milliseconds of a steady clock.
  */
 final class RolloutCoordinator {
-    /** An order is sent only by a primary whose place was confirmed within this. */
+    /** An order is sent only by a primary whose leadership was confirmed within this time. */
     static final long CONFIRMATION_VALID_MS = 450;
-    /** Longest time for which an order may be on its way: after that it is taken back from its connection. */
+    /** Longest time for which an order may be in flight; after that it is discarded from its connection. */
     static final long ORDER_TIMEOUT_MS = 550;
-    /** Between telling proxies that a server will load weights and ordering it to. */
+    /** Time between announcing to the proxies that a server will load weights and sending the order to it. */
     static final long ANNOUNCE_LEAD_MS = 60;
 
     static final int STATUS_OK = 200;
@@ -41,38 +42,41 @@
     private static final long REPORT_EXPIRY_MS = 10_000;
 
     /**
-     * This machine's place as primary.
+     * This machine's leadership as primary.
      *
-     * @param epoch names the term; each has one primary
+     * @param epoch identifies the term; each term has one primary
      * @param confirmedAtMs when the last heartbeat that a majority acknowledged was sent
      * @param holder the replica that last claimed the rollout; empty if none ever did
      * @param fencingToken fencing token of that claim
-     * @param targets versions of weights that were named, by model
+     * @param targets target versions of weights, by model
      */
     record Leadership(Epoch epoch, long confirmedAtMs, String holder, long fencingToken, Map<String, Long> targets) {}
 
-    /** An order to one server. */
+    /** An order to one server to load a version. */
     record Order(Server server, String model, long version, long fencingToken) {}
 
-    /** The actions of the rollout. */
+    /** The actions that the coordinator takes on the control state, proxies and servers. */
     interface Actions {
         /** Claims the rollout in the control state; {@link RolloutCoordinator#onClaimResult} reports the outcome. */
         void claim(Epoch leadership);
 
-        /** Announces to proxies that a server is about to load weights: they send it no requests for other versions. */
+        /**
+         * Announces to the proxies that a server is about to load weights, so that they send it no requests for other
+         * versions.
+         */
         void announce(Server server, long version);
 
         /** Sends an order, if {@link RolloutCoordinator#mayOrder} permits it right before the write; {@link
          * RolloutCoordinator#onResponse} reports the outcome. */
         void sendOrder(Order order);
 
-        /** Asks a server which weights it has. */
+        /** Requests a server's report on its weights. */
         void requestReport(Server server);
 
-        /** How far a rollout is; called at each tick of the lease holder. */
+        /** Reports the progress of a rollout; called at each tick of the lease holder. */
         void onProgress(RolloutPlanner.Status status);
 
-        /** A server has the weights that it was ordered to load. */
+        /** A server has finished loading the weights that it was ordered to load. */
         void onLoaded(LoadTracker.FinishedLoad load);
     }
 
@@ -92,12 +96,12 @@
     private boolean claimGranted;
     private long fencingToken;
     private long leaseStartsAtMs;
-    /** Fence of the claim under which this process was last free to give orders. */
+    /** Fencing token of the last claim under which this process held the lease. */
     private long lastActiveToken = -1;
 
     /**
      * @param planner plans which server is ordered when
-     * @param currentLeadership this machine's leadership at the moment; empty while it is not primary
+     * @param currentLeadership this machine's current leadership; empty while it is not primary
      */
     RolloutCoordinator(
             String self,
@@ -113,9 +117,9 @@
     }
 
     /**
-     * To be called every 50 ms or so.
+     * To be called about every 50 ms.
      *
-     * @param knownServers the servers known at present
+     * @param knownServers the servers that are currently known
      */
     void onTick(long now, Supplier<List<Server>> knownServers) {
         Optional<Leadership> leadership = currentLeadership.get();
@@ -173,7 +177,7 @@
         actions.claim(leadership.epoch());
     }
 
-    /** What became of the claim made in a term; {@code claimFence} is its fence if it was granted. */
+    /** The claim made in a term has been granted or not; {@code claimToken} is its fencing token if it was granted. */
     void onClaimResult(Epoch leadership, boolean granted, long claimToken) {
         if (!leadership.equals(epoch) || !claiming) {
             return;
@@ -190,7 +194,7 @@
                 && now - leadership.confirmedAtMs() <= CONFIRMATION_VALID_MS;
     }
 
-    /** Whether an order may go out at this very moment. */
+    /** Whether an order may be sent at this moment. */
     boolean mayOrder(long now, Order order) {
         Optional<Leadership> leadership = currentLeadership.get();
         return leadership.isPresent() && order.fencingToken() == fencingToken && holdsLease(now, leadership.get());
@@ -206,7 +210,9 @@
         }
     }
 
-    /** Takes servers whose weights are about to be overdue out of service; that needs no lease, for it orders nothing. */
+    /**
+     * Takes servers whose weights are about to be overdue out of service. This needs no lease, because it sends no orders.
+     */
     private void withdraw(long now, Leadership leadership, List<Server> servers) {
         for (RolloutPlanner.Order late : planner.dueWithdrawals(now, leadership.targets(), servers)) {
             actions.announce(late.server(), late.version());
@@ -233,7 +239,7 @@
         nextReportAtMs.values().removeIf(at -> now - at > REPORT_EXPIRY_MS);
     }
 
-    /** An order as sent to its server. */
+    /** The JSON of an order, as sent to its server. */
     static String toJson(Order order, String holder) {
         StringBuilder json = new StringBuilder("{\"operation\":\"version\",\"model\":");
         JsonLines.quote(json, order.model());
@@ -245,17 +251,17 @@
                 .toString();
     }
 
-    /** How an order ended; see {@link ServerClient.ResponseListener}. */
+    /** The request of an order has ended; see {@link ServerClient.ResponseListener}. */
     void onResponse(long now, Order order, int status) {
         String server = order.server().id();
         if (status == STATUS_OK || status == STATUS_ACCEPTED || status == STATUS_CONFLICT) {
-            // In conflict is a server that is under an earlier order.
+            // A server in conflict is executing an earlier order.
             planner.onConfirmed(now, server);
         } else if (status == ServerClient.NOT_SENT || status >= FIRST_SERVER_ERROR) {
             planner.onRefused(now, server);
         }
         if (status == STATUS_PRECONDITION_FAILED && order.fencingToken() == fencingToken) {
-            // The server has seen a higher token: only a new claim can be above it.
+            // The server knows a higher token, which only the token of a new claim exceeds.
             claimGranted = false;
         }
     }
--- a/src/main/java/quartzspan/controlplane/RolloutPlanner.java
+++ b/src/main/java/quartzspan/controlplane/RolloutPlanner.java
@@ -10,24 +10,24 @@
 import quartzspan.registry.Server;
 
 /**
- * Brings servers to the weights that were named: the wanted state is the control state's, what is, the servers say; this
- * works out whom to order next, the earliest deadline first. One machine does it, the primary, and only after the one before has
- * surely stopped. No clock, no I/O; times are milliseconds of a steady clock.
+ * Brings servers to the target versions of their weights: compares the target versions of the control state with the versions
+ * that servers report, and decides which servers to order next, the earliest deadline first. Only the primary does this, and
+ * only after the previous primary has certainly stopped. No clock, no I/O; times are milliseconds of a steady clock.
  */
 final class RolloutPlanner {
-    /** A server that has not been ordered this part of the time before its deadline is taken out of service. */
+    /** A server that has not been ordered is taken out of service this fraction of the apply time before its deadline. */
     private static final double WITHDRAWAL_FRACTION = 0.1;
 
-    /** Whom to order what. */
+    /** A server, and the version that it is to load. */
     record Order(Server server, String model, long version) {}
 
     /**
-     * How far a rollout is.
+     * Progress of a rollout.
      *
      * @param servers servers that have the model or are to have it
      * @param outdated those of them that lack the version
-     * @param loading those that are under an order
-     * @param limit how many may be at once
+     * @param loading those that are executing an order
+     * @param limit how many may load at once
      */
     record Status(String model, long version, int servers, int outdated, int loading, long limit) {}
 
@@ -39,12 +39,12 @@
         this.deadlines = deadlines;
     }
 
-    /** Takes note of what is named while no orders may be given: the time runs. */
+    /** Records the target versions while no orders may be sent: their deadlines apply nonetheless. */
     void observe(long now, Map<String, Long> targets) {
         deadlines.observe(now, targets);
     }
 
-    /** The orders to give now. */
+    /** The orders to send now. */
     List<Order> dueOrders(long now, Map<String, Long> targets, List<Server> servers) {
         deadlines.observe(now, targets);
         loads.retainServers(servers.stream().map(Server::id).toList());
@@ -89,7 +89,9 @@
                 .toList();
     }
 
-    /** The servers that are to get no more requests until they have the weights that were named, ordered or not. */
+    /**
+     * The servers that must get no more requests until they have the target versions, whether they have been ordered or not.
+     */
     List<Order> dueWithdrawals(long now, Map<String, Long> targets, List<Server> servers) {
         long withdrawalHorizon = now + deadlines.fractionOfApplyTime(WITHDRAWAL_FRACTION);
         List<Order> withdrawn = new ArrayList<>();
@@ -105,12 +107,12 @@
         loads.onOrdered(now, order.server().id(), order.version());
     }
 
-    /** The server has taken the order, or is loading under an earlier one. */
+    /** The server has accepted the order, or is executing an earlier one. */
     void onConfirmed(long now, String id) {
         loads.onConfirmed(now, id);
     }
 
-    /** The server refused the order; it is sent again soon. */
+    /** The server refused the order, which is retried soon. */
     void onRefused(long now, String id) {
         loads.onRefused(now, id);
     }
@@ -120,17 +122,17 @@
         loads.onIdle(now, id);
     }
 
-    /** Servers under an order. */
+    /** The servers that are executing an order. */
     List<String> loadingServers(long now) {
         return loads.loadingServers(now);
     }
 
-    /** The loads that have ended since the last call. */
+    /** The loads that have finished since the last call. */
     List<LoadTracker.FinishedLoad> takeFinished() {
         return loads.takeFinished();
     }
 
-    /** How far each rollout is, as of the last {@link #dueOrders}. */
+    /** Progress of each rollout, as of the last {@link #dueOrders}. */
     Collection<Status> statuses() {
         return statuses.values();
     }
--- a/src/main/java/quartzspan/controlplane/RolloutRound.java
+++ b/src/main/java/quartzspan/controlplane/RolloutRound.java
@@ -4,9 +4,10 @@
 import java.util.List;
 import quartzspan.registry.Server;
 
-/** One look at the servers of a model: how many lack each version that binds them, and how many of those are loading. */
+/**
+ * The state of a model's servers in one planning round: how many lack each target version, and how many of those are loading.
+ */
 final class RolloutRound {
-    /** A named version. */
     private static final class TargetVersion {
         final long version;
         final LoadConcurrencyLimit concurrencyLimit;
@@ -38,13 +39,13 @@
         });
     }
 
-    /** A server is loading, or about to. */
+    /** Counts a server that is loading or about to. */
     void addLoading(Server server) {
         loading++;
         targets.stream().filter(target -> target.isOutdated(server)).forEach(target -> target.loading++);
     }
 
-    /** Whether one of the versions that a server lacks lets it load beside those that are loading. */
+    /** Whether the limit of a version that a server lacks permits it to load in addition to those that are loading. */
     boolean mayLoad(Server server) {
         return targets.stream()
                 .filter(target -> target.isOutdated(server))
--- a/src/main/java/quartzspan/controlplane/ServerApi.java
+++ b/src/main/java/quartzspan/controlplane/ServerApi.java
@@ -7,7 +7,7 @@
 import quartzspan.http.HttpServer.ClientConnection;
 import quartzspan.registry.RegistryEntry;
 
-/** The requests of servers: heartbeats and deregistrations. */
+/** Handles the requests of servers: heartbeats and deregistrations. */
 final class ServerApi {
     private final LongSupplier clockMs;
     private final HeartbeatHandler handler;
--- a/src/main/java/quartzspan/controlplane/ServerClient.java
+++ b/src/main/java/quartzspan/controlplane/ServerClient.java
@@ -18,7 +18,8 @@
 import quartzspan.registry.Server;
 
 /**
- * The core machine's own requests to servers, over pooled connections: a new one costs a server as much as a small request.
+ * Sends the core machine's own requests to servers, over pooled connections: a new connection costs a server as much as a
+ * small request.
  */
 final class ServerClient {
     private static final Logger LOG = LoggerFactory.getLogger(ServerClient.class);
@@ -26,10 +27,10 @@
     private static final int CONNECTIONS_PER_SERVER = 4;
     /** Status of a request that ended without a response: it may have been executed. */
     static final int NO_RESPONSE = 0;
-    /** Status of a request that was surely not executed. */
+    /** Status of a request that was certainly not executed. */
     static final int NOT_SENT = -1;
 
-    /** Called once when a request ends, with a status of HTTP, {@link #NO_RESPONSE} or {@link #NOT_SENT}. */
+    /** Called once when a request ends, with an HTTP status, {@link #NO_RESPONSE} or {@link #NOT_SENT}. */
     interface ResponseListener {
         void onResponse(int status, byte[] body);
     }
@@ -39,7 +40,7 @@
 
     ServerClient(ConnectionPool connectionPool) {
         this.connectionPool = connectionPool;
-        // An order that was abandoned must not reach its server after the orders of the next lease holder.
+        // An abandoned order must not reach its server after the orders of the next lease holder.
         connectionPool.discardUnsentOnClose();
     }
 
@@ -60,10 +61,10 @@
     }
 
     /**
-     * Sends a POST request that must go out only while it is permitted.
+     * Sends a POST request that may be written only while it is permitted.
      *
-     * @param timeoutMs time after which it is abandoned and can't arrive any more
-     * @param permitted asked right before each write to the socket, once the connection is established
+     * @param timeoutMs time after which the request is abandoned and can no longer arrive
+     * @param permitted checked immediately before each write to the socket, once the connection is established
      */
     void post(
             Server server,
@@ -100,8 +101,8 @@
                 LOG.warn("response of server {} can't be read", server.id(), e);
             }
         };
-        // Servers' responses to these requests bear no id: a late one on a pooled connection would be taken for an
-        // order's.
+        // Servers' responses to these requests carry no ID: a late response on a pooled connection would be taken
+        // for that of an order.
         ConnectionPool.Reuse reuse = method.equals("POST") ? ConnectionPool.Reuse.NONE : ConnectionPool.Reuse.ANY;
         connectionPool
                 .attempt(
@@ -126,7 +127,7 @@
         return endpoint;
     }
 
-    /** Takes the complete response of a server, whatever its status. */
+    /** Accepts the complete response of a server, whatever its status. */
     private static final class AnyStatusHandler implements ConnectionPool.ResponseHandler {
         private int status;
 
--- a/src/main/java/quartzspan/controlplane/StatusReport.java
+++ b/src/main/java/quartzspan/controlplane/StatusReport.java
@@ -8,7 +8,7 @@
 import quartzspan.replication.Replica;
 
 /**
- * The status of a core machine as operators read it. It is not confirmed by a quorum: {@code fresh_ms} is the age of the last
+ * The status of a core machine for operators. It is not confirmed by a quorum: {@code fresh_ms} is the time since the last
  * confirmation.
  */
 final class StatusReport {
--- a/src/main/java/quartzspan/controlplane/WeightsDeadlines.java
+++ b/src/main/java/quartzspan/controlplane/WeightsDeadlines.java
@@ -8,25 +8,27 @@
 import java.util.TreeMap;
 
 /**
- * Until when servers have to have the weights that were named. Each naming has its own deadline, which a later naming does not
- * postpone: a server is bound by the oldest naming that it lacks. No clock, no I/O; times are milliseconds of a steady clock.
+ * The deadlines by which servers must have the target versions of their weights. Each target version has its own deadline,
+ * which a later version does not postpone: a server's deadline is that of the oldest target version that it lacks. No clock,
+ * no I/O; times are milliseconds of a steady clock.
  *
- * <p>Every core machine observes all namings, so that a new primary knows the deadlines of those before its election.
+ * <p>Every core machine observes all target versions, so that a new primary knows the deadlines of those set before its
+ * election.
  */
 final class WeightsDeadlines {
-    /** The deadline of a server that lacks nothing. */
+    /** The deadline of a server that lacks no target version. */
     static final long NO_DEADLINE = Long.MAX_VALUE;
 
     private final long applyMs;
-    /** Deadlines by model and version; both rise together. */
+    /** Deadlines by model and version; within a model they increase with the version. */
     private final Map<String, NavigableMap<Long, Long>> deadlines = new HashMap<>();
 
-    /** @param applyMs time within which all servers are to have the weights that were named */
+    /** @param applyMs time within which all servers must have a target version */
     WeightsDeadlines(long applyMs) {
         this.applyMs = applyMs;
     }
 
-    /** Takes note of the versions that are named at present, by model. */
+    /** Records the current target versions, by model. */
     void observe(long now, Map<String, Long> targets) {
         targets.forEach((model, version) -> {
             NavigableMap<Long, Long> known = deadlines.computeIfAbsent(model, m -> new TreeMap<>());
@@ -37,7 +39,7 @@
         });
     }
 
-    /** Of the namings that are overdue the last one says all: whoever lacks an earlier one lacks it too. */
+    /** Drops all overdue versions except the latest: a server that lacks an earlier one lacks that one too. */
     private static void dropSuperseded(long now, NavigableMap<Long, Long> known) {
         Long lastOverdue = latestDueBy(now, known);
         for (Iterator<Long> versions = known.keySet().iterator(); lastOverdue != null && versions.hasNext(); ) {
@@ -50,38 +52,38 @@
 
     private static Long latestDueBy(long time, NavigableMap<Long, Long> known) {
         Long last = null;
-        for (Map.Entry<Long, Long> naming : known.entrySet()) {
-            if (naming.getValue() > time) {
+        for (Map.Entry<Long, Long> target : known.entrySet()) {
+            if (target.getValue() > time) {
                 return last;
             }
-            last = naming.getKey();
+            last = target.getKey();
         }
         return last;
     }
 
-    /** The versions of a model that bind servers, with their deadlines. */
+    /** The target versions of a model that servers must have, with their deadlines. */
     NavigableMap<Long, Long> targetsOf(String model) {
         return Collections.unmodifiableNavigableMap(deadlines.getOrDefault(model, new TreeMap<>()));
     }
 
-    /** Until when a server with these weights has to have others. */
+    /** The time by which a server with these weights must have newer ones. */
     long deadlineOf(String model, long weights) {
         Map.Entry<Long, Long> earliestTarget = targetsOf(model).higherEntry(weights);
         return earliestTarget == null ? NO_DEADLINE : earliestTarget.getValue();
     }
 
-    /** The last version whose deadline lies before a time; 0 if there is none. */
+    /** The latest version whose deadline is not after a time; 0 if there is none. */
     long latestOverdueVersion(long time, String model) {
         Long last = latestDueBy(time, targetsOf(model));
         return last == null ? 0 : last;
     }
 
-    /** A fraction of the time within which weights have to be applied. */
+    /** A fraction of the time within which weights must be applied. */
     long fractionOfApplyTime(double fraction) {
         return Math.round(applyMs * fraction);
     }
 
-    /** Which part of the time until a deadline has passed; 1 from the deadline on. */
+    /** Elapsed fraction of the time until a deadline; 1 from the deadline on. */
     double elapsedFraction(long now, long deadline) {
         return now >= deadline ? 1 : 1 - (double) (deadline - now) / applyMs;
     }
--- a/src/main/java/quartzspan/controlplane/package-info.java
+++ b/src/main/java/quartzspan/controlplane/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The process of a core machine: wiring, API of operators and servers, rollout of weights, prefix cache indexing.
+ * The process of a core machine: wiring, the APIs for operators and servers, rollout of weights, prefix cache indexing.
  *
- * <p>Its event loop owns the registry and the replica; a disk thread owns the store. May import all libraries, not {@code frontend}.
+ * <p>Its event loop owns the registry and the replica; a disk thread owns the store. May import all libraries, but not {@code
+ * frontend}.
  */
 package quartzspan.controlplane;
