--- a/src/main/java/quartzspan/controlplane/DrainAcknowledger.java
+++ b/src/main/java/quartzspan/controlplane/DrainAcknowledger.java
@@ -88,8 +88,8 @@
                 gossip.cancelBroadcast(request.broadcastId);
                 request.caller.refuse(new FleetException(
                         FleetException.Code.NOT_PRIMARY,
-                        "too few other core machines have confirmed it",
-                        "ask another machine of the core"));
+                        "too few other core machines have acknowledged the server's entry in time",
+                        "call another core machine"));
             }
         }
     }
--- a/src/main/java/quartzspan/controlplane/HeartbeatHandler.java
+++ b/src/main/java/quartzspan/controlplane/HeartbeatHandler.java
@@ -64,8 +64,8 @@
         if (now - freshAtMs.getAsLong() > MAX_STALENESS_MS) {
             throw new FleetException(
                     FleetException.Code.NOT_PRIMARY,
-                    "this machine is disconnected from the core",
-                    "call another machine of the core");
+                    "this core machine is disconnected from the others",
+                    "call another core machine");
         }
         return null;
     }
@@ -99,7 +99,7 @@
         if (server == null) {
             throw new FleetException(
                     FleetException.Code.MESSAGE_INVALID,
-                    "a heartbeat can't be read",
+                    "heartbeat has a missing or invalid field",
                     "send service, address, zone, state, models and call_count as documented");
         }
         return server;
--- a/src/main/java/quartzspan/controlplane/OperatorApi.java
+++ b/src/main/java/quartzspan/controlplane/OperatorApi.java
@@ -47,8 +47,8 @@
         if (baseVersion < 0) {
             throw new FleetException(
                     FleetException.Code.CONFIG_INVALID,
-                    "X-Base-Version is missing",
-                    "name the version that the change builds on, 0 for the first");
+                    "header X-Base-Version is missing or invalid",
+                    "send the version that the change is based on, 0 for the first configuration");
         }
         return baseVersion;
     }
@@ -96,7 +96,7 @@
         RegistryEntry entry = primary == null ? null : registry.entry(RegistryEntry.Subject.CORE, primary);
         if (entry == null) {
             throw new FleetException(
-                    FleetException.Code.NOT_PRIMARY, "no primary is known at present", "retry in a moment");
+                    FleetException.Code.NOT_PRIMARY, "no primary is currently known", "retry in a moment");
         }
         RequestRouter.redirect(client, "http://" + CoreMachine.of(entry).control() + request.uri());
         return true;
--- a/src/main/java/quartzspan/controlplane/RequestRouter.java
+++ b/src/main/java/quartzspan/controlplane/RequestRouter.java
@@ -66,8 +66,8 @@
                     client,
                     HttpResponseStatus.INTERNAL_SERVER_ERROR,
                     "FAILED",
-                    "the request failed",
-                    "ask another machine of the core");
+                    "internal error while handling the request",
+                    "call another core machine");
         }
     }
 
--- a/src/main/java/quartzspan/controlplane/ServerClient.java
+++ b/src/main/java/quartzspan/controlplane/ServerClient.java
@@ -98,7 +98,7 @@
                         response != null ? responseHandler.status : outcome.neverRan() ? NOT_SENT : NO_RESPONSE,
                         response != null ? response.body() : new byte[0]);
             } catch (RuntimeException e) {
-                LOG.warn("response of server {} can't be read", server.id(), e);
+                LOG.warn("response of server {} can't be processed", server.id(), e);
             }
         };
         // Servers' responses to these requests carry no ID: a late response on a pooled connection would be taken
