--- a/src/test/java/quartzspan/controlplane/ApiCompatibilityTest.java
+++ b/src/test/java/quartzspan/controlplane/ApiCompatibilityTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.api.io.TempDir;
 import quartzspan.compatibility.GoldenFile;
 
-/** Each answer that operators and servers may get of core machines, and each field of the status, as by an earlier version. */
+/**
+ * Compares each response that operators and servers may get from core machines, and each field of the status, with
+ * those of an earlier version.
+ */
 class ApiCompatibilityTest {
     private static final String REPLACE = "POST /quartzspan/Configuration.Replace";
     private static final String UPDATE = "POST /quartzspan/Configuration.Update";
@@ -104,7 +107,7 @@
                 .findFirst()
                 .orElseThrow();
         for (long end = System.nanoTime() + CoreCluster.TIMEOUT_NANOS; cluster.describe(backup) != 307; ) {
-            assertTrue(System.nanoTime() < end, "a backup learns who is primary");
+            assertTrue(System.nanoTime() < end, "a backup knows the primary within the timeout");
         }
         record(backup, DESCRIBE, "", "");
         record(backup, REPLACE, BASE_2, CONFIGURATION);
@@ -130,7 +133,10 @@
         responses.append('\n').append(normalize(parts[1])).append("\n\n");
     }
 
-    /** An answer without what differs from run to run (ports, hosts, ages, attempts), and without texts for people. */
+    /**
+     * Replaces what differs between runs (ports, hosts, ages, attempts), and texts for human readers, by
+     * placeholders.
+     */
     private String normalize(String text) {
         return text.replace(":" + cluster.controlPort(), ":CONTROL")
                 .replace(":" + cluster.internalPort(), ":INTERNAL")
--- a/src/test/java/quartzspan/controlplane/CoreCluster.java
+++ b/src/test/java/quartzspan/controlplane/CoreCluster.java
@@ -100,7 +100,7 @@
         machines.clear();
     }
 
-    /** The whole answer, of which a caller waits a second for each byte. */
+    /** Sends a request; returns the complete response. Each read times out after one second. */
     String call(String host, String requestLine, String headers, String body) throws IOException {
         try (Socket socket = new Socket()) {
             socket.connect(new InetSocketAddress(host, controlPort), RESPONSE_TIMEOUT_MS);
@@ -115,7 +115,7 @@
 
     int status(String host, String requestLine, String headers, String body) throws IOException {
         String answer = call(host, requestLine, headers, body);
-        assertTrue(answer.startsWith("HTTP/1.1 "), "an answer within a second: " + answer);
+        assertTrue(answer.startsWith("HTTP/1.1 "), "response has no HTTP status line: " + answer);
         return Integer.parseInt(answer.substring(9, 12));
     }
 
@@ -123,7 +123,7 @@
         return status(host, "GET /quartzspan/Configuration.Describe", "", "");
     }
 
-    /** Who answers of itself, once somebody does. */
+    /** The host that serves requests as primary, as soon as there is one. */
     String primary(Collection<String> hosts) throws IOException {
         for (long end = System.nanoTime() + TIMEOUT_NANOS; System.nanoTime() < end; ) {
             for (String host : hosts) {
@@ -132,6 +132,6 @@
                 }
             }
         }
-        throw new AssertionError("nobody leads");
+        throw new AssertionError("no core machine serves requests as primary within the timeout");
     }
 }
--- a/src/test/java/quartzspan/controlplane/CoreClusterTest.java
+++ b/src/test/java/quartzspan/controlplane/CoreClusterTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Three core machines on loopback addresses, and what their callers are told as they end one after the other. */
+/**
+ * Runs three core machines on loopback addresses, and checks the responses to their callers as they stop one after
+ * the other.
+ */
 class CoreClusterTest {
     private static final List<String> HOSTS = CoreCluster.HOSTS;
     private static final int GRACE_PERIOD_S = 8;
@@ -51,14 +54,17 @@
         Set<String> remaining = new HashSet<>(HOSTS);
         String first = cluster.primary(remaining);
         for (String host : HOSTS) {
-            assertEquals(200, sendHeartbeat(host, "i-" + host, 2, "draining"), "one other holds it: " + host);
+            assertEquals(
+                    200, sendHeartbeat(host, "i-" + host, 2, "draining"), "another machine has the entry: " + host);
         }
         String change = "{\"version\":2,\"routes\":[],\"services\":[]}";
         assertEquals(
                 200, cluster.status(first, "POST /quartzspan/Configuration.Replace", "X-Base-Version: 0\r\n", change));
         long started = System.nanoTime();
         cluster.stop(first);
-        assertTrue(System.nanoTime() - started < TimeUnit.SECONDS.toNanos(7), "handed over before its time was up");
+        assertTrue(
+                System.nanoTime() - started < TimeUnit.SECONDS.toNanos(7),
+                "handover completes before the grace period ends");
         remaining.remove(first);
         String second = cluster.primary(remaining);
         assertNotEquals(first, second);
@@ -87,7 +93,10 @@
         assertAcknowledgesNothing(HOSTS.get(0), "{\"version\":2,\"routes\":[],\"services\":[]}");
     }
 
-    /** It sends callers on, within the second that they wait: whatever it said could be old. */
+    /**
+     * The machine refuses requests within the second for which callers wait, so that they call another one: its
+     * state may be stale.
+     */
     private void assertAcknowledgesNothing(String host, String change) throws IOException {
         assertEquals(503, cluster.describe(host));
         for (String base : List.of("0", "1", "7")) {
@@ -97,7 +106,7 @@
         }
         assertEquals(503, cluster.status(host, "POST /quartzspan/Configuration.Replace", "X-Base-Version: 0\r\n", "{"));
         assertEquals(503, cluster.status(host, "POST /quartzspan/version-put", "", "{\"model\":\"m\",\"version\":2}"));
-        assertEquals(503, sendHeartbeat(host, "i-9", 3, "draining"), "nobody else holds it");
+        assertEquals(503, sendHeartbeat(host, "i-9", 3, "draining"), "no other machine has the entry");
         assertEquals(503, cluster.status(host, "POST /quartzspan/Instances.Deregister/i-9", "", "{}"));
         assertEquals(200, cluster.status(host, "GET /quartzspan/status", "", ""));
         assertFalse(cluster.call(host, "GET /quartzspan/status", "", "").contains("\"role\":\"PRIMARY\""));
--- a/src/test/java/quartzspan/controlplane/DrainAcknowledgerTest.java
+++ b/src/test/java/quartzspan/controlplane/DrainAcknowledgerTest.java
@@ -18,7 +18,10 @@
 import quartzspan.registry.Registry;
 import quartzspan.registry.RegistryEntry;
 
-/** A server that leaves is answered only when its word outlives as many machines as may be lost at once. */
+/**
+ * A drain request is acknowledged only once its entry survives the loss of as many core machines as may be lost at
+ * once.
+ */
 class DrainAcknowledgerTest {
     private static final List<String> CORES = List.of("c1:1", "c2:1", "c3:1", "c4:1", "c5:1");
     private static final List<String> PROXIES = List.of("p1:1", "p2:1");
@@ -26,7 +29,6 @@
     private static final RegistryEntry DRAINING = entry(3, RegistryEntry.State.DRAINING);
     private static final int TICK_MS = 50;
 
-    /** A message on its way. */
     private record InFlightMessage(String from, String to, GossipMessage message) {}
 
     private final Map<String, Registry> registries = new LinkedHashMap<>();
@@ -119,12 +121,12 @@
         assertEquals(List.of("NOT_PRIMARY"), responses, "in time for the server to call another machine");
         assertTrue(drainAcknowledger.isIdle());
         run(2_000);
-        assertEquals(1, responses.size(), "answered once");
+        assertEquals(1, responses.size(), "one response only");
     }
 
     @Test
     void acknowledgedEntrySurvivesTheLossOfTheAcknowledgingAndAnotherMachine() {
-        // The proxies are cut off from those that are about to hear it, and hear nothing at first.
+        // The machines that receive the entry can't reach the proxies, which do not receive it at first.
         down.addAll(List.of("c4:1", "c5:1", "p1:1", "p2:1"));
         drain(2);
         run(TICK_MS);
--- a/src/test/java/quartzspan/controlplane/GracefulShutdownPhasesTest.java
+++ b/src/test/java/quartzspan/controlplane/GracefulShutdownPhasesTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When a core machine that was told to end does so. */
+/** When a core machine may end after a shutdown was requested. */
 class GracefulShutdownPhasesTest {
     private static final long GRACE_PERIOD_MS = 8_000;
 
@@ -37,10 +37,10 @@
     void completeOnceHandedOverAndIdle() {
         shutdown.begin(100);
         shutdown.begin(150);
-        assertEquals(1, handovers, "once");
-        assertFalse(shutdown.isComplete(200, true), "others need it still");
+        assertEquals(1, handovers, "the handover begins once");
+        assertFalse(shutdown.isComplete(200, true), "the other machines still need this one");
         handoverComplete = true;
-        assertFalse(shutdown.isComplete(300, false), "a call waits for its answer");
+        assertFalse(shutdown.isComplete(300, false), "a request waits for its response");
         assertTrue(shutdown.isComplete(350, true));
     }
 
--- a/src/test/java/quartzspan/controlplane/HeartbeatHandlerTest.java
+++ b/src/test/java/quartzspan/controlplane/HeartbeatHandlerTest.java
@@ -16,7 +16,7 @@
 import quartzspan.registry.RegistryEntry;
 import quartzspan.registry.Server;
 
-/** What a core machine takes in of servers, and when it sends them on to another. */
+/** Which heartbeats a core machine applies, and when it refuses them so that the server calls another machine. */
 class HeartbeatHandlerTest {
     private static final long APPLY_MS = 10_000;
 
@@ -48,7 +48,7 @@
                 assertThrows(FleetException.class, () -> handler.onHeartbeat(disconnectedAtMs, "i", body(2, "ready")));
         assertEquals(503, refusal.code().status());
         assertThrows(FleetException.class, () -> handler.onHeartbeat(disconnectedAtMs, "j", body(1, "ready")));
-        assertNotNull(registry.entry(RegistryEntry.Subject.SERVER, "j"), "known here all the same");
+        assertNotNull(registry.entry(RegistryEntry.Subject.SERVER, "j"), "applied although it was refused");
         registry.confirmFresh(disconnectedAtMs);
         assertNull(handler.onHeartbeat(disconnectedAtMs, "i", body(3, "ready")));
     }
@@ -58,7 +58,9 @@
         assertEquals(
                 RegistryEntry.State.DRAINING,
                 handler.onHeartbeat(99_000, "i", body(1, "draining")).state());
-        assertNotNull(handler.onHeartbeat(99_000, "i", body(1, "draining")), "said again, to be held again");
+        assertNotNull(
+                handler.onHeartbeat(99_000, "i", body(1, "draining")),
+                "a repeated announcement must be acknowledged again");
         assertThrows(FleetException.class, () -> handler.onHeartbeat(99_000, "i", body(5, "ready")));
         assertEquals(RegistryEntry.State.DRAINING, state());
         assertEquals(
@@ -82,7 +84,7 @@
         handler.onHeartbeat(APPLY_MS, "j", body(1, "ready"));
         assertEquals(2, registered("j").loading());
         handler.onHeartbeat(APPLY_MS, "i", body(2, "ready"));
-        assertEquals(2, registered("i").loading(), "overdue by now");
+        assertEquals(2, registered("i").loading(), "overdue");
     }
 
     private Server registered(String id) {
--- a/src/test/java/quartzspan/controlplane/LoadTrackerTest.java
+++ b/src/test/java/quartzspan/controlplane/LoadTrackerTest.java
@@ -43,7 +43,7 @@
         loads.onOrdered(0, ID, 2);
         loads.onRefused(100, ID);
         assertFalse(loads.isLoading(100, ID));
-        assertFalse(loads.mayOrder(100, ID), "not at once");
+        assertFalse(loads.mayOrder(100, ID), "not immediately");
         assertTrue(loads.mayOrder(600, ID));
     }
 
@@ -51,7 +51,7 @@
     void idleReportAllowsANewOrderUnlessItMayPredateTheOrder() {
         loads.onOrdered(0, ID, 2);
         loads.onIdle(300, ID);
-        assertTrue(loads.isLoading(300, ID), "the report may be from before the order");
+        assertTrue(loads.isLoading(300, ID), "the report may predate the order");
         loads.onIdle(1_500, ID);
         assertTrue(loads.mayOrder(1_500, ID));
     }
--- a/src/test/java/quartzspan/controlplane/RolloutCoordinatorTest.java
+++ b/src/test/java/quartzspan/controlplane/RolloutCoordinatorTest.java
@@ -16,13 +16,13 @@
 import quartzspan.registry.Server;
 import quartzspan.replication.Epoch;
 
-/** Who may order servers, from when on, and under which fencing token. */
+/** Which machine may send orders to servers, from when on, and under which fencing token. */
 class RolloutCoordinatorTest {
     private static final long LEASE_MS = 3_000;
     private static final long APPLY_MS = 10_000;
     private static final int TICK_MS = 50;
 
-    /** The control state, as far as the duty goes. */
+    /** The part of the control state that concerns the rollout. */
     private String holder = "";
 
     private long fencingToken;
@@ -32,7 +32,7 @@
     private final List<Long> orderedAtMs = new ArrayList<>();
     private final Set<String> announced = new HashSet<>();
 
-    /** One machine of the core. */
+    /** A core machine. */
     private final class Machine implements RolloutCoordinator.Actions {
         private final String name;
         private RolloutCoordinator coordinator;
@@ -40,7 +40,7 @@
         private long confirmedAtMs;
         private boolean partitioned;
         private boolean reportsClaims = true;
-        private final Set<String> held = new HashSet<>();
+        private final Set<String> blockedServers = new HashSet<>();
 
         Machine(String name) {
             this.name = name;
@@ -90,7 +90,7 @@
 
         @Override
         public void sendOrder(RolloutCoordinator.Order order) {
-            if (held.contains(order.server().id())) {
+            if (blockedServers.contains(order.server().id())) {
                 return;
             }
             if (coordinator.mayOrder(now, order)) {
@@ -133,7 +133,7 @@
         a.becomePrimary(1);
         a.run(5_000);
         assertTrue(orders.isEmpty());
-        assertEquals("", holder, "not even claimed");
+        assertEquals("", holder, "the rollout is not claimed");
     }
 
     @Test
@@ -143,7 +143,8 @@
         a.becomePrimary(1);
         a.run(1_000);
         a.partitioned = true;
-        // At the latest now another machine has a majority; the one that was cut off does not know and goes on.
+        // By this time at the latest another machine has a majority; the partitioned holder does not know this and
+        // continues.
         b.becomePrimary(2);
         long electedAtMs = now;
         List<RolloutCoordinator.Order> ordersBefore = new ArrayList<>(orders);
@@ -155,9 +156,13 @@
         }
         long lastOfA = orderedAtMs.get(lastIndex(1));
         long firstOfB = orderedAtMs.get(firstIndex(2));
-        assertTrue(lastOfA <= electedAtMs + RolloutCoordinator.CONFIRMATION_VALID_MS, "stops by itself");
-        assertTrue(firstOfB - lastOfA >= LEASE_MS, "no turns within the lease");
-        assertTrue(firstOfB - electedAtMs < LEASE_MS + 1_500, "and no longer than it must: weights have their time");
+        assertTrue(
+                lastOfA <= electedAtMs + RolloutCoordinator.CONFIRMATION_VALID_MS,
+                "the partitioned holder stops once its confirmation expires");
+        assertTrue(firstOfB - lastOfA >= LEASE_MS, "the next holder waits for the lease");
+        assertTrue(
+                firstOfB - electedAtMs < LEASE_MS + 1_500,
+                "the next holder waits no longer than necessary, because the deadlines still apply");
         assertTrue(orders.size() > ordersBefore.size());
     }
 
@@ -187,7 +192,8 @@
         RolloutCoordinator.Order earlier = orders.get(0);
         now += 20_000;
         assertFalse(
-                a.coordinator.mayOrder(now, earlier), "asked right before the write, however long the connection took");
+                a.coordinator.mayOrder(now, earlier),
+                "permission is checked right before the write, however long connecting took");
         a.partitioned = true;
         a.run(1_000);
         assertEquals(before, orders.size());
@@ -201,7 +207,7 @@
         RolloutCoordinator.Order early = orders.get(0);
         a.becomePrimary(3);
         a.run(200);
-        assertFalse(a.coordinator.mayOrder(now, early), "its token is of an earlier claim");
+        assertFalse(a.coordinator.mayOrder(now, early), "the order carries the token of an earlier claim");
     }
 
     @Test
@@ -214,7 +220,7 @@
         a.run(4_000);
         int first = firstIndex(2);
         assertTrue(first > 0);
-        assertTrue(orderedAtMs.get(first) - reelectedAtMs < LEASE_MS, "nobody else held the duty in between");
+        assertTrue(orderedAtMs.get(first) - reelectedAtMs < LEASE_MS, "no other machine held the rollout in between");
     }
 
     @Test
@@ -235,7 +241,7 @@
         a.run(6_000);
         assertEquals("a", holder);
         int first = firstIndex(3);
-        assertTrue(first > 0, "it does order in the end");
+        assertTrue(first > 0, "the new holder sends orders after the wait");
         assertTrue(orderedAtMs.get(first) - lastOfB >= LEASE_MS);
     }
 
@@ -248,7 +254,9 @@
         a.becomePrimary(2);
         long restartedAtMs = now;
         a.run(6_000);
-        assertTrue(orderedAtMs.get(firstIndex(2)) - restartedAtMs >= LEASE_MS, "it can't know what came of its claims");
+        assertTrue(
+                orderedAtMs.get(firstIndex(2)) - restartedAtMs >= LEASE_MS,
+                "a restarted holder does not know the results of its earlier claims");
     }
 
     @Test
@@ -266,7 +274,9 @@
             next.run(epoch % 3 == 0 ? 1_000 : 6_000);
             orders.subList(before, orders.size())
                     .forEach(o -> assertEquals(
-                            next.name, owners.computeIfAbsent(o.fencingToken(), t -> next.name), "one holder a token"));
+                            next.name,
+                            owners.computeIfAbsent(o.fencingToken(), t -> next.name),
+                            "each token belongs to one holder"));
         }
         for (int i = 1; i < orders.size(); i++) {
             assertTrue(orders.get(i).fencingToken() >= orders.get(i - 1).fencingToken());
@@ -285,7 +295,7 @@
         targets.put("m", 2L);
         long at = now;
         a.run(1_000);
-        assertFalse(orders.isEmpty(), "all earlier holders have been silent for long");
+        assertFalse(orders.isEmpty(), "all earlier holders stopped sending orders long ago");
         assertTrue(orderedAtMs.get(0) - at < 500);
     }
 
@@ -298,12 +308,12 @@
         a.coordinator.onResponse(now, first, ServerClient.NOT_SENT);
         int before = orders.size();
         a.run(700);
-        assertTrue(orders.size() > before, "nothing went out");
+        assertTrue(orders.size() > before, "the unsent order is retried soon");
         RolloutCoordinator.Order second = orders.get(orders.size() - 1);
         a.coordinator.onResponse(now, second, ServerClient.NO_RESPONSE);
         int ordersAfterSecond = orders.size();
         a.run(1_000);
-        assertEquals(ordersAfterSecond, orders.size(), "it may have been taken");
+        assertEquals(ordersAfterSecond, orders.size(), "the unanswered order may have been accepted");
         a.run(2_000);
         assertTrue(orders.size() > ordersAfterSecond);
     }
@@ -325,7 +335,7 @@
         Machine a = new Machine("a");
         a.becomePrimary(5);
         a.run(LEASE_MS + RolloutCoordinator.CONFIRMATION_VALID_MS + RolloutCoordinator.ORDER_TIMEOUT_MS + 300);
-        assertEquals(2, orders.size(), "two of three at once, where it is one at the beginning of a rollout");
+        assertEquals(2, orders.size(), "two of three servers load at once; at the start of a rollout it is one");
     }
 
     @Test
--- a/src/test/java/quartzspan/controlplane/RolloutDeadlineTest.java
+++ b/src/test/java/quartzspan/controlplane/RolloutDeadlineTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import quartzspan.controlplane.SimulatedRollout.LoadingServer;
 
-/** No server begins requests on weights longer than is allowed after newer ones were named. */
+/** No server begins requests on outdated weights after the deadline of a newer target version. */
 class RolloutDeadlineTest {
     private static final int SERVERS = 8;
     private static final long LOAD_MS = 2_600;
--- a/src/test/java/quartzspan/controlplane/RolloutPlannerTest.java
+++ b/src/test/java/quartzspan/controlplane/RolloutPlannerTest.java
@@ -14,7 +14,7 @@
 import quartzspan.registry.RegistryEntry;
 import quartzspan.registry.Server;
 
-/** How many servers load named weights at once, and until when all have them. */
+/** How many servers load a target version at once, and by when all have it. */
 class RolloutPlannerTest {
     private static final String MODEL = "m";
     private static final long APPLY_MS = 10_000;
@@ -25,7 +25,10 @@
     private final Set<String> loaded = new HashSet<>();
     private int maxConcurrentLoads;
 
-    /** Plays a rollout to {@code servers} that each have the weights {@code loadMs} after their first order. */
+    /**
+     * Simulates a rollout to {@code servers} that each have the weights {@code loadMs} after their first order;
+     * returns the time at which all have them.
+     */
     private long timeToFinishMs(int servers, long loadMs) {
         for (long now = 0; now < 10 * APPLY_MS; now += TICK_MS) {
             long atMs = now;
--- a/src/test/java/quartzspan/controlplane/ServerClientTest.java
+++ b/src/test/java/quartzspan/controlplane/ServerClientTest.java
@@ -26,7 +26,7 @@
 import quartzspan.registry.RegistryEntry;
 import quartzspan.registry.Server;
 
-/** When an order goes out, and what is known of one that has no answer. */
+/** When an order is sent, and what is reported about one without a response. */
 class ServerClientTest {
     private static final int TIMEOUT_S = 10;
     private static final long ORDER_TIMEOUT_MS = 800;
@@ -80,9 +80,14 @@
         });
         try (Socket accepted = serverSocket.accept()) {
             assertEquals(ServerClient.NOT_SENT, result.get(TIMEOUT_S, TimeUnit.SECONDS));
-            assertFalse(checkedBeforeConnecting.get(TIMEOUT_S, TimeUnit.SECONDS), "not before it connects");
+            assertFalse(
+                    checkedBeforeConnecting.get(TIMEOUT_S, TimeUnit.SECONDS),
+                    "not checked before the connection is established");
             assertEquals(1, permissionChecks.get());
-            assertThrows(SocketException.class, () -> accepted.getInputStream().read(), "reset without a byte");
+            assertThrows(
+                    SocketException.class,
+                    () -> accepted.getInputStream().read(),
+                    "connection reset before any byte was sent");
         }
     }
 
@@ -95,7 +100,7 @@
             accepted.setSoLinger(true, 0);
         }
         assertEquals(ServerClient.NO_RESPONSE, result.get(TIMEOUT_S, TimeUnit.SECONDS));
-        assertEquals(1, permissionChecks.get(), "one write");
+        assertEquals(1, permissionChecks.get(), "the request is written once");
     }
 
     @Test
@@ -119,16 +124,18 @@
     void timedOutOrderIsDiscardedFromTheConnection() throws Exception {
         CompletableFuture<Integer> result = post(() -> true);
         try (Socket accepted = serverSocket.accept()) {
-            assertEquals(ServerClient.NO_RESPONSE, result.get(TIMEOUT_S, TimeUnit.SECONDS), "its time runs out");
+            assertEquals(ServerClient.NO_RESPONSE, result.get(TIMEOUT_S, TimeUnit.SECONDS), "the request times out");
             accepted.setSoTimeout(TIMEOUT_S * 1_000);
             assertThrows(
                     SocketException.class,
                     () -> accepted.getInputStream().readAllBytes(),
-                    "reset: what was not read yet is gone");
+                    "reset: unread bytes are discarded");
         }
     }
 
-    /** A server answers a question twice: the second answer is not taken for that of the order which follows. */
+    /**
+     * A server responds to a request twice: the second response is not taken for that of the order that follows.
+     */
     @Test
     void extraResponseOnAPooledConnectionIsNotTakenForThatOfTheOrder() throws Exception {
         String answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}";
--- a/src/test/java/quartzspan/controlplane/SimulatedRollout.java
+++ b/src/test/java/quartzspan/controlplane/SimulatedRollout.java
@@ -10,7 +10,10 @@
 import quartzspan.registry.RegistryEntry;
 import quartzspan.registry.Server;
 
-/** A rollout to servers that load for a given time, under namings at given times, tick by tick. */
+/**
+ * Simulates, tick by tick, a rollout to servers that load for a given time, with target versions set at given
+ * times.
+ */
 final class SimulatedRollout {
     static final long APPLY_MS = 10_000;
     private static final String MODEL = "m";
@@ -23,7 +26,7 @@
     private int maxConcurrentLoads;
     private final Set<String> everOverdue = new TreeSet<>();
 
-    /** A server, as it is. */
+    /** A simulated server. */
     static final class LoadingServer {
         final String id;
         private final long loadMs;
@@ -36,7 +39,7 @@
             this.loadMs = loadMs;
         }
 
-        /** An order: a server that is under another one does not take it. */
+        /** Receives an order; a server that is executing another one refuses it. */
         private void order(long now, long version) {
             if (loadingVersion == 0) {
                 loadingVersion = version;
@@ -61,13 +64,13 @@
         return this;
     }
 
-    /** Names a version, to be due {@link #APPLY_MS} later. */
+    /** Sets a target version that is due {@link #APPLY_MS} later. */
     SimulatedRollout setTarget(long version) {
         targetSetAtMs.put(version, nowMs);
         return this;
     }
 
-    /** Goes on for some time. */
+    /** Runs the simulation for some time. */
     SimulatedRollout run(long ms) {
         for (long end = nowMs + ms; nowMs < end; nowMs += TICK_MS) {
             servers.forEach(server -> server.onTick(nowMs));
@@ -103,7 +106,7 @@
         return everOverdue;
     }
 
-    /** A server ends, and another one with the same weights comes in its place. */
+    /** Replaces a server by a new one that has the same weights. */
     void restart(int index) {
         LoadingServer stopped = servers.get(index);
         LoadingServer started = new LoadingServer(stopped.id + "'", stopped.loadMs);
@@ -111,7 +114,10 @@
         servers.set(index, started);
     }
 
-    /** The servers that begin requests on weights whose successor is overdue: a server under an order begins none. */
+    /**
+     * The servers that begin requests on weights whose successor is overdue; a server that is executing an order
+     * begins none.
+     */
     List<String> overdue() {
         return servers.stream().filter(this::isOverdue).map(server -> server.id).toList();
     }
