--- a/src/main/java/quartzspan/controlplane/DrainAcknowledger.java
+++ b/src/main/java/quartzspan/controlplane/DrainAcknowledger.java
@@ -10,90 +10,91 @@
 import quartzspan.registry.RegistryEntry;
 
 /**
- * Acknowledges the drain announcements of servers ({@code draining}, {@code Deregister}). After the acknowledgement all proxies
- * must learn of it even if as many core machines as may be lost at once are lost right then, the acknowledging one among them.
- * So a request is acknowledged only when that many other core machines have the entry; else it is refused in time for the
- * server to call another machine. No clock, no I/O; times are milliseconds of a steady clock.
+ * Acknowledges the requests by which servers announce that they drain ({@code draining}, {@code Deregister}). After the
+ * acknowledgement all proxies must be informed even if as many core machines as may be lost at once are lost immediately,
+ * including the acknowledging one. A request is therefore acknowledged only when that many other core machines have the
+ * entry; otherwise it is refused early enough for the server to call another machine. No clock, no I/O; times are
+ * milliseconds of a steady clock.
  */
 final class DrainAcknowledger {
-    /** A server waits one second for the response; a refusal has to reach it before. */
+    /** A server waits one second for the response; a refusal must reach it before that. */
     static final long ACKNOWLEDGEMENT_TIMEOUT_MS = 800;
 
     /** The server that waits for the response. */
     interface Caller {
         void acknowledge();
 
-        void refuse(FleetException why);
+        void refuse(FleetException refusal);
     }
 
-    /** One request that waits; {@link #cancel} ends it without a response. */
-    final class Pending {
+    /** A request that waits for acknowledgements; {@link #cancel} ends it without a response. */
+    final class PendingRequest {
         private final Caller caller;
         private final long deadlineMs;
-        private long broadcast;
+        private long broadcastId;
 
-        private Pending(Caller caller, long deadlineMs) {
+        private PendingRequest(Caller caller, long deadlineMs) {
             this.caller = caller;
             this.deadlineMs = deadlineMs;
         }
 
-        /** Whether the caller still waits. */
+        /** Whether the caller is still waiting. */
         boolean isPending() {
             return pending.contains(this);
         }
 
-        /** The caller has disconnected. */
+        /** To be called when the caller has disconnected. */
         void cancel() {
             if (pending.remove(this)) {
-                gossip.cancelBroadcast(broadcast);
+                gossip.cancelBroadcast(broadcastId);
             }
         }
     }
 
     private final Gossip gossip;
-    private final Set<Pending> pending = new LinkedHashSet<>();
+    private final Set<PendingRequest> pending = new LinkedHashSet<>();
 
     DrainAcknowledger(Gossip gossip) {
         this.gossip = gossip;
     }
 
     /**
-     * Broadcasts an entry, and acknowledges it once enough core machines have it.
+     * Broadcasts an entry, and acknowledges the request once enough core machines have the entry.
      *
-     * @param requiredHolders number of other core machines that must have it
+     * @param requiredAcks number of other core machines that must have it
      */
-    Pending begin(long now, RegistryEntry entry, int requiredHolders, Caller caller) {
-        Pending call = new Pending(caller, now + ACKNOWLEDGEMENT_TIMEOUT_MS);
-        if (requiredHolders == 0) {
+    PendingRequest begin(long now, RegistryEntry entry, int requiredAcks, Caller caller) {
+        PendingRequest request = new PendingRequest(caller, now + ACKNOWLEDGEMENT_TIMEOUT_MS);
+        if (requiredAcks == 0) {
             gossip.broadcast(now, new Registry.Update(List.of(entry), false), null);
             caller.acknowledge();
-            return call;
+            return request;
         }
-        pending.add(call);
-        call.broadcast = gossip.broadcastUntilAcknowledged(now, List.of(entry), requiredHolders, () -> {
-            if (pending.remove(call)) {
+        pending.add(request);
+        request.broadcastId = gossip.broadcastUntilAcknowledged(now, List.of(entry), requiredAcks, () -> {
+            if (pending.remove(request)) {
                 caller.acknowledge();
             }
         });
-        return call;
+        return request;
     }
 
-    /** Refuses requests that have timed out; to be called every 50 ms or so. */
+    /** Refuses requests that have timed out; to be called about every 50 ms. */
     void onTick(long now) {
-        for (Iterator<Pending> all = pending.iterator(); all.hasNext(); ) {
-            Pending call = all.next();
-            if (now >= call.deadlineMs) {
-                all.remove();
-                gossip.cancelBroadcast(call.broadcast);
-                call.caller.refuse(new FleetException(
+        for (Iterator<PendingRequest> requests = pending.iterator(); requests.hasNext(); ) {
+            PendingRequest request = requests.next();
+            if (now >= request.deadlineMs) {
+                requests.remove();
+                gossip.cancelBroadcast(request.broadcastId);
+                request.caller.refuse(new FleetException(
                         FleetException.Code.NOT_PRIMARY,
-                        "too few other core machines have confirmed it",
-                        "ask another machine of the core"));
+                        "too few other core machines have acknowledged the server's entry in time",
+                        "call another core machine"));
             }
         }
     }
 
-    /** Whether no request waits. */
+    /** Whether no request is waiting. */
     boolean isIdle() {
         return pending.isEmpty();
     }
--- a/src/main/java/quartzspan/controlplane/HeartbeatHandler.java
+++ b/src/main/java/quartzspan/controlplane/HeartbeatHandler.java
@@ -14,9 +14,9 @@
 /** Applies the heartbeats and deregistrations of servers to the registry. No clock, no I/O; times are milliseconds of a steady clock. */
 final class HeartbeatHandler {
     /**
-     * Disconnected from the rest of the core for longer than this, a machine applies heartbeats but refuses them: the other
-     * machines would count a server as lost that is heard here alone. Together with two heartbeats it has to stay below the
-     * timeout after which they do.
+     * After being disconnected from the rest of the core for longer than this, a machine applies heartbeats but refuses them:
+     * the other machines would declare a server lost that sends its heartbeats only to this one. This time plus two heartbeat
+     * intervals must be shorter than the timeout after which they do.
      */
     static final long MAX_STALENESS_MS = 1_200;
 
@@ -26,8 +26,7 @@
     private final WeightsDeadlines deadlines;
     private final LongSupplier freshAtMs;
 
-    /** @param freshAtMs when the state at this machine was last surely the newest */
-    /** @param freshAtMs when the state at this machine was last surely the newest */
+    /** @param freshAtMs time at which the local state was last known to be the latest */
     HeartbeatHandler(
             Registry registry,
             HeartbeatTracker heartbeats,
@@ -42,12 +41,12 @@
     }
 
     /**
-     * A heartbeat.
+     * Applies a heartbeat.
      *
      * @return the entry that other core machines must have before the heartbeat is acknowledged; null if none
      * @throws FleetException if the server has to call another machine
      */
-    RegistryEntry heartbeat(long now, String id, byte[] body) {
+    RegistryEntry onHeartbeat(long now, String id, byte[] body) {
         JsonObject json = JsonFields.parse(body);
         boolean draining = json.getString("state", "ready").equals("draining");
         RegistryEntry update = heartbeats.onServerHeartbeat(
@@ -55,7 +54,7 @@
                 id,
                 JsonFields.wholeNumber(json, "call_count", 0),
                 draining ? RegistryEntry.State.DRAINING : RegistryEntry.State.READY,
-                server(now, id, json));
+                parseServer(now, id, json));
         if (draining) {
             return update != null ? update : registry.entry(RegistryEntry.Subject.SERVER, id);
         }
@@ -65,20 +64,23 @@
         if (now - freshAtMs.getAsLong() > MAX_STALENESS_MS) {
             throw new FleetException(
                     FleetException.Code.NOT_PRIMARY,
-                    "this machine is disconnected from the core",
-                    "call another machine of the core");
+                    "this core machine is disconnected from the others",
+                    "call another core machine");
         }
         return null;
     }
 
-    /** A deregistration; returns the entry that other core machines must have before it is acknowledged. */
-    RegistryEntry deregistration(long now, String id) {
+    /** Applies a deregistration; returns the entry that other core machines must have before it is acknowledged. */
+    RegistryEntry onDeregistration(long now, String id) {
         RegistryEntry update = heartbeats.onDeregistered(now, id);
         return update != null ? update : registry.entry(RegistryEntry.Subject.SERVER, id);
     }
 
-    /** The server that a heartbeat describes; one with overdue weights counts as loading, so that it gets no requests. */
-    private Server server(long now, String id, JsonObject json) {
+    /**
+     * The server that a heartbeat describes. A server with overdue weights is registered as loading, so that it gets no
+     * requests.
+     */
+    private Server parseServer(long now, String id, JsonObject json) {
         String model = "";
         long weights = 0;
         if (json.get("models") instanceof JsonArray models && !models.isEmpty()) {
@@ -91,13 +93,13 @@
                 json.getString("zone", ""),
                 model,
                 weights,
-                weights == 0 ? 0 : deadlines.versionDueBy(now, model));
+                weights == 0 ? 0 : deadlines.latestOverdueVersion(now, model));
         Server server =
                 Server.of(new RegistryEntry(RegistryEntry.Subject.SERVER, id, 0, RegistryEntry.State.READY, text));
         if (server == null) {
             throw new FleetException(
                     FleetException.Code.MESSAGE_INVALID,
-                    "a heartbeat can't be read",
+                    "heartbeat has a missing or invalid field",
                     "send service, address, zone, state, models and call_count as documented");
         }
         return server;
--- a/src/main/java/quartzspan/controlplane/OperatorApi.java
+++ b/src/main/java/quartzspan/controlplane/OperatorApi.java
@@ -16,8 +16,8 @@
 import quartzspan.replication.Replica;
 
 /**
- * The requests of operators. Only the primary answers them, and only what a quorum has confirmed: a refusal that depends on the
- * state as much as an acknowledgement. Any other machine redirects the caller to the primary, or refuses with a remedy.
+ * Handles the requests of operators. Only the primary answers them, and only with what a quorum has confirmed; that includes
+ * refusals that depend on the state. Any other machine redirects the caller to the primary, or refuses with a remedy.
  */
 final class OperatorApi {
     private final LongSupplier clockMs;
@@ -30,46 +30,48 @@
         this.registry = registry;
     }
 
-    void replace(ClientConnection client, HttpRequest in, byte[] body, String pathSuffix) {
-        change(client, in, Change.Kind.REPLACE, base(in), body);
+    void replace(ClientConnection client, HttpRequest request, byte[] body, String pathSuffix) {
+        change(client, request, Change.Kind.REPLACE, baseVersion(request), body);
     }
 
-    void update(ClientConnection client, HttpRequest in, byte[] body, String pathSuffix) {
-        change(client, in, Change.Kind.UPDATE, base(in), body);
+    void update(ClientConnection client, HttpRequest request, byte[] body, String pathSuffix) {
+        change(client, request, Change.Kind.UPDATE, baseVersion(request), body);
     }
 
-    void nameWeights(ClientConnection client, HttpRequest in, byte[] body, String pathSuffix) {
-        change(client, in, Change.Kind.WEIGHTS, 0, body);
+    void setTargetVersion(ClientConnection client, HttpRequest request, byte[] body, String pathSuffix) {
+        change(client, request, Change.Kind.WEIGHTS, 0, body);
     }
 
-    private static long base(HttpRequest in) {
-        long base = HttpFraming.number(in.headers().get("X-Base-Version"));
-        if (base < 0) {
+    private static long baseVersion(HttpRequest request) {
+        long baseVersion = HttpFraming.number(request.headers().get("X-Base-Version"));
+        if (baseVersion < 0) {
             throw new FleetException(
                     FleetException.Code.CONFIG_INVALID,
-                    "X-Base-Version is missing",
-                    "name the version that the change builds on, 0 for the first");
+                    "header X-Base-Version is missing or invalid",
+                    "send the version that the change is based on, 0 for the first configuration");
         }
-        return base;
+        return baseVersion;
     }
 
-    private void change(ClientConnection client, HttpRequest in, Change.Kind kind, long base, byte[] body) {
-        if (!redirectedToPrimary(client, in)) {
-            replicaHost.submit(new Change(kind, base, body), answerTo(client, state -> RequestRouter.ok(client)));
+    private void change(ClientConnection client, HttpRequest request, Change.Kind kind, long baseVersion, byte[] body) {
+        if (!redirectToPrimary(client, request)) {
+            replicaHost.submit(
+                    new Change(kind, baseVersion, body), respondTo(client, state -> RequestRouter.ok(client)));
         }
     }
 
-    void describe(ClientConnection client, HttpRequest in, byte[] body, String pathSuffix) {
-        if (!redirectedToPrimary(client, in)) {
-            replicaHost.read(answerTo(
+    void describe(ClientConnection client, HttpRequest request, byte[] body, String pathSuffix) {
+        if (!redirectToPrimary(client, request)) {
+            replicaHost.read(respondTo(
                     client,
                     state -> RequestRouter.answer(
                             client, HttpResponseStatus.OK, state.configuration().bytes())));
         }
     }
 
-    /** Passes the replica's answer on to a client, unless that has disconnected by then. */
-    private static PendingReplicaRequests.Callback answerTo(ClientConnection client, Consumer<ControlState> onGranted) {
+    /** Sends the replica's result to a client, unless it has disconnected in the meantime. */
+    private static PendingReplicaRequests.Callback respondTo(
+            ClientConnection client, Consumer<ControlState> onGranted) {
         AtomicBoolean disconnected = new AtomicBoolean();
         client.onDisconnect(() -> disconnected.set(true));
         return (refusal, state) -> {
@@ -84,8 +86,8 @@
         };
     }
 
-    /** Redirects the caller to the primary, if that is another machine; whether it did. */
-    private boolean redirectedToPrimary(ClientConnection client, HttpRequest in) {
+    /** Redirects the caller if another machine is primary; returns whether it did. */
+    private boolean redirectToPrimary(ClientConnection client, HttpRequest request) {
         Replica replica = replicaHost.replica();
         if (replica.isPrimary()) {
             return false;
@@ -94,9 +96,9 @@
         RegistryEntry entry = primary == null ? null : registry.entry(RegistryEntry.Subject.CORE, primary);
         if (entry == null) {
             throw new FleetException(
-                    FleetException.Code.NOT_PRIMARY, "no primary is known at present", "retry in a moment");
+                    FleetException.Code.NOT_PRIMARY, "no primary is currently known", "retry in a moment");
         }
-        RequestRouter.redirect(client, "http://" + CoreMachine.of(entry).controlAddress() + in.uri());
+        RequestRouter.redirect(client, "http://" + CoreMachine.of(entry).controlAddress() + request.uri());
         return true;
     }
 }
--- a/src/main/java/quartzspan/controlplane/RolloutCoordinator.java
+++ b/src/main/java/quartzspan/controlplane/RolloutCoordinator.java
@@ -12,149 +12,153 @@
 import quartzspan.replication.Epoch;
 
 /**
- * The rollout of named weights to servers: a singleton role that one machine has at a time, the primary, under a lease with a
- * fencing token.
+ * The rollout of target versions of weights to servers: a singleton role that one machine holds at a time, the
+ * primary, under a lease with a fencing token.
  *
- * <p>Servers need not check fencing tokens, so the holder before must have surely stopped when the next one begins. A holder
- * sends an order only within {@link #CONFIRMATION_VALID_MS} of the sending of a heartbeat that a majority acknowledged, which is
- * asked right before the bytes go out. Whoever becomes primary was granted its epoch by a majority after that, so all
- * earlier holders are silent {@link #CONFIRMATION_VALID_MS} after its leadership began, and it waits for the lease from there on. The
- * fencing token is the fence of the claim in the control state: it is this claim's alone, and higher than all before it.
+ * <p>Servers need not check fencing tokens, so the previous holder must have stopped when the next one begins. A
+ * holder sends an order only within {@link #CONFIRMATION_VALID_MS} of sending a heartbeat that a majority
+ * acknowledged; this is checked immediately before the bytes are written. A new primary was granted its epoch by a
+ * majority after that heartbeat, so all earlier holders have stopped sending orders {@link #CONFIRMATION_VALID_MS}
+ * after its leadership began, and it waits for the lease from then on. The fencing token is assigned to a claim in
+ * the control state: each claim has its own, higher than those of all earlier claims.
  *
  * <p>No clock, no I/O; times are milliseconds of a steady clock.
  */
 final class RolloutCoordinator {
-    /** An order is sent only by a primary whose place was confirmed within this. */
+    /** An order is sent only by a primary whose leadership was confirmed within this time. */
     static final long CONFIRMATION_VALID_MS = 450;
-    /** Longest time for which an order may be on its way: after that it is taken back from its connection. */
+    /** Longest time for which an order may be in flight; after that it is discarded from its connection. */
     static final long ORDER_TIMEOUT_MS = 550;
-    /** Between telling proxies that a server will load weights and ordering it to. */
-    static final long ANNOUNCE_MS = 60;
+    /** Time between announcing to the proxies that a server will load weights and sending the order to it. */
+    static final long ANNOUNCE_LEAD_MS = 60;
 
-    static final int STATUS_DONE = 200;
+    static final int STATUS_OK = 200;
     static final int STATUS_ACCEPTED = 202;
     private static final int STATUS_CONFLICT = 409;
-    private static final int STATUS_FENCED = 412;
+    private static final int STATUS_PRECONDITION_FAILED = 412;
     private static final int FIRST_SERVER_ERROR = 500;
 
     private static final long REPORT_INTERVAL_MS = 250;
     private static final long REPORT_EXPIRY_MS = 10_000;
 
     /**
-     * This machine's place as primary.
+     * This machine's leadership as primary.
      *
-     * @param epoch names the term; each has one primary
-     * @param confirmedAt when the last heartbeat that a majority acknowledged was sent
+     * @param epoch identifies the term; each term has one primary
+     * @param confirmedAtMs when the last heartbeat that a majority acknowledged was sent
      * @param holder the replica that last claimed the rollout; empty if none ever did
      * @param fencingToken fencing token of that claim
-     * @param weights versions of weights that were named, by model
+     * @param targets target versions of weights, by model
      */
-    record Leadership(Epoch epoch, long confirmedAt, String holder, long fencingToken, Map<String, Long> weights) {}
+    record Leadership(Epoch epoch, long confirmedAtMs, String holder, long fencingToken, Map<String, Long> targets) {}
 
-    /** An order to one server. */
+    /** An order to one server to load a version. */
     record Order(Server server, String model, long version, long fencingToken) {}
 
-    /** The actions of the rollout. */
+    /** The actions that the coordinator takes on the control state, proxies and servers. */
     interface Actions {
-        /** Claims the rollout in the control state; {@link RolloutCoordinator#claimed} reports the outcome. */
+        /** Claims the rollout in the control state; {@link RolloutCoordinator#onClaimResult} reports the outcome. */
         void claim(Epoch leadership);
 
-        /** Announces to proxies that a server is about to load weights: they send it no requests for other versions. */
+        /**
+         * Announces to the proxies that a server is about to load weights, so that they send it no requests for other
+         * versions.
+         */
         void announce(Server server, long version);
 
         /** Sends an order, if {@link RolloutCoordinator#mayOrder} permits it right before the write; {@link
          * RolloutCoordinator#onResponse} reports the outcome. */
-        void order(Order order);
+        void sendOrder(Order order);
 
-        /** Asks a server which weights it has. */
-        void report(Server server);
+        /** Requests a server's report on its weights. */
+        void requestReport(Server server);
 
-        /** How far a rollout is; called at each tick of the lease holder. */
-        void progress(RolloutPlanner.Status status);
+        /** Reports the progress of a rollout; called at each tick of the lease holder. */
+        void onProgress(RolloutPlanner.Status status);
 
-        /** A server has the weights that it was ordered to load. */
-        void loaded(LoadTracker.Finished load);
+        /** A server has finished loading the weights that it was ordered to load. */
+        void onLoaded(LoadTracker.FinishedLoad load);
     }
 
-    private record Announced(long dueAt, Order order) {}
+    private record AnnouncedOrder(long dueAtMs, Order order) {}
 
     private final String self;
     private final long leaseMs;
-    private final Supplier<Optional<Leadership>> leaderships;
+    private final Supplier<Optional<Leadership>> currentLeadership;
     private final Actions actions;
-    private final RolloutPlanner rollout;
-    private final List<Announced> announced = new ArrayList<>();
-    private final Map<String, Long> reportAt = new HashMap<>();
+    private final RolloutPlanner planner;
+    private final List<AnnouncedOrder> announcedOrders = new ArrayList<>();
+    private final Map<String, Long> nextReportAtMs = new HashMap<>();
 
     private Epoch epoch = Epoch.NONE;
     private long leadershipSinceMs;
     private boolean claiming;
     private boolean claimGranted;
     private long fencingToken;
-    private long leaseBeginsAtMs;
-    /** Fence of the claim under which this process was last free to give orders. */
-    private long servedToken = -1;
+    private long leaseStartsAtMs;
+    /** Fencing token of the last claim under which this process held the lease. */
+    private long lastActiveToken = -1;
 
     /**
-     * @param rollout plans which server is ordered when
-     * @param leaderships this machine's leadership at the moment; empty while it is not primary
+     * @param planner plans which server is ordered when
+     * @param currentLeadership this machine's current leadership; empty while it is not primary
      */
     RolloutCoordinator(
             String self,
             long leaseMs,
-            RolloutPlanner rollout,
-            Supplier<Optional<Leadership>> leaderships,
+            RolloutPlanner planner,
+            Supplier<Optional<Leadership>> currentLeadership,
             Actions actions) {
         this.self = self;
         this.leaseMs = leaseMs;
-        this.rollout = rollout;
-        this.leaderships = leaderships;
+        this.planner = planner;
+        this.currentLeadership = currentLeadership;
         this.actions = actions;
     }
 
     /**
-     * To be called every 50 ms or so.
+     * To be called about every 50 ms.
      *
-     * @param known the servers known at present
+     * @param knownServers the servers that are currently known
      */
-    void onTick(long now, Supplier<List<Server>> known) {
-        Optional<Leadership> leadership = leaderships.get();
+    void onTick(long now, Supplier<List<Server>> knownServers) {
+        Optional<Leadership> leadership = currentLeadership.get();
         if (leadership.isEmpty()) {
-            resign();
+            resetLeadership();
             return;
         }
-        follow(now, leadership.get());
-        rollout.observe(now, leadership.get().weights());
-        if (leadership.get().weights().isEmpty()) {
+        trackLeadership(now, leadership.get());
+        planner.observe(now, leadership.get().targets());
+        if (leadership.get().targets().isEmpty()) {
             return;
         }
         if (!claimGranted) {
             claim(leadership.get());
             return;
         }
-        List<Server> servers = known.get();
+        List<Server> servers = knownServers.get();
         withdraw(now, leadership.get(), servers);
         if (!holdsLease(now, leadership.get())) {
             return;
         }
-        servedToken = fencingToken;
-        sendAnnounced(now);
-        announce(now, leadership.get(), servers);
-        report(now, servers);
-        rollout.takeFinished().forEach(actions::loaded);
-        rollout.statuses().forEach(actions::progress);
+        lastActiveToken = fencingToken;
+        sendAnnouncedOrders(now);
+        announceDueOrders(now, leadership.get(), servers);
+        requestReports(now, servers);
+        planner.takeFinished().forEach(actions::onLoaded);
+        planner.statuses().forEach(actions::onProgress);
     }
 
-    private void resign() {
+    private void resetLeadership() {
         epoch = Epoch.NONE;
         claiming = false;
         claimGranted = false;
-        announced.clear();
+        announcedOrders.clear();
     }
 
-    private void follow(long now, Leadership leadership) {
+    private void trackLeadership(long now, Leadership leadership) {
         if (!leadership.epoch().equals(epoch)) {
-            resign();
+            resetLeadership();
             epoch = leadership.epoch();
             leadershipSinceMs = now;
         }
@@ -165,76 +169,78 @@
             return;
         }
         claiming = true;
-        boolean noOtherSince = leadership.holder().isEmpty()
-                || leadership.holder().equals(self) && leadership.fencingToken() == servedToken;
-        leaseBeginsAtMs = noOtherSince
+        boolean noOtherHolderSince = leadership.holder().isEmpty()
+                || leadership.holder().equals(self) && leadership.fencingToken() == lastActiveToken;
+        leaseStartsAtMs = noOtherHolderSince
                 ? leadershipSinceMs
                 : leadershipSinceMs + CONFIRMATION_VALID_MS + ORDER_TIMEOUT_MS + leaseMs;
         actions.claim(leadership.epoch());
     }
 
-    /** What became of the claim made in a term; {@code claimFence} is its fence if it was granted. */
-    void claimed(Epoch leadership, boolean granted, long grantedToken) {
+    /** The claim made in a term has been granted or not; {@code claimToken} is its fencing token if it was granted. */
+    void onClaimResult(Epoch leadership, boolean granted, long claimToken) {
         if (!leadership.equals(epoch) || !claiming) {
             return;
         }
         claiming = false;
         claimGranted = granted;
-        fencingToken = grantedToken;
+        fencingToken = claimToken;
     }
 
     private boolean holdsLease(long now, Leadership leadership) {
         return claimGranted
                 && leadership.epoch().equals(epoch)
-                && now >= leaseBeginsAtMs
-                && now - leadership.confirmedAt() <= CONFIRMATION_VALID_MS;
+                && now >= leaseStartsAtMs
+                && now - leadership.confirmedAtMs() <= CONFIRMATION_VALID_MS;
     }
 
-    /** Whether an order may go out at this very moment. */
+    /** Whether an order may be sent at this moment. */
     boolean mayOrder(long now, Order order) {
-        Optional<Leadership> leadership = leaderships.get();
+        Optional<Leadership> leadership = currentLeadership.get();
         return leadership.isPresent() && order.fencingToken() == fencingToken && holdsLease(now, leadership.get());
     }
 
-    private void sendAnnounced(long now) {
-        for (Iterator<Announced> all = announced.iterator(); all.hasNext(); ) {
-            Announced next = all.next();
-            if (now >= next.dueAt()) {
-                all.remove();
-                actions.order(next.order());
+    private void sendAnnouncedOrders(long now) {
+        for (Iterator<AnnouncedOrder> orders = announcedOrders.iterator(); orders.hasNext(); ) {
+            AnnouncedOrder next = orders.next();
+            if (now >= next.dueAtMs()) {
+                orders.remove();
+                actions.sendOrder(next.order());
             }
         }
     }
 
-    /** Takes servers whose weights are about to be overdue out of service; that needs no lease, for it orders nothing. */
+    /**
+     * Takes servers whose weights are about to be overdue out of service. This needs no lease, because it sends no orders.
+     */
     private void withdraw(long now, Leadership leadership, List<Server> servers) {
-        for (RolloutPlanner.Order late : rollout.toWithdraw(now, leadership.weights(), servers)) {
+        for (RolloutPlanner.Order late : planner.dueWithdrawals(now, leadership.targets(), servers)) {
             actions.announce(late.server(), late.version());
         }
     }
 
-    private void announce(long now, Leadership leadership, List<Server> servers) {
-        for (RolloutPlanner.Order due : rollout.due(now, leadership.weights(), servers)) {
-            rollout.ordered(now, due);
-            reportAt.put(due.server().id(), now + REPORT_INTERVAL_MS);
+    private void announceDueOrders(long now, Leadership leadership, List<Server> servers) {
+        for (RolloutPlanner.Order due : planner.dueOrders(now, leadership.targets(), servers)) {
+            planner.onOrdered(now, due);
+            nextReportAtMs.put(due.server().id(), now + REPORT_INTERVAL_MS);
             actions.announce(due.server(), due.version());
-            announced.add(new Announced(
-                    now + ANNOUNCE_MS, new Order(due.server(), due.model(), due.version(), fencingToken)));
+            announcedOrders.add(new AnnouncedOrder(
+                    now + ANNOUNCE_LEAD_MS, new Order(due.server(), due.model(), due.version(), fencingToken)));
         }
     }
 
-    private void report(long now, List<Server> servers) {
-        for (String id : rollout.under(now)) {
-            if (now >= reportAt.getOrDefault(id, 0L)) {
-                reportAt.put(id, now + REPORT_INTERVAL_MS);
-                servers.stream().filter(s -> s.id().equals(id)).findFirst().ifPresent(actions::report);
+    private void requestReports(long now, List<Server> servers) {
+        for (String id : planner.loadingServers(now)) {
+            if (now >= nextReportAtMs.getOrDefault(id, 0L)) {
+                nextReportAtMs.put(id, now + REPORT_INTERVAL_MS);
+                servers.stream().filter(s -> s.id().equals(id)).findFirst().ifPresent(actions::requestReport);
             }
         }
-        reportAt.values().removeIf(at -> now - at > REPORT_EXPIRY_MS);
+        nextReportAtMs.values().removeIf(at -> now - at > REPORT_EXPIRY_MS);
     }
 
-    /** An order as sent to its server. */
-    static String json(Order order, String holder) {
+    /** The JSON of an order, as sent to its server. */
+    static String toJson(Order order, String holder) {
         StringBuilder json = new StringBuilder("{\"operation\":\"version\",\"model\":");
         JsonLines.quote(json, order.model());
         json.append(",\"version\":").append(order.version()).append(",\"method\":\"queue\",\"holder\":");
@@ -245,17 +251,17 @@
                 .toString();
     }
 
-    /** How an order ended; see {@link ServerClient.ResponseListener}. */
+    /** The request of an order has ended; see {@link ServerClient.ResponseListener}. */
     void onResponse(long now, Order order, int status) {
         String server = order.server().id();
-        if (status == STATUS_DONE || status == STATUS_ACCEPTED || status == STATUS_CONFLICT) {
-            // In conflict is a server that is under an earlier order.
-            rollout.confirmed(now, server);
+        if (status == STATUS_OK || status == STATUS_ACCEPTED || status == STATUS_CONFLICT) {
+            // A server in conflict is executing an earlier order.
+            planner.onConfirmed(now, server);
         } else if (status == ServerClient.NOT_SENT || status >= FIRST_SERVER_ERROR) {
-            rollout.refused(now, server);
+            planner.onRefused(now, server);
         }
-        if (status == STATUS_FENCED && order.fencingToken() == fencingToken) {
-            // The server has seen a higher token: only a new claim can be above it.
+        if (status == STATUS_PRECONDITION_FAILED && order.fencingToken() == fencingToken) {
+            // The server knows a higher token, which only the token of a new claim exceeds.
             claimGranted = false;
         }
     }
@@ -263,9 +269,9 @@
     /** A server has reported whether it is loading. */
     void onReport(long now, String server, boolean loading) {
         if (loading) {
-            rollout.confirmed(now, server);
+            planner.onConfirmed(now, server);
         } else {
-            rollout.idle(now, server);
+            planner.onIdle(now, server);
         }
     }
 }
--- a/src/main/java/quartzspan/controlplane/ServerClient.java
+++ b/src/main/java/quartzspan/controlplane/ServerClient.java
@@ -18,7 +18,8 @@
 import quartzspan.registry.Server;
 
 /**
- * The core machine's own requests to servers, over pooled connections: a new one costs a server as much as a small request.
+ * Sends the core machine's own requests to servers, over pooled connections: a new connection costs a server as much as a
+ * small request.
  */
 final class ServerClient {
     private static final Logger LOG = LoggerFactory.getLogger(ServerClient.class);
@@ -26,10 +27,10 @@
     private static final int CONNECTIONS_PER_SERVER = 4;
     /** Status of a request that ended without a response: it may have been executed. */
     static final int NO_RESPONSE = 0;
-    /** Status of a request that was surely not executed. */
+    /** Status of a request that was certainly not executed. */
     static final int NOT_SENT = -1;
 
-    /** Called once when a request ends, with a status of HTTP, {@link #NO_RESPONSE} or {@link #NOT_SENT}. */
+    /** Called once when a request ends, with an HTTP status, {@link #NO_RESPONSE} or {@link #NOT_SENT}. */
     interface ResponseListener {
         void onResponse(int status, byte[] body);
     }
@@ -39,14 +40,14 @@
 
     ServerClient(ConnectionPool connectionPool) {
         this.connectionPool = connectionPool;
-        // An order that was abandoned must not reach its server after the orders of the next lease holder.
+        // An abandoned order must not reach its server after the orders of the next lease holder.
         connectionPool.discardUnsentOnClose();
     }
 
     /** Closes the connections to servers that have deregistered. */
-    void forget(Predicate<String> gone) {
+    void closeDeregistered(Predicate<String> deregistered) {
         endpoints.entrySet().removeIf(e -> {
-            if (!gone.test(e.getKey())) {
+            if (!deregistered.test(e.getKey())) {
                 return false;
             }
             connectionPool.closeIdle(e.getValue());
@@ -56,14 +57,14 @@
 
     /** Sends a GET request. */
     void get(Server server, String path, Map<String, String> headers, ResponseListener listener) {
-        call(server, "GET", path, headers, "", CALL_TIMEOUT_MS, () -> true, listener);
+        send(server, "GET", path, headers, "", CALL_TIMEOUT_MS, () -> true, listener);
     }
 
     /**
-     * Sends a POST request that must go out only while it is permitted.
+     * Sends a POST request that may be written only while it is permitted.
      *
-     * @param timeoutMs time after which it is abandoned and can't arrive any more
-     * @param permitted asked right before each write to the socket, once the connection is established
+     * @param timeoutMs time after which the request is abandoned and can no longer arrive
+     * @param permitted checked immediately before each write to the socket, once the connection is established
      */
     void post(
             Server server,
@@ -73,14 +74,14 @@
             BooleanSupplier permitted,
             ResponseListener listener) {
         Map<String, String> headers = Map.of("Content-Type", "application/json");
-        call(server, "POST", path, headers, json, timeoutMs, permitted, listener);
+        send(server, "POST", path, headers, json, timeoutMs, permitted, listener);
     }
 
-    private void call(
+    private void send(
             Server server,
             String method,
             String path,
-            Map<String, String> more,
+            Map<String, String> extraHeaders,
             String body,
             long timeoutMs,
             BooleanSupplier permitted,
@@ -89,19 +90,19 @@
         if (!server.model().isEmpty()) {
             headers.set("X-Expected-Instance", server.id());
         }
-        more.forEach(headers::set);
-        AnyResponse reading = new AnyResponse();
-        ConnectionPool.CompletionListener end = (outcome, answer) -> {
+        extraHeaders.forEach(headers::set);
+        AnyStatusHandler responseHandler = new AnyStatusHandler();
+        ConnectionPool.CompletionListener onCompletion = (outcome, response) -> {
             try {
                 listener.onResponse(
-                        answer != null ? reading.status : outcome.neverRan() ? NOT_SENT : NO_RESPONSE,
-                        answer != null ? answer.body() : new byte[0]);
+                        response != null ? responseHandler.status : outcome.neverRan() ? NOT_SENT : NO_RESPONSE,
+                        response != null ? response.body() : new byte[0]);
             } catch (RuntimeException e) {
-                LOG.warn("response of server {} can't be read", server.id(), e);
+                LOG.warn("response of server {} can't be processed", server.id(), e);
             }
         };
-        // Servers' responses to these requests bear no id: a late one on a pooled connection would be taken for an
-        // order's.
+        // Servers' responses to these requests carry no ID: a late response on a pooled connection would be taken
+        // for that of an order.
         ConnectionPool.Reuse reuse = method.equals("POST") ? ConnectionPool.Reuse.NONE : ConnectionPool.Reuse.ANY;
         connectionPool
                 .attempt(
@@ -109,8 +110,8 @@
                         new OutgoingRequest(method, path, headers, body.getBytes(StandardCharsets.UTF_8)),
                         TimeUnit.MILLISECONDS.toMicros(timeoutMs),
                         permitted,
-                        reading,
-                        end)
+                        responseHandler,
+                        onCompletion)
                 .start(reuse);
     }
 
@@ -126,8 +127,8 @@
         return endpoint;
     }
 
-    /** Takes the complete response of a server, whatever its status. */
-    private static final class AnyResponse implements ConnectionPool.ResponseHandler {
+    /** Accepts the complete response of a server, whatever its status. */
+    private static final class AnyStatusHandler implements ConnectionPool.ResponseHandler {
         private int status;
 
         @Override
--- a/src/main/java/quartzspan/controlplane/StatusReport.java
+++ b/src/main/java/quartzspan/controlplane/StatusReport.java
@@ -8,13 +8,13 @@
 import quartzspan.replication.Replica;
 
 /**
- * The status of a core machine as operators read it. It is not confirmed by a quorum: {@code fresh_ms} is the age of the last
+ * The status of a core machine for operators. It is not confirmed by a quorum: {@code fresh_ms} is the time since the last
  * confirmation.
  */
 final class StatusReport {
     private StatusReport() {}
 
-    static byte[] json(long now, String node, Replica replica, Registry registry) {
+    static byte[] toJson(long now, String node, Replica replica, Registry registry) {
         StringBuilder json = new StringBuilder("{\"node\":");
         JsonLines.quote(json, node);
         JsonLines.quote(json.append(",\"role\":"), replica.role().statusName());
@@ -32,20 +32,20 @@
                 .append(",\"fresh_ms\":")
                 .append(now - registry.freshAtMs());
         for (RegistryEntry.Subject subject : RegistryEntry.Subject.values()) {
-            entries(json, subject, registry);
+            appendEntries(json, subject, registry);
         }
         return json.append('}').toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    private static void entries(StringBuilder json, RegistryEntry.Subject subject, Registry registry) {
+    private static void appendEntries(StringBuilder json, RegistryEntry.Subject subject, Registry registry) {
         json.append(",\"").append(subject.name().toLowerCase(Locale.ROOT)).append("s\":[");
-        String comma = "";
+        String separator = "";
         for (RegistryEntry entry : registry.all(subject)) {
-            JsonLines.quote(json.append(comma).append("{\"key\":"), entry.key());
+            JsonLines.quote(json.append(separator).append("{\"key\":"), entry.key());
             JsonLines.quote(json.append(",\"state\":"), entry.state().name());
             JsonLines.quote(json.append(",\"text\":"), entry.text());
             json.append('}');
-            comma = ",";
+            separator = ",";
         }
         json.append(']');
     }
--- a/src/test/java/quartzspan/controlplane/DrainAcknowledgerTest.java
+++ b/src/test/java/quartzspan/controlplane/DrainAcknowledgerTest.java
@@ -18,7 +18,10 @@
 import quartzspan.registry.Registry;
 import quartzspan.registry.RegistryEntry;
 
-/** A server that leaves is answered only when its word outlives as many machines as may be lost at once. */
+/**
+ * A drain request is acknowledged only once its entry survives the loss of as many core machines as may be lost at
+ * once.
+ */
 class DrainAcknowledgerTest {
     private static final List<String> CORES = List.of("c1:1", "c2:1", "c3:1", "c4:1", "c5:1");
     private static final List<String> PROXIES = List.of("p1:1", "p2:1");
@@ -26,17 +29,16 @@
     private static final RegistryEntry DRAINING = entry(3, RegistryEntry.State.DRAINING);
     private static final int TICK_MS = 50;
 
-    /** A message on its way. */
-    private record Flight(String from, String to, GossipMessage message) {}
+    private record InFlightMessage(String from, String to, GossipMessage message) {}
 
     private final Map<String, Registry> registries = new LinkedHashMap<>();
     private final Map<String, Gossip> gossips = new LinkedHashMap<>();
-    private final ArrayDeque<Flight> flights = new ArrayDeque<>();
+    private final ArrayDeque<InFlightMessage> messagesInFlight = new ArrayDeque<>();
     private final Set<String> down = new HashSet<>();
-    private final List<String> answers = new ArrayList<>();
+    private final List<String> responses = new ArrayList<>();
     private long now;
 
-    private DrainAcknowledger leaves;
+    private DrainAcknowledger drainAcknowledger;
 
     private static RegistryEntry entry(long seq, RegistryEntry.State state) {
         return new RegistryEntry(RegistryEntry.Subject.SERVER, "i", seq, state, "s\t10.0.0.9:80\tz\tm\t1\t0");
@@ -47,7 +49,7 @@
         PROXIES.forEach(name -> start(name, false));
         registries.get("c1:1").merge(now, READY);
         run(2_000);
-        leaves = new DrainAcknowledger(gossips.get("c1:1"));
+        drainAcknowledger = new DrainAcknowledger(gossips.get("c1:1"));
     }
 
     private void start(String name, boolean core) {
@@ -55,33 +57,38 @@
         registries.put(name, registry);
         gossips.put(
                 name,
-                new Gossip(name, core, CORES, registry, (to, message) -> flights.add(new Flight(name, to, message))));
+                new Gossip(
+                        name,
+                        core,
+                        CORES,
+                        registry,
+                        (to, message) -> messagesInFlight.add(new InFlightMessage(name, to, message))));
     }
 
     private DrainAcknowledger.Caller caller() {
         return new DrainAcknowledger.Caller() {
             @Override
             public void acknowledge() {
-                answers.add("acknowledged");
+                responses.add("acknowledged");
             }
 
             @Override
-            public void refuse(FleetException why) {
-                answers.add(why.code().name());
+            public void refuse(FleetException refusal) {
+                responses.add(refusal.code().name());
             }
         };
     }
 
-    private DrainAcknowledger.Pending drain(int holders) {
+    private DrainAcknowledger.PendingRequest drain(int requiredAcks) {
         registries.get("c1:1").merge(now, DRAINING);
-        return leaves.begin(now, DRAINING, holders, caller());
+        return drainAcknowledger.begin(now, DRAINING, requiredAcks, caller());
     }
 
     private void deliver() {
-        while (!flights.isEmpty()) {
-            Flight flight = flights.poll();
-            if (!down.contains(flight.from()) && !down.contains(flight.to())) {
-                gossips.get(flight.to()).onGossip(now, flight.from(), flight.message());
+        while (!messagesInFlight.isEmpty()) {
+            InFlightMessage inFlight = messagesInFlight.poll();
+            if (!down.contains(inFlight.from()) && !down.contains(inFlight.to())) {
+                gossips.get(inFlight.to()).onGossip(now, inFlight.from(), inFlight.message());
             }
         }
     }
@@ -93,47 +100,47 @@
                     gossip.onTick(now, null);
                 }
             });
-            if (leaves != null) {
-                leaves.onTick(now);
+            if (drainAcknowledger != null) {
+                drainAcknowledger.onTick(now);
             }
             deliver();
         }
     }
 
-    private RegistryEntry.State seenBy(String name) {
+    private RegistryEntry.State stateAt(String name) {
         return registries.get(name).entry(RegistryEntry.Subject.SERVER, "i").state();
     }
 
     @Test
-    void oneOtherMachineIsNotEnoughWhereTwoMayBeLost() {
+    void oneAcknowledgementIsNotEnoughWhereTwoLossesAreTolerated() {
         down.addAll(List.of("c3:1", "c4:1", "c5:1"));
         drain(2);
         run(DrainAcknowledger.ACKNOWLEDGEMENT_TIMEOUT_MS - 100);
-        assertEquals(List.of(), answers);
+        assertEquals(List.of(), responses);
         run(200);
-        assertEquals(List.of("NOT_PRIMARY"), answers, "in time for the server to call another machine");
-        assertTrue(leaves.isIdle());
+        assertEquals(List.of("NOT_PRIMARY"), responses, "in time for the server to call another machine");
+        assertTrue(drainAcknowledger.isIdle());
         run(2_000);
-        assertEquals(1, answers.size(), "answered once");
+        assertEquals(1, responses.size(), "one response only");
     }
 
     @Test
-    void acknowledgedEntryOutlivesTheAcknowledgerAndAnotherMachine() {
-        // The proxies are cut off from those that are about to hear it, and hear nothing at first.
+    void acknowledgedEntrySurvivesTheLossOfTheAcknowledgingAndAnotherMachine() {
+        // The machines that receive the entry can't reach the proxies, which do not receive it at first.
         down.addAll(List.of("c4:1", "c5:1", "p1:1", "p2:1"));
         drain(2);
         run(TICK_MS);
-        assertEquals(List.of("acknowledged"), answers);
+        assertEquals(List.of("acknowledged"), responses);
         down.clear();
         down.addAll(List.of("c1:1", "c2:1"));
         run(2_000);
         for (String name : List.of("c3:1", "c4:1", "c5:1", "p1:1", "p2:1")) {
-            assertEquals(RegistryEntry.State.DRAINING, seenBy(name), name);
+            assertEquals(RegistryEntry.State.DRAINING, stateAt(name), name);
         }
     }
 
     @Test
-    void restartedMachineLearnsTheEntryFromOneThatMissedTheBroadcast() {
+    void restartedMachineReceivesTheEntryFromOneThatMissedTheBroadcast() {
         down.add("c5:1");
         drain(2);
         run(TICK_MS);
@@ -142,39 +149,39 @@
         start("c3:1", true);
         start("p1:1", false);
         run(2_000);
-        assertEquals(RegistryEntry.State.DRAINING, seenBy("c3:1"));
-        assertEquals(RegistryEntry.State.DRAINING, seenBy("c5:1"));
-        assertEquals(RegistryEntry.State.DRAINING, seenBy("p1:1"));
+        assertEquals(RegistryEntry.State.DRAINING, stateAt("c3:1"));
+        assertEquals(RegistryEntry.State.DRAINING, stateAt("c5:1"));
+        assertEquals(RegistryEntry.State.DRAINING, stateAt("p1:1"));
     }
 
     @Test
-    void aLostMessageIsSentAgainInTime() {
+    void lostMessageIsResentBeforeTheTimeout() {
         down.addAll(List.of("c2:1", "c3:1", "c4:1", "c5:1"));
         drain(2);
         run(300);
-        assertEquals(List.of(), answers);
+        assertEquals(List.of(), responses);
         down.clear();
         run(300);
-        assertEquals(List.of("acknowledged"), answers);
+        assertEquals(List.of("acknowledged"), responses);
     }
 
     @Test
-    void disconnectedCallerIsNotAnsweredAndForgotten() {
+    void requestOfADisconnectedCallerIsDroppedWithoutAResponse() {
         down.addAll(List.of("c2:1", "c3:1", "c4:1", "c5:1"));
-        DrainAcknowledger.Pending waiting = drain(1);
-        assertTrue(waiting.isPending());
-        waiting.cancel();
-        assertFalse(waiting.isPending());
-        assertTrue(leaves.isIdle());
+        DrainAcknowledger.PendingRequest request = drain(1);
+        assertTrue(request.isPending());
+        request.cancel();
+        assertFalse(request.isPending());
+        assertTrue(drainAcknowledger.isIdle());
         down.clear();
         run(2_000);
-        assertEquals(List.of(), answers);
+        assertEquals(List.of(), responses);
     }
 
     @Test
-    void withoutToleratedLossesTheEntryIsAcknowledgedAtOnce() {
+    void withoutToleratedLossesTheEntryIsAcknowledgedImmediately() {
         down.addAll(List.of("c2:1", "c3:1", "c4:1", "c5:1"));
         assertFalse(drain(0).isPending());
-        assertEquals(List.of("acknowledged"), answers);
+        assertEquals(List.of("acknowledged"), responses);
     }
 }
--- a/src/test/java/quartzspan/controlplane/RolloutDeadlineTest.java
+++ b/src/test/java/quartzspan/controlplane/RolloutDeadlineTest.java
@@ -8,24 +8,24 @@
 import org.junit.jupiter.api.Test;
 import quartzspan.controlplane.SimulatedRollout.LoadingServer;
 
-/** No server begins requests on weights longer than is allowed after newer ones were named. */
+/** No server begins requests on outdated weights after the deadline of a newer target version. */
 class RolloutDeadlineTest {
     private static final int SERVERS = 8;
     private static final long LOAD_MS = 2_600;
     private static final int SEEDS = 300;
 
     @Test
-    void serverThatEarlierRolloutsDidNotReachIsOrderedWithinTheTimeOfItsOldestNaming() {
+    void serverMissedByEarlierRolloutsIsOrderedBeforeItsEarliestDeadline() {
         SimulatedRollout rollout = new SimulatedRollout();
         for (int i = 0; i < SERVERS; i++) {
             rollout.add(new LoadingServer("i" + i, LOAD_MS));
         }
-        rollout.name(2).run(3_900).name(3).run(4_900).name(4).run(1_500);
+        rollout.setTarget(2).run(3_900).setTarget(3).run(4_900).setTarget(4).run(1_500);
         assertEquals(List.of(), rollout.overdue());
     }
 
     @Test
-    void everyServerIsOrderedInTimeWhateverIsNamedAndHoweverLongLoadsTake() {
+    void everyServerIsOrderedInTimeForAnyTargetVersionsAndLoadDurations() {
         for (int seed = 0; seed < SEEDS; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             SimulatedRollout rollout = new SimulatedRollout();
@@ -34,20 +34,20 @@
                 rollout.add(new LoadingServer("i" + i, random.nextLong(500, 9_000)));
             }
             for (int version = 2; version < 2 + random.nextInt(1, 8); version++) {
-                rollout.name(version).run(random.nextLong(100, 9_000));
+                rollout.setTarget(version).run(random.nextLong(100, 9_000));
             }
             rollout.run(2 * SimulatedRollout.APPLY_MS);
-            assertEquals(Set.of(), rollout.overdueEver(), "seed " + seed);
+            assertEquals(Set.of(), rollout.everOverdue(), "seed " + seed);
         }
     }
 
     @Test
-    void serverThatReturnsWithOverdueWeightsIsOrderedAtOnce() {
+    void serverThatReturnsWithOverdueWeightsIsOrderedImmediately() {
         SimulatedRollout rollout = new SimulatedRollout();
         for (int i = 0; i < SERVERS; i++) {
             rollout.add(new LoadingServer("i" + i, SimulatedRollout.APPLY_MS));
         }
-        rollout.name(2).run(SimulatedRollout.APPLY_MS);
+        rollout.setTarget(2).run(SimulatedRollout.APPLY_MS);
         rollout.restart(0);
         rollout.run(1);
         assertEquals(List.of(), rollout.overdue());
