--- a/src/main/java/quartzspan/controlplane/PrefixCacheIndexer.java
+++ b/src/main/java/quartzspan/controlplane/PrefixCacheIndexer.java
@@ -112,7 +112,7 @@
 
     private static Server store(Configuration.Service service) {
         return new Server(
-                PrefixCacheIndex.store(service.store()),
+                PrefixCacheIndex.storeId(service.store()),
                 service.name(),
                 service.store(),
                 service.zone(),
@@ -124,13 +124,13 @@
     }
 
     private void ask(long now, Server source, KvEventReader follower) {
-        switch (follower.due(now)) {
+        switch (follower.nextCall(now)) {
             case EVENTS -> call(
                     source,
                     follower,
                     "/quartzspan/kv-events?since=" + follower.since(),
                     Map.of("Wait-Ms", WAIT_MS),
-                    answer -> follower.events(
+                    answer -> follower.onEvents(
                             clockMs.getAsLong(),
                             JsonFields.wholeNumber(answer, "epoch", 0),
                             JsonFields.wholeNumber(answer, "next_token", 0),
@@ -141,7 +141,7 @@
                     follower,
                     "/quartzspan/kv-list",
                     Map.of(),
-                    answer -> List.of(follower.list(
+                    answer -> List.of(follower.onList(
                             clockMs.getAsLong(),
                             JsonFields.wholeNumber(answer, "epoch", 0),
                             JsonFields.wholeNumber(answer, "next_token", 0),
@@ -158,12 +158,12 @@
 
     private List<PrefixCacheUpdate> reports(KvEventReader follower, int status, byte[] body, ResponseParser parser) {
         if (status != 200) {
-            return follower.failed(clockMs.getAsLong());
+            return follower.onFailure(clockMs.getAsLong());
         }
         try {
             return parser.read(JsonFields.parse(body));
         } catch (FleetException | ClassCastException | NullPointerException | IndexOutOfBoundsException unreadable) {
-            return follower.failed(clockMs.getAsLong());
+            return follower.onFailure(clockMs.getAsLong());
         }
     }
 
@@ -184,7 +184,7 @@
         Set<String> to = new LinkedHashSet<>(gossip.cores());
         to.addAll(gossip.subscribers());
         for (PrefixCacheUpdate report : reports) {
-            prefixCacheIndex.take(clockMs.getAsLong(), report);
+            prefixCacheIndex.apply(clockMs.getAsLong(), report);
             to.forEach(other -> send(other, report));
         }
     }
@@ -202,7 +202,7 @@
             }
             return;
         }
-        if (prefixCacheIndex.take(clockMs.getAsLong(), update)) {
+        if (prefixCacheIndex.apply(clockMs.getAsLong(), update)) {
             transport.send(from, PrefixCacheUpdate.snapshotRequest(update.server()));
         } else if (fromCore) {
             List<String> cores = gossip.cores();
--- a/src/main/java/quartzspan/frontend/EndpointDirectory.java
+++ b/src/main/java/quartzspan/frontend/EndpointDirectory.java
@@ -97,7 +97,7 @@
     List<String> cacheStores() {
         return configuration().services().values().stream()
                 .map(Service::store)
-                .filter(store -> store != null && prefixCacheIndex.knows(PrefixCacheIndex.store(store)))
+                .filter(store -> store != null && prefixCacheIndex.hasUpdates(PrefixCacheIndex.storeId(store)))
                 .toList();
     }
 
@@ -148,7 +148,7 @@
         endpoints.remove(id);
         servers.remove(id);
         weights.remove(id);
-        prefixCacheIndex.forget(id);
+        prefixCacheIndex.remove(id);
     }
 
     private void update(Server server) {
--- a/src/main/java/quartzspan/frontend/FrontendProxy.java
+++ b/src/main/java/quartzspan/frontend/FrontendProxy.java
@@ -306,7 +306,7 @@
 
     private void receivedPrefixCacheUpdate(Hello from, PrefixCacheUpdate update) {
         boolean incomplete =
-                update.kind() != PrefixCacheUpdate.Kind.SNAPSHOT_REQUEST && prefixCacheIndex.take(nowMs(), update);
+                update.kind() != PrefixCacheUpdate.Kind.SNAPSHOT_REQUEST && prefixCacheIndex.apply(nowMs(), update);
         if (incomplete) {
             transport.send(from.address(), PrefixCacheUpdate.snapshotRequest(update.server()));
         }
--- a/src/main/java/quartzspan/frontend/PrefixCacheRouting.java
+++ b/src/main/java/quartzspan/frontend/PrefixCacheRouting.java
@@ -66,7 +66,7 @@
         long cachedHere = cachedTokens(server, blocks, prompt);
         long cachedAtSource = fetchFrom == null ? cachedHere : cachedTokens(source, blocks, prompt);
         for (String store : endpoints.cacheStores()) {
-            long stored = cachedTokens(PrefixCacheIndex.store(store), blocks, prompt);
+            long stored = cachedTokens(PrefixCacheIndex.storeId(store), blocks, prompt);
             if (stored > Math.max(cachedHere, cachedAtSource) + MIN_TRANSFER_TOKENS) {
                 fetchFrom = store;
                 cachedAtSource = stored;
--- a/src/main/java/quartzspan/frontend/Prompt.java
+++ b/src/main/java/quartzspan/frontend/Prompt.java
@@ -56,7 +56,7 @@
         }
         long[] names = new long[ids.length];
         for (int i = 0; i < ids.length; i++) {
-            names[i] = PrefixCacheIndex.block(salt, ids[i], model);
+            names[i] = PrefixCacheIndex.blockHash(salt, ids[i], model);
         }
         return names;
     }
--- a/src/main/java/quartzspan/prefixcache/KvEventReader.java
+++ b/src/main/java/quartzspan/prefixcache/KvEventReader.java
@@ -14,9 +14,9 @@
 
     private static final long RETRY_INTERVAL_MS = 700;
     /** Failures in a row after which nothing it keeps is of use. */
-    private static final int MAX_FAILURES = 2;
+    private static final int MAX_CONSECUTIVE_FAILURES = 2;
     /** A list delays the server; not more often than this. */
-    private static final long LIST_INTERVAL_MS = 3_000;
+    private static final long MIN_LIST_INTERVAL_MS = 3_000;
 
     /** What to ask the server for. */
     public enum NextCall {
@@ -38,7 +38,7 @@
     private boolean callInFlight;
     private int failures;
     private long nextCallAtMs;
-    private long listedAtMs = Long.MIN_VALUE / 2;
+    private long listRequestedAtMs = Long.MIN_VALUE / 2;
 
     public KvEventReader(String server, long stream) {
         this.server = server;
@@ -46,13 +46,13 @@
     }
 
     /** The call to make now; it has to end before the next one is due. */
-    public NextCall due(long now) {
-        if (callInFlight || now < nextCallAtMs) {
+    public NextCall nextCall(long nowMs) {
+        if (callInFlight || nowMs < nextCallAtMs) {
             return NextCall.NOTHING;
         }
         callInFlight = true;
-        if (listRequired && now - listedAtMs >= LIST_INTERVAL_MS) {
-            listedAtMs = now;
+        if (listRequired && nowMs - listRequestedAtMs >= MIN_LIST_INTERVAL_MS) {
+            listRequestedAtMs = nowMs;
             return NextCall.LIST;
         }
         return NextCall.EVENTS;
@@ -64,70 +64,71 @@
     }
 
     /** The question failed; the report it makes. One that does not answer is no source to fetch from. */
-    public List<PrefixCacheUpdate> failed(long now) {
+    public List<PrefixCacheUpdate> onFailure(long nowMs) {
         callInFlight = false;
-        nextCallAtMs = now + RETRY_INTERVAL_MS;
-        if (!started || ++failures < MAX_FAILURES) {
+        nextCallAtMs = nowMs + RETRY_INTERVAL_MS;
+        if (!started || ++failures < MAX_CONSECUTIVE_FAILURES) {
             return List.of();
         }
         started = false;
         listRequired = false;
         since = 0;
-        return List.of(report(PrefixCacheUpdate.Kind.SNAPSHOT, List.of()));
+        return List.of(update(PrefixCacheUpdate.Kind.SNAPSHOT, List.of()));
     }
 
     /** Events came; the reports they make. */
-    public List<PrefixCacheUpdate> events(long now, long serverEpoch, long next, boolean lost, List<Event> events) {
+    public List<PrefixCacheUpdate> onEvents(
+            long nowMs, long serverEpoch, long nextToken, boolean lost, List<Event> events) {
         callInFlight = false;
         failures = 0;
-        nextCallAtMs = now + CALL_INTERVAL_MS;
-        boolean first = !started || serverEpoch != epoch;
-        if (first) {
+        nextCallAtMs = nowMs + CALL_INTERVAL_MS;
+        boolean firstResponse = !started || serverEpoch != epoch;
+        if (firstResponse) {
             // A new incarnation of the server has nothing cached yet, and sends its events from the first one on.
             listRequired = started && since > 0 || lost;
             started = true;
             epoch = serverEpoch;
         }
         listRequired |= lost;
-        since = next;
-        List<Event> outcome = outcome(events);
-        if (first) {
-            return List.of(report(
+        since = nextToken;
+        List<Event> latest = latestPerBlock(events);
+        if (firstResponse) {
+            return List.of(update(
                     PrefixCacheUpdate.Kind.SNAPSHOT,
-                    outcome.stream().filter(e -> e.tokens() > 0).toList()));
+                    latest.stream().filter(event -> event.tokens() > 0).toList()));
         }
-        return outcome.isEmpty() ? List.of() : List.of(report(PrefixCacheUpdate.Kind.DELTA, outcome));
+        return latest.isEmpty() ? List.of() : List.of(update(PrefixCacheUpdate.Kind.DELTA, latest));
     }
 
     /**
      * The last event of each block: a server's events since its start are many times what it has cached now, and a new reader would
      * broadcast all of them.
      */
-    private static List<Event> outcome(List<Event> events) {
-        Map<List<String>, Event> last = new LinkedHashMap<>();
-        events.forEach(e -> last.put(List.of(e.salt(), e.id(), e.model()), e));
-        return List.copyOf(last.values());
+    private static List<Event> latestPerBlock(List<Event> events) {
+        Map<List<String>, Event> latest = new LinkedHashMap<>();
+        events.forEach(event -> latest.put(List.of(event.salt(), event.id(), event.model()), event));
+        return List.copyOf(latest.values());
     }
 
     /** The list came; the report it makes. */
-    public PrefixCacheUpdate list(long now, long serverEpoch, long next, List<Event> cached) {
+    public PrefixCacheUpdate onList(long nowMs, long serverEpoch, long nextToken, List<Event> cached) {
         callInFlight = false;
         failures = 0;
         listRequired = false;
         started = true;
-        nextCallAtMs = now + CALL_INTERVAL_MS;
+        nextCallAtMs = nowMs + CALL_INTERVAL_MS;
         epoch = serverEpoch;
-        since = next;
-        return report(PrefixCacheUpdate.Kind.SNAPSHOT, cached);
+        since = nextToken;
+        return update(PrefixCacheUpdate.Kind.SNAPSHOT, cached);
     }
 
-    private PrefixCacheUpdate report(PrefixCacheUpdate.Kind kind, List<Event> events) {
+    private PrefixCacheUpdate update(PrefixCacheUpdate.Kind kind, List<Event> events) {
         long[] blocks = new long[Math.min(PrefixCacheUpdate.MAX_BLOCKS, events.size())];
         int[] tokens = new int[blocks.length];
         for (int i = 0; i < blocks.length; i++) {
-            Event e = events.get(i);
-            blocks[i] = PrefixCacheIndex.block(e.salt(), e.id(), e.model());
-            tokens[i] = e.tokens();
+            Event event = events.get(i);
+            blocks[i] = PrefixCacheIndex.blockHash(event.salt(), event.id(), event.model());
+            tokens[i] = event.tokens();
         }
         return new PrefixCacheUpdate(kind, server, stream, ++seq, blocks, tokens);
     }
--- a/src/main/java/quartzspan/prefixcache/PrefixCacheIndex.java
+++ b/src/main/java/quartzspan/prefixcache/PrefixCacheIndex.java
@@ -15,8 +15,10 @@
      */
     private static final long SNAPSHOT_REQUEST_INTERVAL_MS = 1_500;
 
+    private static final int UNCACHED_TAIL_TOKENS = 64;
+
     private static final class ServerBlocks {
-        long requestedAtMs = Long.MIN_VALUE / 2;
+        long snapshotRequestedAtMs = Long.MIN_VALUE / 2;
         long stream;
         long seq;
         final Map<Long, Integer> blocks = new HashMap<>();
@@ -25,7 +27,7 @@
     private final Map<String, ServerBlocks> servers = new HashMap<>();
 
     /** The name of a block: a hash of the salt that it is cached under, its id and its model. */
-    public static long block(String salt, String id, String model) {
+    public static long blockHash(String salt, String id, String model) {
         return Hashing.xxh3_64()
                 .hashStream()
                 .putString(salt)
@@ -37,41 +39,41 @@
     /**
      * Applies an update; whether a snapshot is to be requested now, since updates before it are missing.
      *
-     * @param now milliseconds of a steady clock
+     * @param nowMs milliseconds of a steady clock
      */
-    public boolean take(long now, PrefixCacheUpdate c) {
-        ServerBlocks s = servers.computeIfAbsent(c.server(), k -> new ServerBlocks());
-        if (c.kind() == PrefixCacheUpdate.Kind.SNAPSHOT) {
-            if (c.stream() == s.stream && c.seq() < s.seq) {
+    public boolean apply(long nowMs, PrefixCacheUpdate update) {
+        ServerBlocks entry = servers.computeIfAbsent(update.server(), k -> new ServerBlocks());
+        if (update.kind() == PrefixCacheUpdate.Kind.SNAPSHOT) {
+            if (update.stream() == entry.stream && update.seq() < entry.seq) {
                 return false;
             }
-            s.blocks.clear();
-        } else if (c.stream() != s.stream || c.seq() > s.seq + 1) {
-            return shouldRequestSnapshot(now, s);
-        } else if (c.seq() <= s.seq) {
+            entry.blocks.clear();
+        } else if (update.stream() != entry.stream || update.seq() > entry.seq + 1) {
+            return shouldRequestSnapshot(nowMs, entry);
+        } else if (update.seq() <= entry.seq) {
             return false;
         }
-        s.stream = c.stream();
-        s.seq = c.seq();
-        for (int i = 0; i < c.blocks().length; i++) {
-            put(s, c.blocks()[i], c.tokens()[i]);
+        entry.stream = update.stream();
+        entry.seq = update.seq();
+        for (int i = 0; i < update.blocks().length; i++) {
+            put(entry, update.blocks()[i], update.tokens()[i]);
         }
         return false;
     }
 
-    private static boolean shouldRequestSnapshot(long now, ServerBlocks s) {
-        if (now - s.requestedAtMs < SNAPSHOT_REQUEST_INTERVAL_MS) {
+    private static boolean shouldRequestSnapshot(long nowMs, ServerBlocks entry) {
+        if (nowMs - entry.snapshotRequestedAtMs < SNAPSHOT_REQUEST_INTERVAL_MS) {
             return false;
         }
-        s.requestedAtMs = now;
+        entry.snapshotRequestedAtMs = nowMs;
         return true;
     }
 
-    private static void put(ServerBlocks s, long block, int tokens) {
+    private static void put(ServerBlocks entry, long block, int tokens) {
         if (tokens > 0) {
-            s.blocks.put(block, tokens);
+            entry.blocks.put(block, tokens);
         } else {
-            s.blocks.remove(block);
+            entry.blocks.remove(block);
         }
     }
 
@@ -82,50 +84,50 @@
 
     /** All that is known of a server; null if nothing is. */
     public PrefixCacheUpdate snapshot(String server) {
-        ServerBlocks s = servers.get(server);
-        if (s == null) {
+        ServerBlocks entry = servers.get(server);
+        if (entry == null) {
             return null;
         }
-        int n = Math.min(PrefixCacheUpdate.MAX_BLOCKS, s.blocks.size());
-        long[] blocks = new long[n];
-        int[] tokens = new int[n];
+        int count = Math.min(PrefixCacheUpdate.MAX_BLOCKS, entry.blocks.size());
+        long[] blocks = new long[count];
+        int[] tokens = new int[count];
         int i = 0;
-        for (Map.Entry<Long, Integer> e : s.blocks.entrySet()) {
-            if (i == n) {
+        for (Map.Entry<Long, Integer> block : entry.blocks.entrySet()) {
+            if (i == count) {
                 break;
             }
-            blocks[i] = e.getKey();
-            tokens[i++] = e.getValue();
+            blocks[i] = block.getKey();
+            tokens[i++] = block.getValue();
         }
-        return new PrefixCacheUpdate(PrefixCacheUpdate.Kind.SNAPSHOT, server, s.stream, s.seq, blocks, tokens);
+        return new PrefixCacheUpdate(PrefixCacheUpdate.Kind.SNAPSHOT, server, entry.stream, entry.seq, blocks, tokens);
     }
 
     /** Whether anything was ever reported of a server: it is there and answers. */
-    public boolean knows(String server) {
-        ServerBlocks s = servers.get(server);
-        return s != null && s.seq > 0;
+    public boolean hasUpdates(String server) {
+        ServerBlocks entry = servers.get(server);
+        return entry != null && entry.seq > 0;
     }
 
     /** The name under which a store of prompts stands in the index. */
-    public static String store(String address) {
+    public static String storeId(String address) {
         return "store " + address;
     }
 
     /** A server is gone. */
-    public void forget(String server) {
+    public void remove(String server) {
         servers.remove(server);
     }
 
     /** Tokens of a prompt that a server has cached: of its blocks in order, as far as all before are complete. */
     public long cachedTokens(String server, long[] blocks, long[] tokens) {
-        ServerBlocks s = servers.get(server);
+        ServerBlocks entry = servers.get(server);
         long sum = 0;
-        if (s != null) {
+        if (entry != null) {
             for (int i = 0; i < blocks.length; i++) {
-                int has = s.blocks.getOrDefault(blocks[i], 0);
-                sum += Math.min(has, tokens[i]);
+                int cached = entry.blocks.getOrDefault(blocks[i], 0);
+                sum += Math.min(cached, tokens[i]);
                 // Memory is allocated in pages: the last few tokens of a block are never cached.
-                if (has + 64 < tokens[i]) {
+                if (cached + UNCACHED_TAIL_TOKENS < tokens[i]) {
                     break;
                 }
             }
@@ -134,7 +136,7 @@
     }
 
     /** Number of blocks, over all servers. */
-    public int size() {
-        return servers.values().stream().mapToInt(s -> s.blocks.size()).sum();
+    public int blockCount() {
+        return servers.values().stream().mapToInt(entry -> entry.blocks.size()).sum();
     }
 }
