--- a/src/main/java/quartzspan/prefixcache/KvEventReader.java
+++ b/src/main/java/quartzspan/prefixcache/KvEventReader.java
@@ -5,27 +5,28 @@
 import java.util.Map;
 
 /**
- * Follows what one server keeps, by its events, and by its list where events were missed. No clock, no I/O: it says what to
- * call, gets the response, and returns updates of the index. Times are milliseconds of a steady clock.
+ * Tracks which prompt blocks one server has cached: reads the server's cache events, and its complete list after a gap in the
+ * events. It has no clock and does no I/O: it returns the next call to make, receives the response, and returns updates for the
+ * index. Times are milliseconds of a monotonic clock.
  */
 public final class KvEventReader {
-    /** Time between calls: each that comes back at once costs the server as much as a health check. */
+    /** Minimum time between calls: a call that returns immediately costs the server as much as a health check. */
     private static final long CALL_INTERVAL_MS = 450;
 
     private static final long RETRY_INTERVAL_MS = 700;
-    /** Failures in a row after which nothing it keeps is of use. */
+    /** Consecutive failures after which the server's blocks are removed from the index. */
     private static final int MAX_CONSECUTIVE_FAILURES = 2;
-    /** A list delays the server; not more often than this. */
+    /** Minimum time between list calls: listing delays the server's other work. */
     private static final long MIN_LIST_INTERVAL_MS = 3_000;
 
-    /** What to ask the server for. */
+    /** The next call to the server. */
     public enum NextCall {
         NOTHING,
         EVENTS,
         LIST
     }
 
-    /** A change of the cached blocks, as the server reports it. */
+    /** A change of one cached block as reported by the server; 0 tokens if the block was evicted. */
     public record Event(String salt, String id, int tokens, String model) {}
 
     private final String server;
@@ -45,7 +46,7 @@
         this.stream = stream;
     }
 
-    /** The call to make now; it has to end before the next one is due. */
+    /** Returns the call to make now and marks it as in flight; no other call is due until its response or failure is reported. */
     public NextCall nextCall(long nowMs) {
         if (callInFlight || nowMs < nextCallAtMs) {
             return NextCall.NOTHING;
@@ -58,12 +59,15 @@
         return NextCall.EVENTS;
     }
 
-    /** From where events are wanted. */
+    /** The token from which the next events call reads. */
     public long since() {
         return since;
     }
 
-    /** The question failed; the report it makes. One that does not answer is no source to fetch from. */
+    /**
+     * Handles a failed call. After {@link #MAX_CONSECUTIVE_FAILURES} it returns an empty snapshot: a server that does not respond
+     * can't be a source to fetch blocks from.
+     */
     public List<PrefixCacheUpdate> onFailure(long nowMs) {
         callInFlight = false;
         nextCallAtMs = nowMs + RETRY_INTERVAL_MS;
@@ -76,7 +80,7 @@
         return List.of(update(PrefixCacheUpdate.Kind.SNAPSHOT, List.of()));
     }
 
-    /** Events came; the reports they make. */
+    /** Handles the response to an events call; returns the updates to publish. */
     public List<PrefixCacheUpdate> onEvents(
             long nowMs, long serverEpoch, long nextToken, boolean lost, List<Event> events) {
         callInFlight = false;
@@ -84,7 +88,7 @@
         nextCallAtMs = nowMs + CALL_INTERVAL_MS;
         boolean firstResponse = !started || serverEpoch != epoch;
         if (firstResponse) {
-            // A new incarnation of the server has nothing cached yet, and sends its events from the first one on.
+            // A new incarnation of the server starts with an empty cache and sends all of its events.
             listRequired = started && since > 0 || lost;
             started = true;
             epoch = serverEpoch;
@@ -101,8 +105,8 @@
     }
 
     /**
-     * The last event of each block: a server's events since its start are many times what it has cached now, and a new reader would
-     * broadcast all of them.
+     * The last event of each block. The events since a server's start are many times its currently cached blocks, and a new
+     * reader would otherwise broadcast all of them.
      */
     private static List<Event> latestPerBlock(List<Event> events) {
         Map<List<String>, Event> latest = new LinkedHashMap<>();
@@ -110,7 +114,7 @@
         return List.copyOf(latest.values());
     }
 
-    /** The list came; the report it makes. */
+    /** Handles the response to a list call; returns the snapshot to publish. */
     public PrefixCacheUpdate onList(long nowMs, long serverEpoch, long nextToken, List<Event> cached) {
         callInFlight = false;
         failures = 0;
--- a/src/main/java/quartzspan/prefixcache/PrefixCacheIndex.java
+++ b/src/main/java/quartzspan/prefixcache/PrefixCacheIndex.java
@@ -5,16 +5,18 @@
 import java.util.Map;
 
 /**
- * The index of cached prompt blocks: how many tokens of which block a server has. Fed by updates; a gap in their numbers leads to
- * the request of a snapshot. It may always be a little wrong: it says where to look, never what may be used.
+ * Index of cached prompt blocks: for each server, the number of cached tokens of each block. It is maintained by updates; a gap in
+ * their sequence numbers leads to a request for a snapshot. Its content may be slightly stale: it is a hint about where to find
+ * blocks, and doesn't decide whether a cached block may be used.
  */
 public final class PrefixCacheIndex {
     /**
-     * Time between requests of a snapshot. Every update that comes meanwhile shows the same gap; a request for each would bring
-     * the snapshot as often, the more of them the slower the link is.
+     * Minimum time between requests for a snapshot. Every update received until the snapshot arrives shows the same gap;
+     * requesting a snapshot for each would transfer it as many times, and more often over a slower link.
      */
     private static final long SNAPSHOT_REQUEST_INTERVAL_MS = 1_500;
 
+    /** Servers cache whole memory pages: up to this many tokens at the end of a block are not cached. */
     private static final int UNCACHED_TAIL_TOKENS = 64;
 
     private static final class ServerBlocks {
@@ -26,7 +28,7 @@
 
     private final Map<String, ServerBlocks> servers = new HashMap<>();
 
-    /** The name of a block: a hash of the salt that it is cached under, its id and its model. */
+    /** Identifies a block: a hash of the salt that it is cached under, its id and its model. */
     public static long blockHash(String salt, String id, String model) {
         return Hashing.xxh3_64()
                 .hashStream()
@@ -37,9 +39,10 @@
     }
 
     /**
-     * Applies an update; whether a snapshot is to be requested now, since updates before it are missing.
+     * Applies an update.
      *
-     * @param nowMs milliseconds of a steady clock
+     * @param nowMs milliseconds of a monotonic clock
+     * @return whether to request a snapshot now, because earlier updates are missing
      */
     public boolean apply(long nowMs, PrefixCacheUpdate update) {
         ServerBlocks entry = servers.computeIfAbsent(update.server(), k -> new ServerBlocks());
@@ -77,12 +80,12 @@
         }
     }
 
-    /** This process saw that a server has prefilled a block. */
+    /** Records a block that a server has prefilled for a request of this process. */
     public void onPrefill(String server, long block, int tokens) {
         put(servers.computeIfAbsent(server, k -> new ServerBlocks()), block, tokens);
     }
 
-    /** All that is known of a server; null if nothing is. */
+    /** A snapshot of a server's blocks; null if the server is unknown. */
     public PrefixCacheUpdate snapshot(String server) {
         ServerBlocks entry = servers.get(server);
         if (entry == null) {
@@ -102,23 +105,22 @@
         return new PrefixCacheUpdate(PrefixCacheUpdate.Kind.SNAPSHOT, server, entry.stream, entry.seq, blocks, tokens);
     }
 
-    /** Whether anything was ever reported of a server: it is there and answers. */
+    /** Whether an update of this server was ever applied, which means that it responded to a reader. */
     public boolean hasUpdates(String server) {
         ServerBlocks entry = servers.get(server);
         return entry != null && entry.seq > 0;
     }
 
-    /** The name under which a store of prompts stands in the index. */
+    /** The id of a cache store in the index. */
     public static String storeId(String address) {
         return "store " + address;
     }
 
-    /** A server is gone. */
     public void remove(String server) {
         servers.remove(server);
     }
 
-    /** Tokens of a prompt that a server has cached: of its blocks in order, as far as all before are complete. */
+    /** Number of a prompt's tokens that a server has cached: a block counts only if all blocks before it are fully cached. */
     public long cachedTokens(String server, long[] blocks, long[] tokens) {
         ServerBlocks entry = servers.get(server);
         long sum = 0;
@@ -126,7 +128,6 @@
             for (int i = 0; i < blocks.length; i++) {
                 int cached = entry.blocks.getOrDefault(blocks[i], 0);
                 sum += Math.min(cached, tokens[i]);
-                // Memory is allocated in pages: the last few tokens of a block are never cached.
                 if (cached + UNCACHED_TAIL_TOKENS < tokens[i]) {
                     break;
                 }
@@ -135,7 +136,7 @@
         return sum;
     }
 
-    /** Number of blocks, over all servers. */
+    /** Number of cached blocks, summed over all servers. */
     public int blockCount() {
         return servers.values().stream().mapToInt(entry -> entry.blocks.size()).sum();
     }
--- a/src/main/java/quartzspan/prefixcache/package-info.java
+++ b/src/main/java/quartzspan/prefixcache/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The index of cached prompt blocks: which server has which block. No clock, no I/O.
+ * The index of cached prompt blocks: which server has which block. It has no clock and does no I/O.
  *
- * <p>Owns the index of one process. May import none of the other packages.
+ * <p>Owns the index of one process. Must not import any other package of the system.
  */
 package quartzspan.prefixcache;
--- a/src/test/java/quartzspan/prefixcache/PrefixCacheIndexTest.java
+++ b/src/test/java/quartzspan/prefixcache/PrefixCacheIndexTest.java
@@ -13,7 +13,7 @@
 import quartzspan.prefixcache.KvEventReader.NextCall;
 import quartzspan.prefixcache.PrefixCacheUpdate.Kind;
 
-/** The index of kept prompts: prefixes, gaps, new lives, and how a server's events are followed. */
+/** The index of cached prompt blocks: prefixes, gaps in the updates, restarted servers; and the reader of cache events. */
 class PrefixCacheIndexTest {
     private static PrefixCacheUpdate update(Kind kind, long stream, long seq, long block, int tokens) {
         return new PrefixCacheUpdate(kind, "i", stream, seq, new long[] {block}, new int[] {tokens});
@@ -29,7 +29,7 @@
         assertEquals(
                 1_002,
                 index.cachedTokens("i", new long[] {1, 2, 3}, new long[] {512, 400, 100}),
-                "blocks leave the last tokens");
+                "the last tokens of a block are not cached");
         index.onPrefill("i", 1, 128);
         assertEquals(128, index.cachedTokens("i", new long[] {1, 2, 3}, new long[] {512, 400, 100}));
         assertEquals(0, index.cachedTokens("j", new long[] {1}, new long[] {512}));
@@ -38,12 +38,12 @@
     @Test
     void gapRequestsASnapshotAndOldUpdatesChangeNothing() {
         PrefixCacheIndex index = new PrefixCacheIndex();
-        assertTrue(index.apply(0, update(Kind.DELTA, 5, 4, 1, 10)), "nothing before it is known");
+        assertTrue(index.apply(0, update(Kind.DELTA, 5, 4, 1, 10)), "the updates before it are missing");
         assertFalse(index.apply(100, update(Kind.SNAPSHOT, 5, 4, 1, 10)));
         assertFalse(index.apply(10_000, update(Kind.DELTA, 5, 5, 2, 10)));
-        assertFalse(index.apply(10_000, update(Kind.DELTA, 5, 5, 2, 0)), "twice");
-        assertTrue(index.apply(10_000, update(Kind.DELTA, 5, 7, 3, 10)), "one is missing");
-        assertTrue(index.apply(20_000, update(Kind.DELTA, 6, 6, 3, 10)), "another watcher");
+        assertFalse(index.apply(10_000, update(Kind.DELTA, 5, 5, 2, 0)), "duplicate update");
+        assertTrue(index.apply(10_000, update(Kind.DELTA, 5, 7, 3, 10)), "update 6 is missing");
+        assertTrue(index.apply(20_000, update(Kind.DELTA, 6, 6, 3, 10)), "stream of another reader");
         assertEquals(2, index.blockCount());
         assertFalse(index.apply(20_100, update(Kind.SNAPSHOT, 6, 9, 9, 10)));
         assertEquals(1, index.blockCount());
@@ -56,7 +56,7 @@
         long requests = IntStream.range(0, 30)
                 .filter(n -> index.apply(100L * n, update(Kind.DELTA, 5, 4 + n, 1, 10)))
                 .count();
-        assertEquals(2, requests, "in three seconds");
+        assertEquals(2, requests, "snapshot requests in three seconds");
         assertTrue(index.apply(2_900, new PrefixCacheUpdate(Kind.DELTA, "j", 5, 4, new long[] {1}, new int[] {10})));
     }
 
@@ -70,13 +70,13 @@
     void listIsRequestedOnlyAfterAGapInTheEvents() {
         KvEventReader reader = new KvEventReader("i", 8);
         assertEquals(NextCall.EVENTS, reader.nextCall(0));
-        assertEquals(NextCall.NOTHING, reader.nextCall(10_000), "one question at a time");
+        assertEquals(NextCall.NOTHING, reader.nextCall(10_000), "only one call in flight");
         List<PrefixCacheUpdate> updates = reader.onEvents(10, 77, 3, false, List.of(new Event("v1", "ab", 100, "m")));
         assertEquals(
                 List.of(Kind.SNAPSHOT),
                 updates.stream().map(PrefixCacheUpdate::kind).toList());
         assertEquals(1, updates.get(0).blocks().length);
-        assertEquals(NextCall.NOTHING, reader.nextCall(20), "paced");
+        assertEquals(NextCall.NOTHING, reader.nextCall(20), "minimum interval between calls");
         assertEquals(NextCall.EVENTS, reader.nextCall(1_000));
         assertEquals(3, reader.since());
         reader.onEvents(1_010, 77, 9, true, List.of());
@@ -88,7 +88,7 @@
         assertEquals(NextCall.NOTHING, reader.nextCall(3_100));
         assertEquals(NextCall.EVENTS, reader.nextCall(4_000));
         List<PrefixCacheUpdate> restarted = reader.onEvents(4_010, 78, 1, false, List.of());
-        assertEquals(Kind.SNAPSHOT, restarted.get(0).kind(), "a new life keeps nothing of the old");
+        assertEquals(Kind.SNAPSHOT, restarted.get(0).kind(), "a restarted server has none of the earlier blocks");
         assertEquals(0, restarted.get(0).blocks().length);
     }
 
@@ -112,6 +112,6 @@
                         List.of(new Event("v1", "part995", 100, "m"), new Event("v1", "part995", 0, "m")))
                 .get(0);
         assertEquals(Kind.DELTA, delta.kind());
-        assertArrayEquals(new int[] {0}, delta.tokens(), "what is let go is told once");
+        assertArrayEquals(new int[] {0}, delta.tokens(), "an eviction is published once");
     }
 }
