--- a/src/main/java/quartzspan/frontend/EndpointDirectory.java
+++ b/src/main/java/quartzspan/frontend/EndpointDirectory.java
@@ -33,9 +33,9 @@
     /** The servers that there are, as last announced. */
     private final Map<String, Server> servers = new HashMap<>();
     /** Version of the weights of each server, as last announced or seen. */
-    private final Map<String, Long> weights = new HashMap<>();
+    private final Map<String, Long> weightsVersions = new HashMap<>();
     /** The services that the bounds of connections were last taken from. */
-    private Map<String, Service> services = Map.of();
+    private Map<String, Service> configuredServices = Map.of();
 
     EndpointDirectory(
             Registry registry, ConnectionPool connectionPool, PrefixCacheIndex prefixCacheIndex, LongSupplier clockUs) {
@@ -57,22 +57,22 @@
 
     /** The address of a server as text; null if it is gone. */
     String address(String server) {
-        Server known = servers.get(server);
-        return known == null ? null : known.address();
+        Server listed = servers.get(server);
+        return listed == null ? null : listed.address();
     }
 
     /** Version of a server's weights; 0 if unknown. */
-    long weights(String server) {
-        return weights.getOrDefault(server, 0L);
+    long weightsVersion(String server) {
+        return weightsVersions.getOrDefault(server, 0L);
     }
 
     /**
      * The version of weights that a server has to have to run a request; 0 if unknown. One that is to load others must not run
      * it on those that it has: they may be overdue.
      */
-    long expectedWeights(String server) {
-        long has = weights(server);
-        return has == 0 ? 0 : Math.max(has, servers.get(server).loading());
+    long expectedWeightsVersion(String server) {
+        long current = weightsVersion(server);
+        return current == 0 ? 0 : Math.max(current, servers.get(server).loading());
     }
 
     /**
@@ -82,13 +82,14 @@
      * @return whether it may run the request if that is sent again
      */
     boolean onVersionMismatch(String server) {
-        long has = weights(server);
-        Server known = servers.get(server);
-        if (known == null || known.loading() > has) {
+        long current = weightsVersion(server);
+        Server listed = servers.get(server);
+        if (listed == null || listed.loading() > current) {
             return false;
         }
-        if (has > 0) {
-            weights.put(server, Math.max(has, registry.state().weights().getOrDefault(known.model(), 0L)));
+        if (current > 0) {
+            weightsVersions.put(
+                    server, Math.max(current, registry.state().weights().getOrDefault(listed.model(), 0L)));
         }
         return true;
     }
@@ -102,7 +103,7 @@
     }
 
     /** Number of proxies that share the servers, this one included. */
-    int proxies() {
+    int proxyCount() {
         return Math.max(1, registry.ready(RegistryEntry.Subject.PROXY).size());
     }
 
@@ -113,11 +114,11 @@
     // ---- updates -------------------------------------------------------------------------------------
 
     /** The registry was updated. */
-    void onUpdate(Registry.Update update) {
+    void onRegistryUpdate(Registry.Update update) {
         update.entries().forEach(this::onEntry);
-        if (update.state() && !configuration().services().equals(services)) {
+        if (update.state() && !configuration().services().equals(configuredServices)) {
             // The bounds of connections come from the configuration.
-            services = configuration().services();
+            configuredServices = configuration().services();
             registry.servers().forEach(this::onServer);
         }
     }
@@ -147,21 +148,21 @@
         connectionPool.closeIdle(endpoint);
         endpoints.remove(id);
         servers.remove(id);
-        weights.remove(id);
+        weightsVersions.remove(id);
         prefixCacheIndex.remove(id);
     }
 
     private void update(Server server) {
         boolean ready = server.state() == RegistryEntry.State.READY;
         ConnectionPool.Endpoint endpoint = endpoints.computeIfAbsent(server.id(), ConnectionPool.Endpoint::new);
-        Server before = servers.put(server.id(), server);
-        boolean moved = before == null || !server.address().equals(before.address());
-        if (moved || !ready) {
+        Server previous = servers.put(server.id(), server);
+        boolean addressChanged = previous == null || !server.address().equals(previous.address());
+        if (addressChanged || !ready) {
             connectionPool.closeIdle(endpoint);
         }
         endpoint.listed(socketAddress(server.address()), ready, maxConnections(server));
         placement.onListed(clockUs.getAsLong(), server.id(), server.service(), ready, server.loading() > 0);
-        weights.put(server.id(), server.weights());
+        weightsVersions.put(server.id(), server.weights());
     }
 
     private static InetSocketAddress socketAddress(String address) {
@@ -175,7 +176,7 @@
         Service service = configuration().services().get(server.service());
         return service == null
                 ? DEFAULT_MAX_CONNECTIONS
-                : Math.max(MIN_CONNECTIONS, service.maxConnections() / proxies());
+                : Math.max(MIN_CONNECTIONS, service.maxConnections() / proxyCount());
     }
 
     // ---- connections ---------------------------------------------------------------------------------
--- a/src/main/java/quartzspan/frontend/FrontendProxy.java
+++ b/src/main/java/quartzspan/frontend/FrontendProxy.java
@@ -40,17 +40,17 @@
  */
 public final class FrontendProxy implements HttpServer.RequestHandler {
     private static final Logger LOG = LoggerFactory.getLogger(FrontendProxy.class);
-    private static final int TICK_MS = 100;
+    private static final int TICK_INTERVAL_MS = 100;
     /** Descriptors that are kept for files and for connections of the system's own processes. */
     private static final int RESERVED_DESCRIPTORS = 300;
 
     private static final int MIN_CONNECTIONS = 64;
     private static final int CONNECT_TIMEOUT_US = 400_000;
     /** Idle connections to servers are closed before the servers close them. */
-    private static final long IDLE_TIMEOUT_US = 8_000_000;
+    private static final long SERVER_IDLE_TIMEOUT_US = 8_000_000;
 
-    private static final int IDLE_PEER_CONNECTION_MS = 10_000;
-    private static final long SHUTDOWN_TIMEOUT_MS = 200;
+    private static final int PEER_IDLE_TIMEOUT_MS = 10_000;
+    private static final long EVENT_LOOP_SHUTDOWN_TIMEOUT_MS = 200;
     /** Clients are advised to retry after this fraction of the latency target, and a random part of it. */
     private static final double RETRY_AFTER_FRACTION = 0.3;
 
@@ -63,7 +63,7 @@
     /** What a head may be longer, and a connection be idle longer, than clients are promised. */
     private static final int HEADER_MARGIN_BYTES = 1024;
 
-    private static final long IDLE_MARGIN_MS = 5_000;
+    private static final long CLIENT_IDLE_MARGIN_MS = 5_000;
     private static final int MIN_REQUEST_TIMEOUT_MS = 10_000;
 
     private final Settings settings;
@@ -83,24 +83,27 @@
     private final RequestClassifier classifier = new RequestClassifier(random);
     private final RetryBudget retryBudget = new RetryBudget();
     private final Set<ProxiedRequest> inFlight = new HashSet<>();
-    private final CountDownLatch ended = new CountDownLatch(1);
+    private final CountDownLatch shutdownComplete = new CountDownLatch(1);
     private final ShutdownSchedule shutdown;
     private boolean ready;
     /** Requests that were rejected because they might not have ended before the process. */
-    private int rejectedInShutdown;
+    private int rejectedDuringShutdown;
 
     private FrontendProxy(Settings settings, List<String> seeds, EventLoopGroup group, EventLoop loop) {
         this.settings = settings;
         this.group = group;
         this.loop = loop;
         this.shutdown = new ShutdownSchedule(gracePeriodMs(settings), nowMs());
-        String self = text(settings.internal());
+        String internalAddress = hostAndPort(settings.internal());
         int maxServerConnections = Math.max(MIN_CONNECTIONS, (settings.descriptors() - RESERVED_DESCRIPTORS) / 3);
-        this.connectionPool = new ConnectionPool(loop, CONNECT_TIMEOUT_US, IDLE_TIMEOUT_US, maxServerConnections);
+        this.connectionPool =
+                new ConnectionPool(loop, CONNECT_TIMEOUT_US, SERVER_IDLE_TIMEOUT_US, maxServerConnections);
         this.endpoints = new EndpointDirectory(registry, connectionPool, prefixCacheIndex, clock::now);
         this.prefixCacheRouting = new PrefixCacheRouting(endpoints, prefixCacheIndex, clock);
-        this.transport = new TcpTransport(loop, new Hello(false, self, "", settings.zone()), this::received);
-        this.gossip = new Gossip(self, false, seeds, registry, transport::send, Gossip.firstNonce(System.nanoTime()));
+        this.transport =
+                new TcpTransport(loop, new Hello(false, internalAddress, "", settings.zone()), this::onMessage);
+        this.gossip = new Gossip(
+                internalAddress, false, seeds, registry, transport::send, Gossip.firstNonce(System.nanoTime()));
         gossip.preferZone(settings.zone());
         this.httpServer = new HttpServer(this, loop);
         this.readinessServer = new HttpServer(new ReadinessHandler(clock, this::isReady), loop);
@@ -109,12 +112,12 @@
     /** Internal addresses of the core machines to begin with: on all machines the ports are alike. */
     private static List<String> seeds(Settings settings) {
         return settings.seeds().stream()
-                .map(s -> s.getHostString() + ':' + settings.internalPort())
+                .map(seed -> seed.getHostString() + ':' + settings.internalPort())
                 .toList();
     }
 
-    private static String text(InetSocketAddress at) {
-        return at.getHostString() + ':' + at.getPort();
+    private static String hostAndPort(InetSocketAddress address) {
+        return address.getHostString() + ':' + address.getPort();
     }
 
     /** Starts to serve; returns once it listens. It is ready when it has a configuration that is surely the newest. */
@@ -130,29 +133,32 @@
     private static FrontendProxy start(Settings settings, List<String> seeds) throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
-        FrontendProxy c = loop.submit(() -> new FrontendProxy(settings, seeds, group, loop))
+        FrontendProxy proxy = loop.submit(() -> new FrontendProxy(settings, seeds, group, loop))
                 .get();
-        for (ChannelFuture f : List.of(
-                c.transport.listen(settings.internal()),
-                loop.submit(() -> c.readinessServer.listen(settings.listens("readiness")))
+        for (ChannelFuture bound : List.of(
+                proxy.transport.listen(settings.internal()),
+                loop.submit(() -> proxy.readinessServer.listen(settings.listens("readiness")))
                         .get(),
-                loop.submit(() -> c.httpServer.listen(settings.listens("frontend")))
+                loop.submit(() -> proxy.httpServer.listen(settings.listens("frontend")))
                         .get())) {
-            if (!f.await().isSuccess()) {
+            if (!bound.await().isSuccess()) {
                 throw new FleetException(
                         FleetException.Code.ADDRESS_TAKEN,
-                        "can't listen: " + f.cause().getMessage(),
+                        "can't listen: " + bound.cause().getMessage(),
                         "end the process that uses the address");
             }
         }
         loop.submit(() -> {
-                    c.connectionPool.begin();
+                    proxy.connectionPool.begin();
                     loop.scheduleWithFixedDelay(
-                            new PeriodicTask("frontend proxy tick", c::tick), 1, TICK_MS, TimeUnit.MILLISECONDS);
+                            new PeriodicTask("frontend proxy tick", proxy::tick),
+                            1,
+                            TICK_INTERVAL_MS,
+                            TimeUnit.MILLISECONDS);
                 })
                 .get();
         LOG.info("proxy {} listens at {}", settings.nodeName(), settings.listens("frontend"));
-        return c;
+        return proxy;
     }
 
     /** Settings that changed while it serves: whom to ask first. */
@@ -161,17 +167,20 @@
     }
 
     /** Serves to the end what came and still comes, without losing any of it; returns when the process may end. */
-    void leave() {
+    void shutDownGracefully() {
         loop.execute(() -> {
             LOG.info("shutdown requested, {} requests in flight", inFlight.size());
             shutdown.begin(nowMs());
             ready = false;
             httpServer.closeAfterResponses();
             loop.scheduleWithFixedDelay(
-                    new PeriodicTask("shutdown", this::continueShutdown), TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
+                    new PeriodicTask("shutdown", this::continueShutdown),
+                    TICK_INTERVAL_MS,
+                    TICK_INTERVAL_MS,
+                    TimeUnit.MILLISECONDS);
         });
         try {
-            ended.await(gracePeriodMs(settings), TimeUnit.MILLISECONDS);
+            shutdownComplete.await(gracePeriodMs(settings), TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -179,17 +188,17 @@
 
     private void continueShutdown() {
         long now = nowMs();
-        if (shutdown.closesIdleConnections(now)) {
+        if (shutdown.shouldCloseIdleConnections(now)) {
             httpServer.closeIdle();
         }
-        if (ended.getCount() > 0 && shutdown.isOver(now, inFlight.isEmpty() && httpServer.isIdle())) {
+        if (shutdownComplete.getCount() > 0 && shutdown.mayExit(now, inFlight.isEmpty() && httpServer.isIdle())) {
             // From here to the process's end nothing more may be read: it would not be answered.
             httpServer.close();
             LOG.info(
                     "shutdown complete, {} requests rejected meanwhile, {} cut off",
-                    rejectedInShutdown,
+                    rejectedDuringShutdown,
                     inFlight.size());
-            ended.countDown();
+            shutdownComplete.countDown();
         }
     }
 
@@ -199,7 +208,8 @@
 
     /** Ends at once. */
     public void stop() {
-        group.shutdownGracefully(0, SHUTDOWN_TIMEOUT_MS, TimeUnit.MILLISECONDS).awaitUninterruptibly();
+        group.shutdownGracefully(0, EVENT_LOOP_SHUTDOWN_TIMEOUT_MS, TimeUnit.MILLISECONDS)
+                .awaitUninterruptibly();
     }
 
     // ---- what requests in flight use -----------------------------------------------------------------
@@ -234,7 +244,7 @@
     }
 
     /** A request has its final answer, or its client has disconnected. */
-    void onEnded(ProxiedRequest request) {
+    void onRequestEnded(ProxiedRequest request) {
         inFlight.remove(request);
     }
 
@@ -253,7 +263,7 @@
                 Math.max(MIN_CONNECTIONS, (settings.descriptors() - RESERVED_DESCRIPTORS) / 2),
                 limits.headerBytes() + HEADER_MARGIN_BYTES,
                 limits.bodyBytes(),
-                limits.idleTimeoutMs() + IDLE_MARGIN_MS,
+                limits.idleTimeoutMs() + CLIENT_IDLE_MARGIN_MS,
                 Math.max(MIN_REQUEST_TIMEOUT_MS, limits.headerTimeoutMs()));
     }
 
@@ -262,7 +272,7 @@
     }
 
     /** Whether the configuration known here is recent enough to authorise requests by it. */
-    private boolean isFresh() {
+    private boolean isConfigurationFresh() {
         if (configuration().version() == 0) {
             return false;
         }
@@ -274,11 +284,11 @@
     }
 
     private boolean isReady() {
-        return ready && isFresh() && !shutdown.begun();
+        return ready && isConfigurationFresh() && !shutdown.hasBegun();
     }
 
-    private void becomeReady() {
-        if (!ready && isFresh() && !shutdown.begun()) {
+    private void becomeReadyIfFresh() {
+        if (!ready && isConfigurationFresh() && !shutdown.hasBegun()) {
             ready = true;
             LOG.info("ready, configuration version {}", configuration().version());
         }
@@ -291,23 +301,23 @@
         shutdown.onTick(now);
         gossip.onTick(now, null);
         registry.expire(now);
-        transport.closeIdle(IDLE_PEER_CONNECTION_MS);
-        becomeReady();
+        transport.closeIdle(PEER_IDLE_TIMEOUT_MS);
+        becomeReadyIfFresh();
     }
 
-    private void received(Hello from, Object message) {
+    private void onMessage(Hello from, Object message) {
         if (message instanceof PrefixCacheUpdate update) {
-            receivedPrefixCacheUpdate(from, update);
+            onPrefixCacheUpdate(from, update);
         } else if (message instanceof GossipMessage gossipMessage) {
-            endpoints.onUpdate(gossip.onGossip(nowMs(), from.address(), gossipMessage));
-            becomeReady();
+            endpoints.onRegistryUpdate(gossip.onGossip(nowMs(), from.address(), gossipMessage));
+            becomeReadyIfFresh();
         }
     }
 
-    private void receivedPrefixCacheUpdate(Hello from, PrefixCacheUpdate update) {
-        boolean incomplete =
+    private void onPrefixCacheUpdate(Hello from, PrefixCacheUpdate update) {
+        boolean snapshotRequired =
                 update.kind() != PrefixCacheUpdate.Kind.SNAPSHOT_REQUEST && prefixCacheIndex.apply(nowMs(), update);
-        if (incomplete) {
+        if (snapshotRequired) {
             transport.send(from.address(), PrefixCacheUpdate.snapshotRequest(update.server()));
         }
     }
@@ -315,40 +325,40 @@
     // ---- requests of clients -------------------------------------------------------------------------
 
     @Override
-    public void onRequest(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long receivedAtUs) {
-        if (!isFresh()) {
+    public void onRequest(HttpServer.ClientConnection client, HttpRequest request, byte[] body, long receivedAtUs) {
+        if (!isConfigurationFresh()) {
             reject(client, NOT_READY_RETRY_AFTER_US);
             return;
         }
         Configuration configuration = configuration();
-        Route route = RequestClassifier.route(configuration, in);
+        Route route = RequestClassifier.route(configuration, request);
         if (route == null) {
             client.answer(HttpResponseStatus.NOT_FOUND);
             return;
         }
-        Tenant tenant = RequestClassifier.tenant(configuration, in);
+        Tenant tenant = RequestClassifier.tenant(configuration, request);
         if (configuration.hasTenants() && tenant == null && !route.open()) {
             client.answer(HttpResponseStatus.UNAUTHORIZED);
             return;
         }
-        long deadlineUs = RequestClassifier.deadlineUs(route, in, receivedAtUs);
+        long deadlineUs = RequestClassifier.deadlineUs(route, request, receivedAtUs);
         if (!shutdown.mayForward(nowMs(), deadlineUs / 1000)) {
-            rejectedInShutdown++;
+            rejectedDuringShutdown++;
             reject(client, retryAfterUs(route));
             return;
         }
         Settings.Bounds bounds = settings.bounds();
-        retryBudget.onRequest(bounds.retryBudgetRatio(), bounds.retryAllowance(), endpoints.proxies());
-        ProxiedRequest request = new ProxiedRequest(
+        retryBudget.onRequest(bounds.retryBudgetRatio(), bounds.retryAllowance(), endpoints.proxyCount());
+        ProxiedRequest proxied = new ProxiedRequest(
                 this,
                 client,
                 route,
-                classifier.placementRequest(route, in, tenant),
-                RequestClassifier.outgoing(configuration, in, body, route, tenant),
+                classifier.placementRequest(route, request, tenant),
+                RequestClassifier.outgoingRequest(configuration, request, body, route, tenant),
                 deadlineUs,
-                RequestClassifier.prompt(in, tenant));
-        inFlight.add(request);
-        request.start();
+                RequestClassifier.prompt(request, tenant));
+        inFlight.add(proxied);
+        proxied.start();
     }
 
     private static void reject(HttpServer.ClientConnection client, long retryAfterUs) {
--- a/src/main/java/quartzspan/frontend/Main.java
+++ b/src/main/java/quartzspan/frontend/Main.java
@@ -16,24 +16,24 @@
     public static void main(String[] args) {
         try {
             run(Settings.load());
-        } catch (Exception why) {
-            Settings.refuse(why, LOG::error);
+        } catch (Exception e) {
+            Settings.refuse(e, LOG::error);
         }
     }
 
     /** Starts the proxy and ties it to the process's signals; returns once it listens. */
     public static FrontendProxy run(Settings settings) throws Exception {
         FrontendProxy proxy = FrontendProxy.start(settings);
-        Signal.handle(new Signal("HUP"), hup -> reload(proxy));
-        Runtime.getRuntime().addShutdownHook(new Thread(proxy::leave));
+        Signal.handle(new Signal("HUP"), signal -> reload(proxy));
+        Runtime.getRuntime().addShutdownHook(new Thread(proxy::shutDownGracefully));
         return proxy;
     }
 
     private static synchronized void reload(FrontendProxy proxy) {
         try {
             proxy.reload(Settings.load());
-        } catch (FleetException why) {
-            LOG.error("the settings stay as they were: {}", why.toString());
+        } catch (FleetException e) {
+            LOG.error("the settings stay as they were: {}", e.toString());
         }
     }
 }
--- a/src/main/java/quartzspan/frontend/PrefixCacheRouting.java
+++ b/src/main/java/quartzspan/frontend/PrefixCacheRouting.java
@@ -23,12 +23,12 @@
     private static final long[] NO_BLOCKS = {};
 
     private final EndpointDirectory endpoints;
-    private final PrefixCacheIndex index;
+    private final PrefixCacheIndex prefixCacheIndex;
     private final Clock clock;
 
-    PrefixCacheRouting(EndpointDirectory endpoints, PrefixCacheIndex index, Clock clock) {
+    PrefixCacheRouting(EndpointDirectory endpoints, PrefixCacheIndex prefixCacheIndex, Clock clock) {
         this.endpoints = endpoints;
-        this.index = index;
+        this.prefixCacheIndex = prefixCacheIndex;
         this.clock = clock;
     }
 
@@ -38,7 +38,7 @@
      * @return the names of the prompt's blocks at that server; empty if its weights are unknown
      */
     long[] setHeaders(HttpHeaders headers, String server, PlacementRequest request, Prompt prompt) {
-        long version = endpoints.expectedWeights(server);
+        long version = endpoints.expectedWeightsVersion(server);
         if (version == 0) {
             if (!prompt.isolationKey().isEmpty()) {
                 headers.set(CACHE_SALT, prompt.isolationKey());
@@ -47,12 +47,12 @@
         }
         String salt = VERSION_PREFIX + version + prompt.isolationKey();
         headers.set(CACHE_SALT, salt).set(EXPECT_VERSION, version);
-        long[] blocks = prompt.blocks(salt);
-        setTransfers(headers, server, request, prompt, version, blocks);
+        long[] blocks = prompt.blockHashes(salt);
+        setTransferHeaders(headers, server, request, prompt, version, blocks);
         return blocks;
     }
 
-    private void setTransfers(
+    private void setTransferHeaders(
             HttpHeaders headers, String server, PlacementRequest request, Prompt prompt, long version, long[] blocks) {
         String source = endpoints
                 .placement()
@@ -60,33 +60,33 @@
                         clock.now(),
                         request,
                         server,
-                        other -> endpoints.weights(other) == version ? cachedTokens(other, blocks, prompt) : 0);
-        boolean usable = source != null && endpoints.weights(source) == version;
-        String fetchFrom = usable ? endpoints.address(source) : null;
-        long cachedHere = cachedTokens(server, blocks, prompt);
-        long cachedAtSource = fetchFrom == null ? cachedHere : cachedTokens(source, blocks, prompt);
+                        other -> endpoints.weightsVersion(other) == version ? cachedTokens(other, blocks, prompt) : 0);
+        boolean sourceHasVersion = source != null && endpoints.weightsVersion(source) == version;
+        String fetchAddress = sourceHasVersion ? endpoints.address(source) : null;
+        long cachedAtServer = cachedTokens(server, blocks, prompt);
+        long cachedAtSource = fetchAddress == null ? cachedAtServer : cachedTokens(source, blocks, prompt);
         for (String store : endpoints.cacheStores()) {
             long stored = cachedTokens(PrefixCacheIndex.storeId(store), blocks, prompt);
-            if (stored > Math.max(cachedHere, cachedAtSource) + MIN_TRANSFER_TOKENS) {
-                fetchFrom = store;
+            if (stored > Math.max(cachedAtServer, cachedAtSource) + MIN_TRANSFER_TOKENS) {
+                fetchAddress = store;
                 cachedAtSource = stored;
             }
-            if (isWorthSaving(prompt, stored)) {
+            if (shouldSave(prompt, stored)) {
                 headers.set(KV_SAVE, store);
             }
         }
-        if (fetchFrom != null) {
-            headers.set(KV_FETCH, fetchFrom);
+        if (fetchAddress != null) {
+            headers.set(KV_FETCH, fetchAddress);
         }
     }
 
     /** Blocks that other requests will need are saved; a prompt that is mostly its own would only evict those. */
-    private static boolean isWorthSaving(Prompt prompt, long stored) {
+    private static boolean shouldSave(Prompt prompt, long stored) {
         return stored + MIN_TRANSFER_TOKENS < prompt.sharedTokens()
                 && 2 * prompt.sharedTokens() >= prompt.totalTokens();
     }
 
     private long cachedTokens(String server, long[] blocks, Prompt prompt) {
-        return index.cachedTokens(server, blocks, prompt.tokens());
+        return prefixCacheIndex.cachedTokens(server, blocks, prompt.blockTokens());
     }
 }
--- a/src/main/java/quartzspan/frontend/Prompt.java
+++ b/src/main/java/quartzspan/frontend/Prompt.java
@@ -6,22 +6,22 @@
 
 /** The prompt of a request, by its blocks; the isolation key separates what tenants may not share. */
 final class Prompt {
-    private static final long[] NONE = {};
+    private static final long[] NO_BLOCKS = {};
 
-    private final String[] ids;
-    private final long[] tokens;
+    private final String[] blockIds;
+    private final long[] blockTokens;
     private final String model;
     private final String isolationKey;
 
     /** @param prefix blocks as ID:TOKENS, with commas between; null if there are none */
     Prompt(String prefix, String model, String isolationKey) {
         String[] blocks = prefix == null || prefix.isBlank() ? new String[0] : prefix.split(",");
-        ids = new String[blocks.length];
-        tokens = new long[blocks.length];
+        blockIds = new String[blocks.length];
+        blockTokens = new long[blocks.length];
         for (int i = 0; i < blocks.length; i++) {
             int colon = blocks[i].indexOf(':');
-            ids[i] = (colon < 0 ? blocks[i] : blocks[i].substring(0, colon)).trim();
-            tokens[i] = colon < 0
+            blockIds[i] = (colon < 0 ? blocks[i] : blocks[i].substring(0, colon)).trim();
+            blockTokens[i] = colon < 0
                     ? 0
                     : Math.max(
                             0, HttpFraming.number(blocks[i].substring(colon + 1).trim()));
@@ -35,29 +35,29 @@
     }
 
     /** Tokens of each block. */
-    long[] tokens() {
-        return tokens;
+    long[] blockTokens() {
+        return blockTokens;
     }
 
     /** Tokens of the complete prompt. */
     long totalTokens() {
-        return Arrays.stream(tokens).sum();
+        return Arrays.stream(blockTokens).sum();
     }
 
     /** Tokens of the blocks that other requests share: all but the last. */
     long sharedTokens() {
-        return totalTokens() - (tokens.length == 0 ? 0 : tokens[tokens.length - 1]);
+        return totalTokens() - (blockTokens.length == 0 ? 0 : blockTokens[blockTokens.length - 1]);
     }
 
     /** Names of the blocks under a salt. */
-    long[] blocks(String salt) {
-        if (ids.length == 0) {
-            return NONE;
+    long[] blockHashes(String salt) {
+        if (blockIds.length == 0) {
+            return NO_BLOCKS;
         }
-        long[] names = new long[ids.length];
-        for (int i = 0; i < ids.length; i++) {
-            names[i] = PrefixCacheIndex.blockHash(salt, ids[i], model);
+        long[] hashes = new long[blockIds.length];
+        for (int i = 0; i < blockIds.length; i++) {
+            hashes[i] = PrefixCacheIndex.blockHash(salt, blockIds[i], model);
         }
-        return names;
+        return hashes;
     }
 }
--- a/src/main/java/quartzspan/frontend/ProxiedRequest.java
+++ b/src/main/java/quartzspan/frontend/ProxiedRequest.java
@@ -25,9 +25,9 @@
  * response back.
  */
 final class ProxiedRequest implements ConnectionPool.ResponseHandler {
-    private static final String ATTEMPT_ID = "X-Attempt-Id";
-    private static final String SERVER_SEAL = "X-Server-Seal";
-    private static final String NOT_EXECUTED = "X-Not-Executed";
+    private static final String ATTEMPT_ID_HEADER = "X-Attempt-Id";
+    private static final String SERVER_SEAL_HEADER = "X-Server-Seal";
+    private static final String NOT_EXECUTED_HEADER = "X-Not-Executed";
     private static final List<CharSequence> HOP_BY_HOP_HEADERS = List.of(
             HttpHeaderNames.CONNECTION,
             "Keep-Alive",
@@ -54,20 +54,20 @@
     /** Names of the prompt's blocks at the server that executes it. */
     private long[] blocks = {};
 
-    private final Set<String> tried = new HashSet<>();
+    private final Set<String> triedServers = new HashSet<>();
     /** Servers that received it. */
-    private final Set<String> reached = new HashSet<>();
+    private final Set<String> reachedServers = new HashSet<>();
 
     /** The server of the next send, whatever the placement chooses; null to let it choose. */
     private String nextServer;
 
-    private int sends;
+    private int sendCount;
     private boolean mayHaveExecuted;
     private boolean responseStarted;
     private boolean ended;
     private String server;
     private ConnectionPool.Attempt attempt;
-    private HttpResponse head;
+    private HttpResponse responseHead;
 
     ProxiedRequest(
             FrontendProxy proxy,
@@ -83,54 +83,55 @@
         this.route = route;
         this.placementRequest = placementRequest;
         this.request = request;
-        this.attemptId = request.headers().get(ATTEMPT_ID);
+        this.attemptId = request.headers().get(ATTEMPT_ID_HEADER);
         this.deadlineUs = deadlineUs - DEADLINE_MARGIN_US;
     }
 
     void start() {
         client.onDisconnect(this::onDisconnect);
-        next();
+        sendAttempt();
     }
 
-    private void next() {
-        long left = deadlineUs - proxy.now();
-        String to = left <= 0 ? null : target();
-        ConnectionPool.Endpoint endpoint = to == null ? null : proxy.endpoints().endpoint(to);
+    private void sendAttempt() {
+        long remainingUs = deadlineUs - proxy.now();
+        String target = remainingUs <= 0 ? null : chooseServer();
+        ConnectionPool.Endpoint endpoint =
+                target == null ? null : proxy.endpoints().endpoint(target);
         if (endpoint == null) {
-            reject();
+            respondWithError();
             return;
         }
-        server = to;
-        head = null;
-        HttpHeaders headers = new DefaultHttpHeaders().set(request.headers()).set("X-Expected-Instance", to);
-        blocks = proxy.prefixCacheRouting().setHeaders(headers, to, placementRequest, prompt);
-        proxy.endpoints().placement().onSent(to, placementRequest);
+        server = target;
+        responseHead = null;
+        HttpHeaders headers = new DefaultHttpHeaders().set(request.headers()).set("X-Expected-Instance", target);
+        blocks = proxy.prefixCacheRouting().setHeaders(headers, target, placementRequest, prompt);
+        proxy.endpoints().placement().onSent(target, placementRequest);
         attempt = proxy.connectionPool()
                 .attempt(
                         endpoint,
                         new OutgoingRequest(request.method(), request.uri(), headers, request.body()),
-                        left,
+                        remainingUs,
                         () -> !ended,
                         this,
                         this::onAttemptEnded);
-        attempt.start(reuse(to));
+        attempt.start(connectionReuse(target));
     }
 
     /** The server that is to get it: the one that it goes to again, or a further one if the route allows that. */
-    private String target() {
-        String again = nextServer;
+    private String chooseServer() {
+        String preferred = nextServer;
         nextServer = null;
-        if (again != null && proxy.endpoints().endpoint(again) != null) {
-            return again;
+        if (preferred != null && proxy.endpoints().endpoint(preferred) != null) {
+            return preferred;
         }
-        return reached.size() < route.maxAttempts()
-                ? proxy.endpoints().placement().pick(proxy.now(), placementRequest, tried)
+        return reachedServers.size() < route.maxAttempts()
+                ? proxy.endpoints().placement().pick(proxy.now(), placementRequest, triedServers)
                 : null;
     }
 
     /** Two sends of one request have the same id, so that only their connections distinguish their responses. */
-    private ConnectionPool.Reuse reuse(String to) {
-        return reached.contains(to)
+    private ConnectionPool.Reuse connectionReuse(String target) {
+        return reachedServers.contains(target)
                 ? ConnectionPool.Reuse.NONE
                 : route.repeatable() ? ConnectionPool.Reuse.ANY : ConnectionPool.Reuse.RECENT;
     }
@@ -141,7 +142,7 @@
             if (attempt != null) {
                 attempt.cancel();
             }
-            proxy.onEnded(this);
+            proxy.onRequestEnded(this);
         }
     }
 
@@ -149,27 +150,29 @@
 
     /** Servers echo the id of the request that a response is to, and a success has its server's seal and an unencoded body. */
     @Override
-    public ResponseMatch match(HttpResponse answer) {
-        List<String> ids = answer.headers().getAll(ATTEMPT_ID);
+    public ResponseMatch match(HttpResponse response) {
+        List<String> ids = response.headers().getAll(ATTEMPT_ID_HEADER);
         if (!ids.equals(attemptId == null ? List.of() : List.of(attemptId))) {
             return ids.size() == 1 ? ResponseMatch.EARLIER : ResponseMatch.UNKNOWN;
         }
-        int status = answer.status().code();
+        int status = response.status().code();
         boolean success = status >= 200 && status < 300;
-        return !success || hasServerSeal(answer.headers()) ? ResponseMatch.CURRENT : ResponseMatch.UNKNOWN;
+        return !success || hasServerSeal(response.headers()) ? ResponseMatch.CURRENT : ResponseMatch.UNKNOWN;
     }
 
     private static boolean hasServerSeal(HttpHeaders headers) {
-        return headers.getAll(SERVER_SEAL).size() == 1 && !headers.contains(HttpHeaderNames.CONTENT_ENCODING);
+        return headers.getAll(SERVER_SEAL_HEADER).size() == 1 && !headers.contains(HttpHeaderNames.CONTENT_ENCODING);
     }
 
     @Override
-    public Outcome outcome(HttpResponse answer) {
-        head = answer;
-        int status = answer.status().code();
+    public Outcome outcome(HttpResponse response) {
+        responseHead = response;
+        int status = response.status().code();
         return status >= 200 && status < 300
                 ? Outcome.OK
-                : status == 421 || answer.headers().contains(NOT_EXECUTED) ? Outcome.QUEUE_FULL : Outcome.FAILED;
+                : status == 421 || response.headers().contains(NOT_EXECUTED_HEADER)
+                        ? Outcome.QUEUE_FULL
+                        : Outcome.FAILED;
     }
 
     @Override
@@ -178,27 +181,27 @@
     }
 
     @Override
-    public boolean streamsBody(HttpResponse answer) {
+    public boolean streamsBody(HttpResponse response) {
         if (ended) {
             return false;
         }
         responseStarted = true;
         proxy.endpoints().placement().onResponseStarted(server);
         for (int i = 0; i < blocks.length; i++) {
-            proxy.prefixCacheIndex().onPrefill(server, blocks[i], (int) prompt.tokens()[i]);
+            proxy.prefixCacheIndex().onPrefill(server, blocks[i], (int) prompt.blockTokens()[i]);
         }
-        HttpHeaders headers = endToEndHeaders(answer.headers());
+        HttpHeaders headers = endToEndHeaders(response.headers());
         if (request.method().equals("HEAD")) {
             // The response has no chunks, not even a last one.
             headers.remove(HttpHeaderNames.TRANSFER_ENCODING);
         }
-        client.startResponse(new DefaultHttpResponse(HttpVersion.HTTP_1_1, answer.status(), headers));
+        client.startResponse(new DefaultHttpResponse(HttpVersion.HTTP_1_1, response.status(), headers));
         return true;
     }
 
-    private static HttpHeaders endToEndHeaders(HttpHeaders from) {
-        HttpHeaders headers = new DefaultHttpHeaders().set(from);
-        from.getAll(HttpHeaderNames.CONNECTION)
+    private static HttpHeaders endToEndHeaders(HttpHeaders received) {
+        HttpHeaders headers = new DefaultHttpHeaders().set(received);
+        received.getAll(HttpHeaderNames.CONNECTION)
                 .forEach(names -> List.of(names.split(",")).forEach(name -> headers.remove(name.trim())));
         HOP_BY_HOP_HEADERS.forEach(headers::remove);
         return headers;
@@ -217,7 +220,7 @@
         });
     }
 
-    private void onAttemptEnded(Outcome outcome, Response answer) {
+    private void onAttemptEnded(Outcome outcome, Response response) {
         boolean stale = attempt.isStale();
         // That a server closes idle connections does not make it a failing one.
         proxy.endpoints().placement().onEnded(proxy.now(), server, placementRequest, stale ? Outcome.IGNORED : outcome);
@@ -232,76 +235,76 @@
             } else {
                 client.abort();
             }
-            proxy.onEnded(this);
+            proxy.onRequestEnded(this);
             return;
         }
-        tried.add(server);
-        boolean arrived = outcome != Outcome.CONNECT_ERROR && outcome != Outcome.IGNORED;
-        if (arrived) {
-            reached.add(server);
-            sends++;
+        triedServers.add(server);
+        boolean received = outcome != Outcome.CONNECT_ERROR && outcome != Outcome.IGNORED;
+        if (received) {
+            reachedServers.add(server);
+            sendCount++;
         }
         mayHaveExecuted |= !outcome.neverRan();
-        if (stale && sends < MAX_SENDS) {
+        if (stale && sendCount < MAX_SENDS) {
             nextServer = server;
         }
-        if (head != null && head.status().code() == 421) {
-            if (server.equals(head.headers().get("X-Instance-Id"))) {
+        if (responseHead != null && responseHead.status().code() == 421) {
+            if (server.equals(responseHead.headers().get("X-Instance-Id"))) {
                 // Where the same server has only changed its weights, it does not count as another attempt.
-                boolean mayRun = proxy.endpoints().onVersionMismatch(server);
-                nextServer = mayRun && sends < MAX_SENDS ? server : null;
+                boolean mayResend = proxy.endpoints().onVersionMismatch(server);
+                nextServer = mayResend && sendCount < MAX_SENDS ? server : null;
             } else {
                 proxy.endpoints().placement().onMisdirected(proxy.now(), server);
             }
         }
-        boolean again = (!mayHaveExecuted || route.repeatable())
-                && (nextServer != null || reached.size() < route.maxAttempts())
-                && tried.size() < MAX_SERVERS_TRIED
-                && (!arrived || proxy.retryBudget().tryAcquire());
+        boolean mayRetry = (!mayHaveExecuted || route.repeatable())
+                && (nextServer != null || reachedServers.size() < route.maxAttempts())
+                && triedServers.size() < MAX_SERVERS_TRIED
+                && (!received || proxy.retryBudget().tryAcquire());
         if (outcome == Outcome.FAILED
-                && answer != null
-                && (route.repeatable() || !promisesNotExecuted(head.status()))) {
+                && response != null
+                && (route.repeatable() || !impliesNotExecuted(responseHead.status()))) {
             // The server executed it, and this is its response.
-            answer(
-                    head.status(),
-                    new Response(answer.body(), null, withoutLength(endToEndHeaders(answer.headers()))),
+            respond(
+                    responseHead.status(),
+                    new Response(response.body(), null, withoutFramingHeaders(endToEndHeaders(response.headers()))),
                     0);
-        } else if (again) {
-            next();
+        } else if (mayRetry) {
+            sendAttempt();
         } else {
-            reject();
+            respondWithError();
         }
     }
 
     /** Clients take these for a promise that the request was not executed and never will be. */
-    private static boolean promisesNotExecuted(HttpResponseStatus status) {
+    private static boolean impliesNotExecuted(HttpResponseStatus status) {
         return switch (status.code()) {
             case 408, 421, 429, 503 -> true;
             default -> false;
         };
     }
 
-    private static HttpHeaders withoutLength(HttpHeaders headers) {
+    private static HttpHeaders withoutFramingHeaders(HttpHeaders headers) {
         return headers.remove(HttpHeaderNames.CONTENT_LENGTH).remove(HttpHeaderNames.TRANSFER_ENCODING);
     }
 
     // ---- the proxy's own answers --------------------------------------------------------------------------
 
     /** The final answer where no server gave one: when to retry if it was surely not executed, and no promise if it may have been. */
-    private void reject() {
+    private void respondWithError() {
         if (!mayHaveExecuted) {
-            answer(HttpResponseStatus.SERVICE_UNAVAILABLE, NO_BODY, proxy.retryAfterUs(route));
+            respond(HttpResponseStatus.SERVICE_UNAVAILABLE, NO_BODY, proxy.retryAfterUs(route));
         } else {
-            answer(
+            respond(
                     proxy.now() >= deadlineUs ? HttpResponseStatus.GATEWAY_TIMEOUT : HttpResponseStatus.BAD_GATEWAY,
                     NO_BODY,
                     0);
         }
     }
 
-    private void answer(HttpResponseStatus status, Response answer, long retryAfterUs) {
+    private void respond(HttpResponseStatus status, Response response, long retryAfterUs) {
         ended = true;
-        client.answer(status, answer, retryAfterUs);
-        proxy.onEnded(this);
+        client.answer(status, response, retryAfterUs);
+        proxy.onRequestEnded(this);
     }
 }
--- a/src/main/java/quartzspan/frontend/ReadinessHandler.java
+++ b/src/main/java/quartzspan/frontend/ReadinessHandler.java
@@ -26,9 +26,9 @@
     }
 
     @Override
-    public void onRequest(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
-        boolean known = in.uri().split("\\?", 2)[0].equals(PATH);
-        if (!known) {
+    public void onRequest(HttpServer.ClientConnection client, HttpRequest request, byte[] body, long receivedAtUs) {
+        boolean isReadinessPath = request.uri().split("\\?", 2)[0].equals(PATH);
+        if (!isReadinessPath) {
             client.answer(HttpResponseStatus.NOT_FOUND);
         } else {
             client.answer(ready.getAsBoolean() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE);
--- a/src/main/java/quartzspan/frontend/RequestClassifier.java
+++ b/src/main/java/quartzspan/frontend/RequestClassifier.java
@@ -18,17 +18,17 @@
 /** Works out what a client's request is by the configuration: its route, tenant, headers, deadline and placement key. */
 final class RequestClassifier {
     private static final String API_KEY_SCHEME = "Token ";
-    private static final String MODEL = "X-Model";
-    private static final String PROMPT_PREFIX = "X-Prompt-Prefix";
-    private static final String TOKEN_COUNT = "X-Token-Count";
-    private static final String DEADLINE_MS = "X-Deadline-Ms";
-    private static final String PRIORITY = "Priority";
+    private static final String MODEL_HEADER = "X-Model";
+    private static final String PROMPT_PREFIX_HEADER = "X-Prompt-Prefix";
+    private static final String TOKEN_COUNT_HEADER = "X-Token-Count";
+    private static final String DEADLINE_MS_HEADER = "X-Deadline-Ms";
+    private static final String PRIORITY_HEADER = "Priority";
     private static final int LOWEST_PRIORITY = 9;
     /** A tenant's priority weighs more than its route's. */
     private static final int TENANT_PRIORITY_STEP = 3;
     /** Headers that only the system sets. */
-    private static final List<String> SYSTEM_HEADERS =
-            List.of("X-Expected-Instance", "X-Tenant", "Cache-Salt", "Kv-Fetch", "Kv-Save", "Expect-Version", PRIORITY);
+    private static final List<String> SYSTEM_HEADERS = List.of(
+            "X-Expected-Instance", "X-Tenant", "Cache-Salt", "Kv-Fetch", "Kv-Save", "Expect-Version", PRIORITY_HEADER);
 
     private final SplittableRandom random;
 
@@ -37,17 +37,17 @@
     }
 
     /** The route of a request; null if there is none. */
-    static Route route(Configuration configuration, HttpRequest in) {
-        String host = in.headers()
+    static Route route(Configuration configuration, HttpRequest request) {
+        String host = request.headers()
                 .get(HttpHeaderNames.HOST, "")
                 .toLowerCase(Locale.ROOT)
                 .split(":", 2)[0];
-        return configuration.route(host, in.uri().split("\\?", 2)[0]);
+        return configuration.route(host, request.uri().split("\\?", 2)[0]);
     }
 
     /** The tenant whose key a request has; null if there is none, or the configuration names no tenants. */
-    static Tenant tenant(Configuration configuration, HttpRequest in) {
-        String authorization = in.headers().get(HttpHeaderNames.AUTHORIZATION, "");
+    static Tenant tenant(Configuration configuration, HttpRequest request) {
+        String authorization = request.headers().get(HttpHeaderNames.AUTHORIZATION, "");
         return configuration.hasTenants() && authorization.startsWith(API_KEY_SCHEME)
                 ? configuration.tenant(
                         authorization.substring(API_KEY_SCHEME.length()).trim())
@@ -55,10 +55,10 @@
     }
 
     /** The request as it is forwarded, but for the headers that depend on the server. */
-    static OutgoingRequest outgoing(
-            Configuration configuration, HttpRequest in, byte[] body, Route route, Tenant tenant) {
-        OutgoingRequest request = OutgoingRequest.of(in, body);
-        HttpHeaders headers = request.headers();
+    static OutgoingRequest outgoingRequest(
+            Configuration configuration, HttpRequest request, byte[] body, Route route, Tenant tenant) {
+        OutgoingRequest outgoing = OutgoingRequest.of(request, body);
+        HttpHeaders headers = outgoing.headers();
         SYSTEM_HEADERS.forEach(headers::remove);
         if (configuration.hasTenants()) {
             headers.remove(HttpHeaderNames.AUTHORIZATION);
@@ -69,23 +69,23 @@
         if (route.affine()) {
             int tenantPriority = tenant == null ? 0 : Math.max(0, tenant.priority());
             int priority = TENANT_PRIORITY_STEP * tenantPriority + Math.max(0, route.priority());
-            headers.set(PRIORITY, Math.min(LOWEST_PRIORITY, priority));
+            headers.set(PRIORITY_HEADER, Math.min(LOWEST_PRIORITY, priority));
         }
-        return request;
+        return outgoing;
     }
 
     /** The time, in microseconds, until which the client waits for an answer. */
-    static long deadlineUs(Route route, HttpRequest in, long receivedAtUs) {
-        long clientMs = HttpFraming.number(in.headers().get(DEADLINE_MS));
+    static long deadlineUs(Route route, HttpRequest request, long receivedAtUs) {
+        long clientMs = HttpFraming.number(request.headers().get(DEADLINE_MS_HEADER));
         long timeoutMs = Math.min(clientMs < 1 ? route.timeoutMs() : clientMs, route.timeoutMs());
         return receivedAtUs + 1000 * timeoutMs;
     }
 
     /** The prompt of a request. */
-    static Prompt prompt(HttpRequest in, Tenant tenant) {
-        HttpHeaders headers = in.headers();
+    static Prompt prompt(HttpRequest request, Tenant tenant) {
+        HttpHeaders headers = request.headers();
         String isolationKey = isIsolated(tenant) ? "w" + tenant.name() : "";
-        return new Prompt(headers.get(PROMPT_PREFIX), headers.get(MODEL, ""), isolationKey);
+        return new Prompt(headers.get(PROMPT_PREFIX_HEADER), headers.get(MODEL_HEADER, ""), isolationKey);
     }
 
     private static boolean isIsolated(Tenant tenant) {
@@ -93,32 +93,32 @@
     }
 
     /** What the placement needs: the key is the model, the isolation and the prompt blocks that other requests share. */
-    PlacementRequest placementRequest(Route route, HttpRequest in, Tenant tenant) {
-        HttpHeaders headers = in.headers();
-        String[] tokens = headers.get(TOKEN_COUNT, "0,0").split(",", 2);
-        String prefix = headers.get(PROMPT_PREFIX);
+    PlacementRequest placementRequest(Route route, HttpRequest request, Tenant tenant) {
+        HttpHeaders headers = request.headers();
+        String[] tokenCounts = headers.get(TOKEN_COUNT_HEADER, "0,0").split(",", 2);
+        String prefix = headers.get(PROMPT_PREFIX_HEADER);
         String key = null;
         if (route.affine() && prefix != null) {
-            int last = prefix.lastIndexOf(',');
-            String shared = last < 0 ? prefix : prefix.substring(0, last);
-            key = headers.get(MODEL, "") + '|' + (isIsolated(tenant) ? tenant.name() : "") + '|' + shared;
+            int lastComma = prefix.lastIndexOf(',');
+            String sharedPrefix = lastComma < 0 ? prefix : prefix.substring(0, lastComma);
+            key = headers.get(MODEL_HEADER, "") + '|' + (isIsolated(tenant) ? tenant.name() : "") + '|' + sharedPrefix;
         }
         return new PlacementRequest(
                 chooseService(route),
                 key,
-                Math.max(0, HttpFraming.number(tokens[0].trim())),
-                tokens.length < 2 ? 0 : Math.max(0, HttpFraming.number(tokens[1].trim())));
+                Math.max(0, HttpFraming.number(tokenCounts[0].trim())),
+                tokenCounts.length < 2 ? 0 : Math.max(0, HttpFraming.number(tokenCounts[1].trim())));
     }
 
     /** One of the route's services, at random by their weights. */
     private String chooseService(Route route) {
         List<Share> shares = new ArrayList<>(route.shares());
         shares.removeIf(share -> share.weight() == 0);
-        long sum = shares.stream().mapToLong(Share::weight).sum();
-        long left = random.nextLong(sum);
+        long totalWeight = shares.stream().mapToLong(Share::weight).sum();
+        long remaining = random.nextLong(totalWeight);
         for (Share share : shares) {
-            left -= share.weight();
-            if (left < 0) {
+            remaining -= share.weight();
+            if (remaining < 0) {
                 return share.service();
             }
         }
--- a/src/main/java/quartzspan/frontend/ShutdownSchedule.java
+++ b/src/main/java/quartzspan/frontend/ShutdownSchedule.java
@@ -5,7 +5,7 @@
  *
  * <ol>
  *   <li>At first every request is forwarded as before: clients still come until they have seen readiness say no.
- *   <li>After {@link #READINESS_MS} idle connections are closed, and a request is forwarded only if its deadline lies before
+ *   <li>After {@link #READINESS_PROPAGATION_MS} idle connections are closed, and a request is forwarded only if its deadline lies before
  *       the process's own end; any other is rejected, for it might be cut off in the middle.
  *   <li>The process ends when nothing is in flight and no new connection is expected, and {@link #KILL_MARGIN_MS} before the
  *       grace period is over in any case.
@@ -15,21 +15,21 @@
  */
 final class ShutdownSchedule {
     /** Time after which every client has seen that this proxy is not ready. */
-    static final long READINESS_MS = 2_900;
+    static final long READINESS_PROPAGATION_MS = 2_900;
     /** Time after which no new connection is expected any more. */
-    static final long NEW_CONNECTIONS_MS = 3_300;
+    static final long NEW_CONNECTION_WINDOW_MS = 3_300;
     /** How long before the platform kills the process it ends by itself. */
     static final long KILL_MARGIN_MS = 700;
 
     /** Without a tick for so long the process was frozen. */
-    static final long FREEZE_MS = 500;
+    static final long FREEZE_THRESHOLD_MS = 500;
     /** How long after a freeze a signal that came during it may be delivered. */
-    static final long SIGNAL_DELIVERY_MS = 500;
+    static final long SIGNAL_DELIVERY_WINDOW_MS = 500;
 
     private final long gracePeriodMs;
     private long lastTickMs;
     private long frozenAtMs;
-    private long thawedAtMs;
+    private long resumedAtMs;
     private long begunAtMs;
     private boolean begun;
 
@@ -38,14 +38,14 @@
         this.gracePeriodMs = gracePeriodMs;
         this.lastTickMs = nowMs;
         this.frozenAtMs = nowMs;
-        this.thawedAtMs = nowMs;
+        this.resumedAtMs = nowMs;
     }
 
     /** To be called every 100 ms or so while the process runs. */
     void onTick(long nowMs) {
-        if (nowMs - lastTickMs >= FREEZE_MS) {
+        if (nowMs - lastTickMs >= FREEZE_THRESHOLD_MS) {
             frozenAtMs = lastTickMs;
-            thawedAtMs = nowMs;
+            resumedAtMs = nowMs;
         }
         lastTickMs = nowMs;
     }
@@ -59,22 +59,22 @@
             return;
         }
         begun = true;
-        boolean justThawed = nowMs - thawedAtMs <= SIGNAL_DELIVERY_MS;
-        begunAtMs = justThawed ? frozenAtMs : lastTickMs;
+        boolean justResumed = nowMs - resumedAtMs <= SIGNAL_DELIVERY_WINDOW_MS;
+        begunAtMs = justResumed ? frozenAtMs : lastTickMs;
     }
 
-    boolean begun() {
+    boolean hasBegun() {
         return begun;
     }
 
     /** Whether a request that is received now may be forwarded, although it may take until its deadline. */
     boolean mayForward(long nowMs, long deadlineMs) {
-        return !begun || nowMs - begunAtMs < READINESS_MS || deadlineMs <= endMs();
+        return !begun || nowMs - begunAtMs < READINESS_PROPAGATION_MS || deadlineMs <= exitDeadlineMs();
     }
 
     /** Whether connections on which nothing is in flight are to be closed. */
-    boolean closesIdleConnections(long nowMs) {
-        return begun && nowMs - begunAtMs >= READINESS_MS;
+    boolean shouldCloseIdleConnections(long nowMs) {
+        return begun && nowMs - begunAtMs >= READINESS_PROPAGATION_MS;
     }
 
     /**
@@ -82,12 +82,12 @@
      *
      * @param idle whether no request is in flight
      */
-    boolean isOver(long nowMs, boolean idle) {
-        boolean drained = idle && nowMs - begunAtMs > NEW_CONNECTIONS_MS;
-        return begun && (drained || nowMs > endMs());
+    boolean mayExit(long nowMs, boolean idle) {
+        boolean drained = idle && nowMs - begunAtMs > NEW_CONNECTION_WINDOW_MS;
+        return begun && (drained || nowMs > exitDeadlineMs());
     }
 
-    private long endMs() {
+    private long exitDeadlineMs() {
         return begunAtMs + gracePeriodMs - KILL_MARGIN_MS;
     }
 }
--- a/src/test/java/quartzspan/frontend/ShutdownScheduleTest.java
+++ b/src/test/java/quartzspan/frontend/ShutdownScheduleTest.java
@@ -8,78 +8,78 @@
 /** The times of a graceful shutdown. */
 class ShutdownScheduleTest {
     private static final long GRACE_PERIOD_MS = 8_000;
-    private static final long START = 100_000;
-    private static final long END = START + GRACE_PERIOD_MS - ShutdownSchedule.KILL_MARGIN_MS;
+    private static final long START_MS = 100_000;
+    private static final long EXIT_DEADLINE_MS = START_MS + GRACE_PERIOD_MS - ShutdownSchedule.KILL_MARGIN_MS;
 
-    private final ShutdownSchedule schedule = new ShutdownSchedule(GRACE_PERIOD_MS, START);
+    private final ShutdownSchedule schedule = new ShutdownSchedule(GRACE_PERIOD_MS, START_MS);
 
     @Test
     void everythingIsForwardedBeforeAShutdown() {
-        assertTrue(schedule.mayForward(START + 50_000, START + 90_000));
-        assertFalse(schedule.closesIdleConnections(START + 50_000));
-        assertFalse(schedule.isOver(START + 50_000, true));
+        assertTrue(schedule.mayForward(START_MS + 50_000, START_MS + 90_000));
+        assertFalse(schedule.shouldCloseIdleConnections(START_MS + 50_000));
+        assertFalse(schedule.mayExit(START_MS + 50_000, true));
     }
 
     @Test
     void everythingIsForwardedUntilClientsHaveSeenTheReadiness() {
-        schedule.begin(START);
-        long last = START + ShutdownSchedule.READINESS_MS - 1;
-        assertTrue(schedule.mayForward(last, START + 90_000));
-        assertFalse(schedule.closesIdleConnections(last));
+        schedule.begin(START_MS);
+        long last = START_MS + ShutdownSchedule.READINESS_PROPAGATION_MS - 1;
+        assertTrue(schedule.mayForward(last, START_MS + 90_000));
+        assertFalse(schedule.shouldCloseIdleConnections(last));
     }
 
     @Test
     void laterOnlyWhatIsSureToEndIsForwarded() {
-        schedule.begin(START);
-        long later = START + ShutdownSchedule.READINESS_MS;
-        assertTrue(schedule.closesIdleConnections(later));
-        assertTrue(schedule.mayForward(later, END));
-        assertFalse(schedule.mayForward(later, END + 1));
+        schedule.begin(START_MS);
+        long later = START_MS + ShutdownSchedule.READINESS_PROPAGATION_MS;
+        assertTrue(schedule.shouldCloseIdleConnections(later));
+        assertTrue(schedule.mayForward(later, EXIT_DEADLINE_MS));
+        assertFalse(schedule.mayForward(later, EXIT_DEADLINE_MS + 1));
     }
 
     @Test
     void theGracePeriodOfAFrozenProcessRunsFromItsLastTick() {
-        schedule.onTick(START);
-        schedule.begin(START + 4_000);
-        assertTrue(schedule.closesIdleConnections(START + 4_000));
-        assertFalse(schedule.mayForward(START + 4_000, END + 1));
-        assertTrue(schedule.isOver(END + 1, false));
+        schedule.onTick(START_MS);
+        schedule.begin(START_MS + 4_000);
+        assertTrue(schedule.shouldCloseIdleConnections(START_MS + 4_000));
+        assertFalse(schedule.mayForward(START_MS + 4_000, EXIT_DEADLINE_MS + 1));
+        assertTrue(schedule.mayExit(EXIT_DEADLINE_MS + 1, false));
     }
 
     @Test
     void aSignalIsDeliveredAfterTheFirstTickOfAThawedProcess() {
-        schedule.onTick(START);
-        schedule.onTick(START + 4_000);
-        schedule.begin(START + 4_050);
-        assertTrue(schedule.closesIdleConnections(START + 4_050));
-        assertTrue(schedule.isOver(END + 1, false));
+        schedule.onTick(START_MS);
+        schedule.onTick(START_MS + 4_000);
+        schedule.begin(START_MS + 4_050);
+        assertTrue(schedule.shouldCloseIdleConnections(START_MS + 4_050));
+        assertTrue(schedule.mayExit(EXIT_DEADLINE_MS + 1, false));
     }
 
     @Test
     void aFreezeLongBeforeTheSignalDoesNotCount() {
-        schedule.onTick(START - 4_000);
-        schedule.onTick(START - 1_000);
-        schedule.onTick(START - 900);
-        for (long now = START - 800; now <= START; now += 100) {
+        schedule.onTick(START_MS - 4_000);
+        schedule.onTick(START_MS - 1_000);
+        schedule.onTick(START_MS - 900);
+        for (long now = START_MS - 800; now <= START_MS; now += 100) {
             schedule.onTick(now);
         }
-        schedule.begin(START);
-        assertTrue(schedule.mayForward(START + ShutdownSchedule.READINESS_MS - 1, START + 90_000));
+        schedule.begin(START_MS);
+        assertTrue(schedule.mayForward(START_MS + ShutdownSchedule.READINESS_PROPAGATION_MS - 1, START_MS + 90_000));
     }
 
     @Test
     void aSecondSignalChangesNothing() {
-        schedule.begin(START);
-        schedule.onTick(START + 5_000);
-        schedule.begin(START + 5_000);
-        assertTrue(schedule.isOver(END + 1, false));
+        schedule.begin(START_MS);
+        schedule.onTick(START_MS + 5_000);
+        schedule.begin(START_MS + 5_000);
+        assertTrue(schedule.mayExit(EXIT_DEADLINE_MS + 1, false));
     }
 
     @Test
     void theProcessEndsOnceNothingIsInFlightAndNobodyComes() {
-        schedule.begin(START);
-        assertFalse(schedule.isOver(START + ShutdownSchedule.NEW_CONNECTIONS_MS, true));
-        assertTrue(schedule.isOver(START + ShutdownSchedule.NEW_CONNECTIONS_MS + 1, true));
-        assertFalse(schedule.isOver(END, false));
+        schedule.begin(START_MS);
+        assertFalse(schedule.mayExit(START_MS + ShutdownSchedule.NEW_CONNECTION_WINDOW_MS, true));
+        assertTrue(schedule.mayExit(START_MS + ShutdownSchedule.NEW_CONNECTION_WINDOW_MS + 1, true));
+        assertFalse(schedule.mayExit(EXIT_DEADLINE_MS, false));
     }
 }
--- a/src/test/java/quartzspan/prefixcache/PrefixCacheIndexTest.java
+++ b/src/test/java/quartzspan/prefixcache/PrefixCacheIndexTest.java
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void onlyACompletePrefixCounts() {
+    void onlyBlocksAfterACompletePrefixCountAsCached() {
         PrefixCacheIndex index = new PrefixCacheIndex();
         index.onPrefill("i", 1, 512);
         index.onPrefill("i", 3, 100);
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void snapshotIsRequestedOnceWhileOneIsOnItsWay() {
+    void snapshotIsRequestedOncePerIntervalAndServer() {
         PrefixCacheIndex index = new PrefixCacheIndex();
         long requests = IntStream.range(0, 30)
                 .filter(n -> index.apply(100L * n, update(Kind.DELTA, 5, 4 + n, 1, 10)))
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void onlyTheOutcomeOfEventsIsReported() {
+    void onlyTheLatestEventOfEachBlockIsPublished() {
         List<Event> history = new ArrayList<>();
         for (int n = 0; n < 1_000; n++) {
             history.add(new Event("v1", "part" + n, 100, "m"));
