--- a/src/main/java/quartzspan/frontend/EndpointDirectory.java
+++ b/src/main/java/quartzspan/frontend/EndpointDirectory.java
@@ -17,8 +17,8 @@
 import quartzspan.registry.Server;
 
 /**
- * The model servers as this proxy reaches them: pooled connections, addresses and weights, kept up to date with the registry.
- * Owned by the event loop.
+ * The model servers known to this proxy: their pooled connections, addresses and weights versions, kept up to date with the
+ * registry. Owned by the event loop.
  */
 final class EndpointDirectory implements ServerConnections {
     private static final int DEFAULT_MAX_CONNECTIONS = 64;
@@ -30,11 +30,11 @@
     private final PrefixAwarePlacement placement;
     private final LongSupplier clockUs;
     private final Map<String, ConnectionPool.Endpoint> endpoints = new HashMap<>();
-    /** The servers that there are, as last announced. */
+    /** The servers by id, as last listed in the registry. */
     private final Map<String, Server> servers = new HashMap<>();
-    /** Version of the weights of each server, as last announced or seen. */
+    /** Weights version of each server, as listed in the registry or inferred from a version mismatch. */
     private final Map<String, Long> weightsVersions = new HashMap<>();
-    /** The services that the bounds of connections were last taken from. */
+    /** The configured services that the connection limits were last computed from. */
     private Map<String, Service> configuredServices = Map.of();
 
     EndpointDirectory(
@@ -50,25 +50,25 @@
         return placement;
     }
 
-    /** The pooled endpoint of a server; null if it is gone. */
+    /** The pooled endpoint of a server; null if the server is not listed. */
     ConnectionPool.Endpoint endpoint(String server) {
         return endpoints.get(server);
     }
 
-    /** The address of a server as text; null if it is gone. */
+    /** The address of a server as host:port; null if the server is not listed. */
     String address(String server) {
         Server listed = servers.get(server);
         return listed == null ? null : listed.address();
     }
 
-    /** Version of a server's weights; 0 if unknown. */
+    /** The weights version of a server; 0 if unknown. */
     long weightsVersion(String server) {
         return weightsVersions.getOrDefault(server, 0L);
     }
 
     /**
-     * The version of weights that a server has to have to run a request; 0 if unknown. One that is to load others must not run
-     * it on those that it has: they may be overdue.
+     * The weights version that a server must have to execute a request; 0 if unknown. A server that was ordered to load a newer
+     * version must not execute the request on its current one, which may already be outdated.
      */
     long expectedWeightsVersion(String server) {
         long current = weightsVersion(server);
@@ -76,10 +76,10 @@
     }
 
     /**
-     * A server rejected a request for its version: it has other weights by now, most likely those that were named last, unless
-     * it has yet to load them.
+     * Handles a server's rejection of a request because of its expected version. The server has changed its weights, most likely
+     * to the model's current version, unless it still has to load that version.
      *
-     * @return whether it may run the request if that is sent again
+     * @return whether the server may execute the request if it is sent again
      */
     boolean onVersionMismatch(String server) {
         long current = weightsVersion(server);
@@ -94,7 +94,7 @@
         return true;
     }
 
-    /** The addresses of the stores for cached prompts that answer. */
+    /** The addresses of the configured cache stores that have responded to a reader. */
     List<String> cacheStores() {
         return configuration().services().values().stream()
                 .map(Service::store)
@@ -102,7 +102,7 @@
                 .toList();
     }
 
-    /** Number of proxies that share the servers, this one included. */
+    /** Number of proxies that share the servers, including this one. */
     int proxyCount() {
         return Math.max(1, registry.ready(RegistryEntry.Subject.PROXY).size());
     }
@@ -111,13 +111,11 @@
         return registry.state().configuration();
     }
 
-    // ---- updates -------------------------------------------------------------------------------------
-
-    /** The registry was updated. */
+    /** Applies an update of the registry. */
     void onRegistryUpdate(Registry.Update update) {
         update.entries().forEach(this::onEntry);
         if (update.state() && !configuration().services().equals(configuredServices)) {
-            // The bounds of connections come from the configuration.
+            // Connection limits are part of the services' configuration.
             configuredServices = configuration().services();
             registry.servers().forEach(this::onServer);
         }
@@ -171,7 +169,7 @@
         return new InetSocketAddress(address.substring(0, colon), port);
     }
 
-    /** All proxies together keep within the bound that the service states for a server. */
+    /** This proxy's share of the connections that the service allows to one server. */
     private int maxConnections(Server server) {
         Service service = configuration().services().get(server.service());
         return service == null
@@ -179,8 +177,6 @@
                 : Math.max(MIN_CONNECTIONS, service.maxConnections() / proxyCount());
     }
 
-    // ---- connections ---------------------------------------------------------------------------------
-
     @Override
     public boolean isConnected(String server) {
         return endpoints.get(server).connected();
--- a/src/main/java/quartzspan/frontend/FrontendProxy.java
+++ b/src/main/java/quartzspan/frontend/FrontendProxy.java
@@ -35,32 +35,35 @@
 import quartzspan.transport.TcpTransport;
 
 /**
- * A frontend machine's process: takes clients' requests, finds their route and tenant in the configuration, and carries them
- * to the server that the decision module names. One event loop owns all of it.
+ * The proxy on a frontend machine: accepts client requests, looks up their route and tenant in the configuration, and forwards
+ * them to the model server that the load balancer selects. All of its state is owned by one event loop.
  */
 public final class FrontendProxy implements HttpServer.RequestHandler {
     private static final Logger LOG = LoggerFactory.getLogger(FrontendProxy.class);
     private static final int TICK_INTERVAL_MS = 100;
-    /** Descriptors that are kept for files and for connections of the system's own processes. */
+    /** File descriptors reserved for files and for connections between the system's own processes. */
     private static final int RESERVED_DESCRIPTORS = 300;
 
     private static final int MIN_CONNECTIONS = 64;
     private static final int CONNECT_TIMEOUT_US = 400_000;
-    /** Idle connections to servers are closed before the servers close them. */
+    /** Idle timeout of the servers; the pool closes idle connections before the servers do. */
     private static final long SERVER_IDLE_TIMEOUT_US = 8_000_000;
 
     private static final int PEER_IDLE_TIMEOUT_MS = 10_000;
     private static final long EVENT_LOOP_SHUTDOWN_TIMEOUT_MS = 200;
-    /** Clients are advised to retry after this fraction of the latency target, and a random part of it. */
+    /** The Retry-After time as a fraction of the route's latency target, before jitter. */
     private static final double RETRY_AFTER_FRACTION = 0.3;
 
     private static final double RETRY_AFTER_MIN_JITTER = 0.8;
     private static final double RETRY_AFTER_JITTER_RANGE = 0.4;
-    /** The advice while no current configuration is known. */
+    /** The Retry-After time while the proxy has no fresh configuration. */
     private static final long NOT_READY_RETRY_AFTER_US = 300_000;
-    /** The removal of a key has to be known this long before it counts: between the check and the server's start lies some time. */
+    /**
+     * The configuration counts as stale this long before a revoked API key must be rejected: a request starts at its server some
+     * time after its key was checked.
+     */
     private static final long FRESHNESS_MARGIN_MS = 700;
-    /** What a head may be longer, and a connection be idle longer, than clients are promised. */
+    /** Margins by which the enforced limits of header size and idle time exceed those stated to clients. */
     private static final int HEADER_MARGIN_BYTES = 1024;
 
     private static final long CLIENT_IDLE_MARGIN_MS = 5_000;
@@ -86,7 +89,7 @@
     private final CountDownLatch shutdownComplete = new CountDownLatch(1);
     private final ShutdownSchedule shutdown;
     private boolean ready;
-    /** Requests that were rejected because they might not have ended before the process. */
+    /** Requests rejected during the shutdown because they might not have ended before the process exits. */
     private int rejectedDuringShutdown;
 
     private FrontendProxy(Settings settings, List<String> seeds, EventLoopGroup group, EventLoop loop) {
@@ -109,7 +112,7 @@
         this.readinessServer = new HttpServer(new ReadinessHandler(clock, this::isReady), loop);
     }
 
-    /** Internal addresses of the core machines to begin with: on all machines the ports are alike. */
+    /** Internal addresses of the core machines to contact first; all machines use the same internal ports. */
     private static List<String> seeds(Settings settings) {
         return settings.seeds().stream()
                 .map(seed -> seed.getHostString() + ':' + settings.internalPort())
@@ -120,12 +123,12 @@
         return address.getHostString() + ':' + address.getPort();
     }
 
-    /** Starts to serve; returns once it listens. It is ready when it has a configuration that is surely the newest. */
+    /** Starts a proxy and returns once it listens. It becomes ready when it has a fresh configuration. */
     public static FrontendProxy start(Settings settings) throws Exception {
         return start(settings, seeds(settings));
     }
 
-    /** The same, with internal addresses of core machines in place of the settings' seeds. */
+    /** Starts a proxy that contacts these internal addresses of core machines instead of the settings' seed nodes. */
     public static FrontendProxy start(Settings settings, String... cores) throws Exception {
         return start(settings, List.of(cores));
     }
@@ -161,12 +164,15 @@
         return proxy;
     }
 
-    /** Settings that changed while it serves: whom to ask first. */
+    /** Applies changed settings at run time: only the seed nodes are updated. */
     void reload(Settings changed) {
         loop.execute(() -> gossip.setSeeds(seeds(changed)));
     }
 
-    /** Serves to the end what came and still comes, without losing any of it; returns when the process may end. */
+    /**
+     * Shuts down gracefully: completes the requests in flight, and forwards or rejects those that still arrive. Blocks until the
+     * process may exit, at most for the grace period.
+     */
     void shutDownGracefully() {
         loop.execute(() -> {
             LOG.info("shutdown requested, {} requests in flight", inFlight.size());
@@ -192,7 +198,7 @@
             httpServer.closeIdle();
         }
         if (shutdownComplete.getCount() > 0 && shutdown.mayExit(now, inFlight.isEmpty() && httpServer.isIdle())) {
-            // From here to the process's end nothing more may be read: it would not be answered.
+            // From here to the process's exit no request may be read: it would get no response.
             httpServer.close();
             LOG.info(
                     "shutdown complete, {} requests rejected meanwhile, {} cut off",
@@ -206,14 +212,12 @@
         return (long) (settings.bounds().gracePeriodS() * 1000);
     }
 
-    /** Ends at once. */
+    /** Stops immediately, without waiting for requests in flight. */
     public void stop() {
         group.shutdownGracefully(0, EVENT_LOOP_SHUTDOWN_TIMEOUT_MS, TimeUnit.MILLISECONDS)
                 .awaitUninterruptibly();
     }
 
-    // ---- what requests in flight use -----------------------------------------------------------------
-
     @Override
     public long now() {
         return clock.now();
@@ -243,19 +247,17 @@
         return prefixCacheIndex;
     }
 
-    /** A request has its final answer, or its client has disconnected. */
+    /** Called when a request has its final response, or its client has disconnected. */
     void onRequestEnded(ProxiedRequest request) {
         inFlight.remove(request);
     }
 
-    /** When a client whose request was rejected had better retry, in microseconds from now. */
+    /** Time in microseconds after which a client should retry a rejected request. */
     long retryAfterUs(Route route) {
         double jitter = RETRY_AFTER_MIN_JITTER + RETRY_AFTER_JITTER_RANGE * random.nextDouble();
         return (long) (route.targetMs() * 1000 * RETRY_AFTER_FRACTION * jitter);
     }
 
-    // ---- state ---------------------------------------------------------------------------------------
-
     @Override
     public HttpServer.ConnectionLimits limits() {
         Configuration.Limits limits = configuration().limits();
@@ -271,7 +273,7 @@
         return registry.state().configuration();
     }
 
-    /** Whether the configuration known here is recent enough to authorise requests by it. */
+    /** Whether this proxy's configuration is recent enough to authorise requests. */
     private boolean isConfigurationFresh() {
         if (configuration().version() == 0) {
             return false;
@@ -294,8 +296,6 @@
         }
     }
 
-    // ---- the event loop ------------------------------------------------------------------------------
-
     private void tick() {
         long now = nowMs();
         shutdown.onTick(now);
@@ -322,8 +322,6 @@
         }
     }
 
-    // ---- requests of clients -------------------------------------------------------------------------
-
     @Override
     public void onRequest(HttpServer.ClientConnection client, HttpRequest request, byte[] body, long receivedAtUs) {
         if (!isConfigurationFresh()) {
--- a/src/main/java/quartzspan/frontend/Main.java
+++ b/src/main/java/quartzspan/frontend/Main.java
@@ -6,13 +6,13 @@
 import quartzspan.common.Settings;
 import sun.misc.Signal;
 
-/** The program of a frontend machine: the proxy that carries clients' requests. */
+/** Main class of a frontend machine's process, which runs the proxy for client requests. */
 public final class Main {
     private static final Logger LOG = LoggerFactory.getLogger(Main.class);
 
     private Main() {}
 
-    /** Takes no arguments: all comes from the settings file. */
+    /** Takes no arguments: everything is configured in the settings file. */
     public static void main(String[] args) {
         try {
             run(Settings.load());
@@ -21,7 +21,7 @@
         }
     }
 
-    /** Starts the proxy and ties it to the process's signals; returns once it listens. */
+    /** Starts the proxy; SIGHUP reloads its settings, SIGTERM shuts it down. Returns once it listens. */
     public static FrontendProxy run(Settings settings) throws Exception {
         FrontendProxy proxy = FrontendProxy.start(settings);
         Signal.handle(new Signal("HUP"), signal -> reload(proxy));
@@ -33,7 +33,7 @@
         try {
             proxy.reload(Settings.load());
         } catch (FleetException e) {
-            LOG.error("the settings stay as they were: {}", e.toString());
+            LOG.error("settings not reloaded, the previous ones stay in effect: {}", e.toString());
         }
     }
 }
--- a/src/main/java/quartzspan/frontend/PrefixCacheRouting.java
+++ b/src/main/java/quartzspan/frontend/PrefixCacheRouting.java
@@ -6,13 +6,13 @@
 import quartzspan.prefixcache.PrefixCacheIndex;
 
 /**
- * Chooses what a server may use of the prompt blocks that are cached, and from where it fetches them.
+ * Decides which cached prompt blocks a server may use for a request, and where it fetches them from.
  *
- * <p>Blocks are cached under a salt of the weights' version and the tenant's isolation key, and a server that has another
- * version by now rejects the request: so nothing is ever used under other weights.
+ * <p>Blocks are cached under a salt made of the weights version and the tenant's isolation key, and a server rejects a request
+ * whose expected version it doesn't have. Cached blocks are therefore never used with weights other than their own.
  */
 final class PrefixCacheRouting {
-    /** A transfer to or from a cache store pays from this number of tokens on. */
+    /** Minimum number of tokens for which a transfer to or from a cache store is faster than computing them. */
     private static final long MIN_TRANSFER_TOKENS = 150;
 
     private static final String CACHE_SALT = "Cache-Salt";
@@ -33,9 +33,9 @@
     }
 
     /**
-     * Sets the headers of a request that goes to a server.
+     * Sets the cache headers of a request to a server.
      *
-     * @return the names of the prompt's blocks at that server; empty if its weights are unknown
+     * @return the hashes of the prompt's blocks at that server; empty if its weights version is unknown
      */
     long[] setHeaders(HttpHeaders headers, String server, PlacementRequest request, Prompt prompt) {
         long version = endpoints.expectedWeightsVersion(server);
@@ -80,7 +80,10 @@
         }
     }
 
-    /** Blocks that other requests will need are saved; a prompt that is mostly its own would only evict those. */
+    /**
+     * Whether to save a prompt's blocks in a store: only if other requests share most of the prompt, since blocks of other prompts
+     * would only evict shared ones.
+     */
     private static boolean shouldSave(Prompt prompt, long stored) {
         return stored + MIN_TRANSFER_TOKENS < prompt.sharedTokens()
                 && 2 * prompt.sharedTokens() >= prompt.totalTokens();
--- a/src/main/java/quartzspan/frontend/Prompt.java
+++ b/src/main/java/quartzspan/frontend/Prompt.java
@@ -4,7 +4,7 @@
 import quartzspan.http.HttpFraming;
 import quartzspan.prefixcache.PrefixCacheIndex;
 
-/** The prompt of a request, by its blocks; the isolation key separates what tenants may not share. */
+/** The blocks of a request's prompt. The isolation key separates the cached blocks of isolated tenants. */
 final class Prompt {
     private static final long[] NO_BLOCKS = {};
 
@@ -13,7 +13,7 @@
     private final String model;
     private final String isolationKey;
 
-    /** @param prefix blocks as ID:TOKENS, with commas between; null if there are none */
+    /** @param prefix comma-separated blocks of the form ID:TOKENS; null if there are none */
     Prompt(String prefix, String model, String isolationKey) {
         String[] blocks = prefix == null || prefix.isBlank() ? new String[0] : prefix.split(",");
         blockIds = new String[blocks.length];
@@ -34,22 +34,22 @@
         return isolationKey;
     }
 
-    /** Tokens of each block. */
+    /** Number of tokens of each block. */
     long[] blockTokens() {
         return blockTokens;
     }
 
-    /** Tokens of the complete prompt. */
+    /** Number of tokens of the complete prompt. */
     long totalTokens() {
         return Arrays.stream(blockTokens).sum();
     }
 
-    /** Tokens of the blocks that other requests share: all but the last. */
+    /** Number of tokens of the blocks that other requests share: all blocks except the last. */
     long sharedTokens() {
         return totalTokens() - (blockTokens.length == 0 ? 0 : blockTokens[blockTokens.length - 1]);
     }
 
-    /** Names of the blocks under a salt. */
+    /** Hashes of the blocks under a salt, see {@link PrefixCacheIndex#blockHash}. */
     long[] blockHashes(String salt) {
         if (blockIds.length == 0) {
             return NO_BLOCKS;
--- a/src/main/java/quartzspan/frontend/ProxiedRequest.java
+++ b/src/main/java/quartzspan/frontend/ProxiedRequest.java
@@ -21,8 +21,8 @@
 import quartzspan.loadbalancing.PlacementRequest;
 
 /**
- * One request of a client: forwards it to a server, to another one if it was surely not executed or may be repeated, and the
- * response back.
+ * A client request in flight. It is forwarded to a server, and retried at another one only if it was certainly not executed or
+ * may be executed more than once; the response is forwarded to the client.
  */
 final class ProxiedRequest implements ConnectionPool.ResponseHandler {
     private static final String ATTEMPT_ID_HEADER = "X-Attempt-Id";
@@ -34,11 +34,11 @@
             HttpHeaderNames.TRAILER,
             HttpHeaderNames.UPGRADE,
             "Proxy-Connection");
-    /** The final answer is sent this long before the deadline. */
+    /** The final response is sent this long before the deadline. */
     private static final long DEADLINE_MARGIN_US = 15_000;
-    /** Sends of one request, also to one server. */
+    /** Maximum number of times a request is sent, including repeated sends to the same server. */
     private static final int MAX_SENDS = 3;
-    /** Servers tried, also those that could not be reached. */
+    /** Maximum number of servers tried, including those that could not be reached. */
     private static final int MAX_SERVERS_TRIED = 8;
 
     private static final Response NO_BODY = new Response(new byte[0], null, null);
@@ -51,21 +51,23 @@
     private final String attemptId;
     private final long deadlineUs;
     private final Prompt prompt;
-    /** Names of the prompt's blocks at the server that executes it. */
+    /** Hashes of the prompt's blocks at the server of the current attempt. */
     private long[] blocks = {};
 
     private final Set<String> triedServers = new HashSet<>();
-    /** Servers that received it. */
+    /** Servers that received the request. */
     private final Set<String> reachedServers = new HashSet<>();
 
-    /** The server of the next send, whatever the placement chooses; null to let it choose. */
+    /** The server of the next attempt; null to let the placement choose. */
     private String nextServer;
 
     private int sendCount;
     private boolean mayHaveExecuted;
     private boolean responseStarted;
     private boolean ended;
+    /** The server of the current attempt. */
     private String server;
+
     private ConnectionPool.Attempt attempt;
     private HttpResponse responseHead;
 
@@ -117,7 +119,7 @@
         attempt.start(connectionReuse(target));
     }
 
-    /** The server that is to get it: the one that it goes to again, or a further one if the route allows that. */
+    /** The server of the next attempt: the one set for a resend, else another one if the route allows more attempts; or null. */
     private String chooseServer() {
         String preferred = nextServer;
         nextServer = null;
@@ -129,7 +131,7 @@
                 : null;
     }
 
-    /** Two sends of one request have the same id, so that only their connections distinguish their responses. */
+    /** Repeated sends have the same attempt id: only separate connections distinguish the responses to them. */
     private ConnectionPool.Reuse connectionReuse(String target) {
         return reachedServers.contains(target)
                 ? ConnectionPool.Reuse.NONE
@@ -146,9 +148,10 @@
         }
     }
 
-    // ---- the server's response -------------------------------------------------------------------------
-
-    /** Servers echo the id of the request that a response is to, and a success has its server's seal and an unencoded body. */
+    /**
+     * Matches a response by the attempt id, which servers echo. A success must also have one server seal and a body without a
+     * content encoding.
+     */
     @Override
     public ResponseMatch match(HttpResponse response) {
         List<String> ids = response.headers().getAll(ATTEMPT_ID_HEADER);
@@ -192,7 +195,7 @@
         }
         HttpHeaders headers = endToEndHeaders(response.headers());
         if (request.method().equals("HEAD")) {
-            // The response has no chunks, not even a last one.
+            // A response to HEAD has no body, not even the last chunk.
             headers.remove(HttpHeaderNames.TRANSFER_ENCODING);
         }
         client.startResponse(new DefaultHttpResponse(HttpVersion.HTTP_1_1, response.status(), headers));
@@ -222,7 +225,7 @@
 
     private void onAttemptEnded(Outcome outcome, Response response) {
         boolean stale = attempt.isStale();
-        // That a server closes idle connections does not make it a failing one.
+        // A server that closes idle connections is not failing.
         proxy.endpoints().placement().onEnded(proxy.now(), server, placementRequest, stale ? Outcome.IGNORED : outcome);
         attempt = null;
         if (ended) {
@@ -250,7 +253,7 @@
         }
         if (responseHead != null && responseHead.status().code() == 421) {
             if (server.equals(responseHead.headers().get("X-Instance-Id"))) {
-                // Where the same server has only changed its weights, it does not count as another attempt.
+                // The same server has only changed its weights: a resend to it doesn't count as another attempt.
                 boolean mayResend = proxy.endpoints().onVersionMismatch(server);
                 nextServer = mayResend && sendCount < MAX_SENDS ? server : null;
             } else {
@@ -264,7 +267,7 @@
         if (outcome == Outcome.FAILED
                 && response != null
                 && (route.repeatable() || !impliesNotExecuted(responseHead.status()))) {
-            // The server executed it, and this is its response.
+            // The server executed the request, and this is its response.
             respond(
                     responseHead.status(),
                     new Response(response.body(), null, withoutFramingHeaders(endToEndHeaders(response.headers()))),
@@ -276,7 +279,7 @@
         }
     }
 
-    /** Clients take these for a promise that the request was not executed and never will be. */
+    /** Statuses that clients understand as a guarantee that the request was not executed and never will be. */
     private static boolean impliesNotExecuted(HttpResponseStatus status) {
         return switch (status.code()) {
             case 408, 421, 429, 503 -> true;
@@ -288,9 +291,10 @@
         return headers.remove(HttpHeaderNames.CONTENT_LENGTH).remove(HttpHeaderNames.TRANSFER_ENCODING);
     }
 
-    // ---- the proxy's own answers --------------------------------------------------------------------------
-
-    /** The final answer where no server gave one: when to retry if it was surely not executed, and no promise if it may have been. */
+    /**
+     * Sends the final response when no server gave one: 503 with Retry-After if the request was certainly not executed; else 504
+     * or 502, which guarantee nothing about its execution.
+     */
     private void respondWithError() {
         if (!mayHaveExecuted) {
             respond(HttpResponseStatus.SERVICE_UNAVAILABLE, NO_BODY, proxy.retryAfterUs(route));
--- a/src/main/java/quartzspan/frontend/ReadinessHandler.java
+++ b/src/main/java/quartzspan/frontend/ReadinessHandler.java
@@ -6,7 +6,7 @@
 import quartzspan.http.Clock;
 import quartzspan.http.HttpServer;
 
-/** Answers the platform's readiness checks. */
+/** Responds to the platform's readiness checks. */
 final class ReadinessHandler implements HttpServer.RequestHandler {
     private static final String PATH = "/quartzspan/readiness";
     private static final HttpServer.ConnectionLimits LIMITS =
--- a/src/main/java/quartzspan/frontend/RequestClassifier.java
+++ b/src/main/java/quartzspan/frontend/RequestClassifier.java
@@ -15,7 +15,7 @@
 import quartzspan.http.OutgoingRequest;
 import quartzspan.loadbalancing.PlacementRequest;
 
-/** Works out what a client's request is by the configuration: its route, tenant, headers, deadline and placement key. */
+/** Derives a client request's route, tenant, forwarded headers, deadline and placement key from the configuration. */
 final class RequestClassifier {
     private static final String API_KEY_SCHEME = "Token ";
     private static final String MODEL_HEADER = "X-Model";
@@ -24,9 +24,9 @@
     private static final String DEADLINE_MS_HEADER = "X-Deadline-Ms";
     private static final String PRIORITY_HEADER = "Priority";
     private static final int LOWEST_PRIORITY = 9;
-    /** A tenant's priority weighs more than its route's. */
+    /** Factor of the tenant's priority, which counts more than the route's. */
     private static final int TENANT_PRIORITY_STEP = 3;
-    /** Headers that only the system sets. */
+    /** Headers that only the proxy sets: they are removed from client requests. */
     private static final List<String> SYSTEM_HEADERS = List.of(
             "X-Expected-Instance", "X-Tenant", "Cache-Salt", "Kv-Fetch", "Kv-Save", "Expect-Version", PRIORITY_HEADER);
 
@@ -45,7 +45,7 @@
         return configuration.route(host, request.uri().split("\\?", 2)[0]);
     }
 
-    /** The tenant whose key a request has; null if there is none, or the configuration names no tenants. */
+    /** The tenant of a request's API key; null if there is none, or the configuration has no tenants. */
     static Tenant tenant(Configuration configuration, HttpRequest request) {
         String authorization = request.headers().get(HttpHeaderNames.AUTHORIZATION, "");
         return configuration.hasTenants() && authorization.startsWith(API_KEY_SCHEME)
@@ -54,7 +54,7 @@
                 : null;
     }
 
-    /** The request as it is forwarded, but for the headers that depend on the server. */
+    /** The request to forward, without the headers that depend on the server. */
     static OutgoingRequest outgoingRequest(
             Configuration configuration, HttpRequest request, byte[] body, Route route, Tenant tenant) {
         OutgoingRequest outgoing = OutgoingRequest.of(request, body);
@@ -74,14 +74,13 @@
         return outgoing;
     }
 
-    /** The time, in microseconds, until which the client waits for an answer. */
+    /** The time in microseconds until which the client waits for a response. */
     static long deadlineUs(Route route, HttpRequest request, long receivedAtUs) {
         long clientMs = HttpFraming.number(request.headers().get(DEADLINE_MS_HEADER));
         long timeoutMs = Math.min(clientMs < 1 ? route.timeoutMs() : clientMs, route.timeoutMs());
         return receivedAtUs + 1000 * timeoutMs;
     }
 
-    /** The prompt of a request. */
     static Prompt prompt(HttpRequest request, Tenant tenant) {
         HttpHeaders headers = request.headers();
         String isolationKey = isIsolated(tenant) ? "w" + tenant.name() : "";
@@ -92,7 +91,7 @@
         return tenant != null && tenant.isolated();
     }
 
-    /** What the placement needs: the key is the model, the isolation and the prompt blocks that other requests share. */
+    /** The input of the placement. Its key consists of the model, the isolated tenant and the shared prompt blocks. */
     PlacementRequest placementRequest(Route route, HttpRequest request, Tenant tenant) {
         HttpHeaders headers = request.headers();
         String[] tokenCounts = headers.get(TOKEN_COUNT_HEADER, "0,0").split(",", 2);
@@ -110,7 +109,7 @@
                 tokenCounts.length < 2 ? 0 : Math.max(0, HttpFraming.number(tokenCounts[1].trim())));
     }
 
-    /** One of the route's services, at random by their weights. */
+    /** Selects one of the route's services at random, in proportion to their traffic weights. */
     private String chooseService(Route route) {
         List<Share> shares = new ArrayList<>(route.shares());
         shares.removeIf(share -> share.weight() == 0);
--- a/src/main/java/quartzspan/frontend/ShutdownSchedule.java
+++ b/src/main/java/quartzspan/frontend/ShutdownSchedule.java
@@ -1,29 +1,29 @@
 package quartzspan.frontend;
 
 /**
- * The times of a proxy's graceful shutdown, without clock or I/O.
+ * Timing of a proxy's graceful shutdown. It has no clock and does no I/O.
  *
  * <ol>
- *   <li>At first every request is forwarded as before: clients still come until they have seen readiness say no.
- *   <li>After {@link #READINESS_PROPAGATION_MS} idle connections are closed, and a request is forwarded only if its deadline lies before
- *       the process's own end; any other is rejected, for it might be cut off in the middle.
- *   <li>The process ends when nothing is in flight and no new connection is expected, and {@link #KILL_MARGIN_MS} before the
- *       grace period is over in any case.
+ *   <li>At first all requests are forwarded as before: clients keep connecting until they have seen a failed readiness check.
+ *   <li>After {@link #READINESS_PROPAGATION_MS} idle connections are closed, and a request is forwarded only if its deadline is
+ *       before the exit of the process; other requests are rejected, because they might be cut off during the response.
+ *   <li>The process exits when no request is in flight and no new connection is expected, and at the latest
+ *       {@link #KILL_MARGIN_MS} before the end of the grace period.
  * </ol>
  *
- * <p>All times are milliseconds of a steady clock.
+ * <p>All times are milliseconds of a monotonic clock.
  */
 final class ShutdownSchedule {
     /** Time after which every client has seen that this proxy is not ready. */
     static final long READINESS_PROPAGATION_MS = 2_900;
-    /** Time after which no new connection is expected any more. */
+    /** Time after which no new connections are expected. */
     static final long NEW_CONNECTION_WINDOW_MS = 3_300;
-    /** How long before the platform kills the process it ends by itself. */
+    /** The process exits this long before the platform would kill it. */
     static final long KILL_MARGIN_MS = 700;
 
-    /** Without a tick for so long the process was frozen. */
+    /** A process that had no tick for this long was frozen, for example by SIGSTOP. */
     static final long FREEZE_THRESHOLD_MS = 500;
-    /** How long after a freeze a signal that came during it may be delivered. */
+    /** How long after a freeze a signal that was sent during it may be delivered. */
     static final long SIGNAL_DELIVERY_WINDOW_MS = 500;
 
     private final long gracePeriodMs;
@@ -33,7 +33,7 @@
     private long begunAtMs;
     private boolean begun;
 
-    /** @param nowMs the present time; as long as {@link #onTick} was not called it counts as the last tick */
+    /** @param nowMs the current time; it counts as the last tick until {@link #onTick} is called */
     ShutdownSchedule(long gracePeriodMs, long nowMs) {
         this.gracePeriodMs = gracePeriodMs;
         this.lastTickMs = nowMs;
@@ -41,7 +41,7 @@
         this.resumedAtMs = nowMs;
     }
 
-    /** To be called every 100 ms or so while the process runs. */
+    /** Must be called about every 100 ms while the process runs. */
     void onTick(long nowMs) {
         if (nowMs - lastTickMs >= FREEZE_THRESHOLD_MS) {
             frozenAtMs = lastTickMs;
@@ -51,8 +51,8 @@
     }
 
     /**
-     * The process was asked to end. If it was frozen until just now, the signal may have come at any time since it froze, and
-     * the platform's grace period has run since then.
+     * Begins the shutdown. If the process was frozen until just now, the signal may have been sent at any time during the freeze;
+     * the platform's grace period is then counted from the start of the freeze.
      */
     void begin(long nowMs) {
         if (begun) {
@@ -67,18 +67,18 @@
         return begun;
     }
 
-    /** Whether a request that is received now may be forwarded, although it may take until its deadline. */
+    /** Whether a request received now may be forwarded, given that it may take until its deadline. */
     boolean mayForward(long nowMs, long deadlineMs) {
         return !begun || nowMs - begunAtMs < READINESS_PROPAGATION_MS || deadlineMs <= exitDeadlineMs();
     }
 
-    /** Whether connections on which nothing is in flight are to be closed. */
+    /** Whether connections without a request in flight should be closed. */
     boolean shouldCloseIdleConnections(long nowMs) {
         return begun && nowMs - begunAtMs >= READINESS_PROPAGATION_MS;
     }
 
     /**
-     * Whether the process may end now.
+     * Whether the process may exit now.
      *
      * @param idle whether no request is in flight
      */
