--- a/src/test/java/quartzspan/frontend/FleetFixture.java
+++ b/src/test/java/quartzspan/frontend/FleetFixture.java
@@ -24,8 +24,8 @@
 import quartzspan.http.LoopbackPeers.Server;
 
 /**
- * A core machine and a frontend proxy in this process, and model servers that are plain sockets under a test's script. Each
- * test takes a service of its own, so that nothing which an earlier test taught the proxy bears on it.
+ * A core machine and a frontend proxy in this process, and scripted model servers on plain sockets. Each test uses a service of
+ * its own, so that the proxy's state from earlier tests doesn't affect it.
  */
 abstract class FleetFixture {
     private static final int SERVICES = 60;
@@ -43,7 +43,7 @@
     private static int nextService;
 
     private final List<AutoCloseable> resources = new ArrayList<>();
-    /** The service of this test, as part of its routes' paths. */
+    /** The number of this test's service, which is part of its routes' paths. */
     private final int service = nextService++;
 
     @BeforeAll
@@ -119,7 +119,7 @@
                 + service + "\",\"max_attempts\":" + attempts + "}";
     }
 
-    /** A proxy in a process of its own, at another loopback address; returns once it is ready. */
+    /** Starts a proxy in a separate process at another loopback address; returns once it is ready. */
     ProxyProcess startProxyProcess(int gracePeriodS) throws Exception {
         int[] ports = freePorts(2);
         String settings = settings(
@@ -158,7 +158,7 @@
         }
     }
 
-    /** Repeats a call, which may come too early, until it is answered with a status. */
+    /** Repeats a call, which may be sent too early, until its response has a status. */
     private static void callUntilStatus(int status, int port, String requestLine, String headers, String body)
             throws IOException {
         Message last = null;
@@ -168,20 +168,19 @@
                 return;
             }
         }
-        throw new AssertionError(requestLine + " is answered with " + last.first());
+        throw new AssertionError(
+                "no response with status " + status + " to " + requestLine + ", last one: " + last.first());
     }
 
-    // ---- what tests use ------------------------------------------------------------------------------
-
     /**
-     * A model server of this test's service. Returns once the proxy knows it; the script sees requests of the test only,
-     * and the proxy has no connection to the server yet.
+     * Starts a model server of this test's service. Returns once the proxy forwards to it; the script receives only requests of
+     * the test, and the proxy has no open connection to the server.
      */
     Server startServer(String id, Consumer<Seen> script) throws Exception {
         return startServer(id, "", script);
     }
 
-    /** The same, of a server that has some weights. */
+    /** Starts a model server that reports a weights version of a model. */
     Server startServerWithWeights(String id, String model, long version, Consumer<Seen> script) throws Exception {
         return startServer(id, ",\"models\":[{\"name\":\"" + model + "\",\"version\":" + version + "}]", script);
     }
@@ -196,7 +195,7 @@
         }));
         sendHeartbeat(id, server.address(), models);
         for (int calls = 0; server.seen.isEmpty(); calls++) {
-            assertTrue(calls < MAX_CALLS, "the proxy forwards to " + id);
+            assertTrue(calls < MAX_CALLS, "the proxy forwards no request to " + id);
             call(frontendPort, "POST /once" + service + "/warm", "X-Attempt-Id: warm\r\n", "");
         }
         server.seen.clear();
@@ -204,7 +203,7 @@
         return server;
     }
 
-    /** Makes a server known that a test plays by itself. */
+    /** Registers a server whose socket the test handles by itself. */
     void registerServer(String id, ServerSocket socket) throws Exception {
         sendHeartbeat(id, "127.0.0.1:" + socket.getLocalPort(), "");
     }
@@ -215,18 +214,18 @@
         callUntilStatus(200, controlPort, "POST /quartzspan/Instances.Heartbeat/" + id, "", heartbeat);
     }
 
-    /** Names the weights that servers of a model are to have. */
+    /** Sets the weights version that servers of a model should load. */
     static void setModelVersion(String model, long version) throws IOException {
         String body = "{\"model\":\"" + model + "\",\"version\":" + version + "}";
         callUntilStatus(200, controlPort, "POST /quartzspan/version-put", "", body);
     }
 
-    /** A client's connection to the proxy. */
+    /** Opens a client connection to the proxy. */
     Client client() throws Exception {
         return closeAfterTest(new Client(frontendPort));
     }
 
-    /** The head and body of a request on one of this test's routes: once (mutating), read or single (read only). */
+    /** The text of a request on one of this test's routes: once (mutating), read (read-only) or single (read-only, one attempt). */
     String request(String route, String attemptId) {
         return request("POST", route, attemptId, "", 20_000);
     }
@@ -239,7 +238,7 @@
                 + body;
     }
 
-    /** The answer of a server that ran the request with this id. */
+    /** The response of a server that executed the request with this attempt id. */
     static String response(String attemptId, String body) {
         return response(200, "X-Attempt-Id: " + attemptId + "\r\n" + SERVER_SEAL, body);
     }
@@ -248,7 +247,7 @@
         return "HTTP/1.1 " + status + " x\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** The answer of a server that did not run the request with this id. */
+    /** The response of a server that did not execute the request with this attempt id. */
     static String notExecutedResponse(int status, String attemptId) {
         return response(status, "X-Attempt-Id: " + attemptId + "\r\nX-Not-Executed: 1\r\n", "");
     }
@@ -257,10 +256,10 @@
         return seen.message().header("x-attempt-id");
     }
 
-    /** Answers that promise that the request has not run and never will. */
+    /** Asserts a response of the proxy that doesn't imply that the request was not executed. */
     static void assertMayHaveBeenExecuted(Message response) {
-        assertEquals(502, response.status(), "the request may have run: " + response.first());
-        assertEquals(null, response.header("x-server-seal"), "no server's word");
+        assertEquals(502, response.status(), "the request may have been executed: " + response.first());
+        assertEquals(null, response.header("x-server-seal"), "the response is not a server's");
     }
 
     <T extends AutoCloseable> T closeAfterTest(T resource) {
@@ -268,7 +267,7 @@
         return resource;
     }
 
-    /** Lets the connections that the proxy keeps rest: it does not use them again right after an answer. */
+    /** Waits until the proxy may reuse its idle connections, which it does only some time after the last response. */
     static void waitUntilConnectionsAreReusable() throws IOException {
         long endNanos = System.nanoTime() + 5_000_000;
         while (System.nanoTime() < endNanos) {
--- a/src/test/java/quartzspan/frontend/GracefulShutdownTest.java
+++ b/src/test/java/quartzspan/frontend/GracefulShutdownTest.java
@@ -14,7 +14,7 @@
 import quartzspan.http.LoopbackPeers.Message;
 import quartzspan.http.LoopbackPeers.Server;
 
-/** A proxy that gets SIGTERM finishes what it has forwarded, and forwards nothing that it may not finish. */
+/** After SIGTERM a proxy completes the requests that it has forwarded, and forwards none that may not end before its exit. */
 class GracefulShutdownTest extends FleetFixture {
     private static final int GRACE_PERIOD_S = 8;
     private static final int FREEZE_MS = 3_200;
@@ -23,7 +23,7 @@
 
     private final CountDownLatch streamMayEnd = new CountDownLatch(1);
 
-    /** A server whose answer to the request {@code stream} goes on until the test lets it end. */
+    /** Starts a server whose response to the request {@code stream} continues until the test ends it. */
     private Server streamingServer(String name) throws Exception {
         return startServer(name, seen -> {
             if (!attemptId(seen).equals("stream")) {
@@ -49,18 +49,20 @@
         Client idle = closeAfterTest(proxy.client());
         assertEquals("done", idle.write(request("read", "a1")).read().text());
         proxy.signal("TERM");
-        assertTrue(idle.closed(), "idle connections are closed once clients have seen the readiness");
+        assertTrue(idle.closed(), "idle connections are closed once clients have seen that the proxy is not ready");
         server.seen.clear();
         assertRejected(
                 closeAfterTest(proxy.client()).write(request("read", "a2")).read());
-        assertEquals(0, server.seen.size(), "not forwarded");
+        assertEquals(0, server.seen.size(), "the rejected request is not forwarded");
         Message inTime = closeAfterTest(proxy.client())
                 .write(request("POST", "read", "a3", "", 1_000))
                 .read();
-        assertEquals("done", inTime.text(), "this one is sure to end in time");
+        assertEquals("done", inTime.text(), "this request ends before the exit");
         streamMayEnd.countDown();
         String rest = new String(streaming.socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
-        assertTrue(rest.endsWith("3\r\n2nd\r\n0\r\n\r\n"), "the stream that was forwarded before is complete: " + rest);
+        assertTrue(
+                rest.endsWith("3\r\n2nd\r\n0\r\n\r\n"),
+                "the stream that was forwarded before the shutdown is complete: " + rest);
         assertTrue(proxy.exitsInTime());
     }
 
@@ -78,7 +80,7 @@
         server.seen.clear();
         assertRejected(
                 closeAfterTest(proxy.client()).write(request("read", "a2")).read());
-        assertEquals(0, server.seen.size(), "not forwarded");
+        assertEquals(0, server.seen.size(), "the rejected request is not forwarded");
         streamMayEnd.countDown();
         assertTrue(proxy.exitsInTime());
     }
@@ -90,7 +92,7 @@
 
     private static void assertRejected(Message response) {
         assertEquals(503, response.status(), response.first());
-        assertNotNull(response.header("retry-after"), "when to come back");
+        assertNotNull(response.header("retry-after"), "a rejection has a Retry-After header");
         assertEquals("close", response.header("connection"));
     }
 }
--- a/src/test/java/quartzspan/frontend/LoadingServerTest.java
+++ b/src/test/java/quartzspan/frontend/LoadingServerTest.java
@@ -8,13 +8,13 @@
 import org.junit.jupiter.api.Test;
 import quartzspan.http.LoopbackPeers.Seen;
 
-/** What a proxy sends to a server that is to load other weights. */
+/** Requests to a server that was ordered to load another weights version. */
 class LoadingServerTest extends FleetFixture {
     private static final int MAX_REQUESTS = 5_000;
 
     private final BlockingQueue<String> expectedVersions = new LinkedBlockingQueue<>();
 
-    /** Takes the order, never finishes the load, and runs what it may run on version 1. */
+    /** Accepts the order but never completes the load; executes requests that don't expect version 2 on version 1. */
     private void serve(Seen seen) {
         String path = seen.message().first().split(" ")[1];
         if (path.equals("/quartzspan/order")) {
--- a/src/test/java/quartzspan/frontend/ProxyProcess.java
+++ b/src/test/java/quartzspan/frontend/ProxyProcess.java
@@ -7,7 +7,7 @@
 import quartzspan.http.LoopbackPeers;
 import quartzspan.http.LoopbackPeers.Client;
 
-/** The frontend program as a process that gets signals, at a loopback address of its own. */
+/** A frontend proxy in a process of its own, which can receive signals, at a separate loopback address. */
 final class ProxyProcess implements AutoCloseable {
     static final String HOST = "127.0.0.2";
 
@@ -32,12 +32,12 @@
         return new Client(InetAddress.getByName(HOST), frontendPort);
     }
 
-    /** Asks until the readiness has a status; fails after some time. */
+    /** Polls the readiness endpoint until it returns a status; fails after a timeout. */
     void awaitReadiness(int status) {
         long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackPeers.PATIENCE_S);
         while (readiness() != status) {
             if (System.nanoTime() > endNanos) {
-                throw new AssertionError("the readiness is never " + status);
+                throw new AssertionError("the readiness endpoint never returned " + status);
             }
             Thread.onSpinWait();
         }
@@ -59,7 +59,7 @@
                 .waitFor();
     }
 
-    /** Whether the process ends by itself in time. */
+    /** Whether the process exits by itself before a timeout. */
     boolean exitsInTime() throws InterruptedException {
         return process.waitFor(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS);
     }
--- a/src/test/java/quartzspan/frontend/RequestResendTest.java
+++ b/src/test/java/quartzspan/frontend/RequestResendTest.java
@@ -23,11 +23,11 @@
 import quartzspan.http.LoopbackPeers.Seen;
 import quartzspan.http.LoopbackPeers.Server;
 
-/** A request that may run once is written once, whatever becomes of its connection; and what its client is told then. */
+/** A non-idempotent request is sent only once, however its connection fails; and the responses that clients get after failures. */
 class RequestResendTest extends FleetFixture {
     private static final String CHUNKS = "3\r\n1st\r\n3\r\n2nd\r\n0\r\n\r\n";
 
-    /** A server that keeps its connections but forgets them while they are idle: what is sent next is reset. */
+    /** Script of a server whose idle connections become stale: it resets a connection at the second request. */
     private static void resetReusedConnection(Seen seen, Set<Socket> connections) {
         if (connections.add(seen.socket())) {
             seen.write(response(attemptId(seen), "for " + attemptId(seen)));
@@ -39,19 +39,19 @@
     @Test
     void nonIdempotentRequestIsNotResentAfterAStaleConnection() throws Exception {
         Set<Socket> connections = ConcurrentHashMap.newKeySet();
-        Server server = startServer("forgets", s -> resetReusedConnection(s, connections));
+        Server server = startServer("resets", s -> resetReusedConnection(s, connections));
         assertEquals("for a1", client().write(request("once", "a1")).read().text());
         waitUntilConnectionsAreReusable();
         assertMayHaveBeenExecuted(client().write(request("once", "a2")).read());
-        assertEquals(2, server.seen.size(), "a1 and a2, once each");
-        assertEquals(1, server.connections.size(), "the kept connection was used");
+        assertEquals(2, server.seen.size(), "a1 and a2 are sent once each");
+        assertEquals(1, server.connections.size(), "the idle connection is reused");
     }
 
     @Test
     void readOnlyRequestIsResentOnAnotherConnectionAfterAStaleOne() throws Exception {
         Set<Socket> connections = ConcurrentHashMap.newKeySet();
-        startServer("forgets-a", s -> resetReusedConnection(s, connections));
-        startServer("forgets-b", s -> resetReusedConnection(s, connections));
+        startServer("resets-a", s -> resetReusedConnection(s, connections));
+        startServer("resets-b", s -> resetReusedConnection(s, connections));
         for (int i = 0; i < 12; i++) {
             waitUntilConnectionsAreReusable();
             assertEquals(
@@ -94,7 +94,7 @@
         }
     }
 
-    /** Whether a client got a 502, or the beginning of an answer and then the connection's end. */
+    /** Whether a client received a 502, or a truncated response, or none. */
     private static boolean isTruncated(Client client) throws IOException {
         Message head;
         try {
@@ -111,7 +111,7 @@
 
     @Test
     void timeoutDoesNotImplyNonExecution() throws Exception {
-        Server server = startServer("mute", s -> {});
+        Server server = startServer("unresponsive", s -> {});
         Message response =
                 client().write(request("POST", "once", "a1", "", 300)).read();
         assertEquals(504, response.status());
@@ -120,14 +120,15 @@
 
     @Test
     void requestIsSentToNoMoreServersThanTheRouteAllows() throws Exception {
-        // Each server has other weights than the proxy thinks: that is no reason to go to another one.
+        // Each server has another weights version than the proxy expects, which doesn't allow another server to be
+        // tried.
         Server a = startServer("other-a", s -> s.write(versionMismatch("other-a", attemptId(s))));
         Server b = startServer("other-b", s -> s.write(versionMismatch("other-b", attemptId(s))));
         for (int i = 0; i < 16; i++) {
             a.seen.clear();
             b.seen.clear();
             assertEquals(503, client().write(request("single", "m" + i)).read().status());
-            assertTrue(a.seen.isEmpty() || b.seen.isEmpty(), "sent to both");
+            assertTrue(a.seen.isEmpty() || b.seen.isEmpty(), "the request was sent to both servers");
         }
     }
 
@@ -144,12 +145,12 @@
         for (int i = 0; i < 8; i++) {
             assertEquals("ran", client().write(request("once", "a" + i)).read().text());
         }
-        assertTrue(otherInstance.seen.size() <= 1, "passed over once it is known");
+        assertTrue(otherInstance.seen.size() <= 1, "the server is skipped after its first rejection");
     }
 
     @Test
     void responseBeforeTheEndOfTheRequestIsAccepted() throws Exception {
-        // The server says no to a large request after its head, and does not read the rest.
+        // One server rejects a large request after its head and does not read the body.
         String body = "x".repeat(3_000_000);
         Server server = startServer("early", s -> s.write(response(attemptId(s), "ran")));
         try (ServerSocket early = new ServerSocket()) {
@@ -166,11 +167,14 @@
                 Message response = client().write(head + body).read();
                 assertEquals("ran", response.text(), response.first());
             }
-            // Connections are accepted in their order: when this one is answered, all that came before have been.
+            // Connections are accepted in order: after the response to this one, all earlier ones have been handled.
             try (Client last = new Client(early.getLocalPort())) {
                 last.write(request("GET", "once", "last", "", 1)).readHead();
             }
-            assertEquals(List.copyOf(new LinkedHashSet<>(rejected)), List.copyOf(rejected), "one connection for each");
+            assertEquals(
+                    List.copyOf(new LinkedHashSet<>(rejected)),
+                    List.copyOf(rejected),
+                    "each attempt reaches the server on one connection");
         }
         assertEquals(6, server.seen.size());
     }
@@ -181,7 +185,7 @@
                 rejectAfterHead(early.accept(), rejected);
             }
         } catch (IOException e) {
-            // closed: the test is over
+            // The test has closed the socket.
         }
     }
 
@@ -193,6 +197,7 @@
                     response(503, "X-Attempt-Id: " + id + "\r\nX-Not-Executed: 1\r\nConnection: close\r\n", "");
             socket.getOutputStream().write(response.getBytes(StandardCharsets.US_ASCII));
         } catch (IOException noRequest) {
+            // Recorded twice, so that the check for duplicates fails: the proxy opened a connection without a request.
             rejected.add("nothing");
             rejected.add("nothing");
         }
@@ -206,7 +211,7 @@
             }
         });
         Client client = client().write(request("once", "p1") + request("read", "p2") + request("once", "p3"));
-        Seen first = nextRequest(server, "the first");
+        Seen first = nextRequest(server, "the first pipelined request");
         assertEquals("p1", attemptId(first));
         first.write(response("p1", "for p1"));
         for (String id : List.of("p1", "p2", "p3")) {
@@ -224,7 +229,7 @@
             }
         });
         Client disconnecting = client().write(request("once", "gone"));
-        Seen pending = nextRequest(server, "the request");
+        Seen pending = nextRequest(server, "the request of the client that disconnects");
         disconnecting.close();
         pending.awaitEnd();
         pending.write(response("gone", "late"));
@@ -244,7 +249,7 @@
                                 : attemptId(s).equals("h2")
                                         ? "HTTP/1.1 200 OK\r\nX-Attempt-Id: h2\r\nX-Server-Seal: s\r\n"
                                                 + "Transfer-Encoding: chunked\r\n\r\n"
-                                        : response(attemptId(s), "whole")));
+                                        : response(attemptId(s), "complete")));
         Client client = client();
         assertEquals(
                 200,
@@ -256,12 +261,13 @@
                 client.write(request("HEAD", "read", "h2", "", 20_000))
                         .readHead()
                         .status());
-        assertEquals("whole", client.write(request("read", "h3")).read().text());
+        assertEquals("complete", client.write(request("read", "h3")).read().text());
     }
 
     @Test
     void rejectionImpliesNonExecutionOnlyIfNothingWasExecuted() throws Exception {
-        // Full first, then a reset: the refusal of the one says nothing of the other.
+        // If one server rejects the request and the other resets its connection, the rejection doesn't imply
+        // non-execution.
         Server full = startServer("full", s -> s.write(notExecutedResponse(503, attemptId(s))));
         Server broken = startServer("broken", Seen::reset);
         for (int i = 0; i < 8; i++) {
@@ -275,8 +281,8 @@
 
     @Test
     void incompleteRequestOfADisconnectedClientIsNotForwarded() throws Exception {
-        Server server = startServer("whole-only", s -> s.write(response(attemptId(s), "for " + attemptId(s))));
-        String incomplete = request("once", "half");
+        Server server = startServer("complete-only", s -> s.write(response(attemptId(s), "for " + attemptId(s))));
+        String incomplete = request("once", "incomplete");
         Client client = client().write(incomplete.substring(0, incomplete.length() - 1));
         client.socket.shutdownOutput();
         assertThrows(IOException.class, client::read);
--- a/src/test/java/quartzspan/frontend/ResponseMatchingTest.java
+++ b/src/test/java/quartzspan/frontend/ResponseMatchingTest.java
@@ -9,7 +9,7 @@
 import quartzspan.http.LoopbackPeers.Message;
 import quartzspan.http.LoopbackPeers.Server;
 
-/** One answer belongs to one request: what servers send late, twice or without their marks is never another's. */
+/** Responses are matched to requests: a late, duplicate or unmarked response is never passed on for another request. */
 class ResponseMatchingTest extends FleetFixture {
     @Test
     void completeResponseIsPassedOnUnchanged() throws Exception {
@@ -34,18 +34,19 @@
 
     @Test
     void lateRejectionWithoutLengthIsNotTakenAsTheNextResponse() throws Exception {
-        // Taken for a2's it would promise that a2 never ran, and let it run a second time elsewhere.
+        // Taken as the response to a2 it would imply that a2 was not executed, and a2 would be executed again
+        // elsewhere.
         Server server = startServer(
                 "bare",
                 s -> s.write("HTTP/1.1 503 x\r\nX-Attempt-Id: a0\r\nX-Not-Executed: 1\r\n\r\n"
                         + response(attemptId(s), "ran")));
         assertMayHaveBeenExecuted(client().write(request("once", "a2")).read());
-        assertEquals(1, server.seen.size(), "written once");
+        assertEquals(1, server.seen.size(), "the request is sent once");
     }
 
     @Test
     void successWithoutTheAttemptIdIsNotPassedOn() throws Exception {
-        startServer("anonymous", s -> s.write(response(200, "X-Server-Seal: seal.1\r\n", "whose?")));
+        startServer("anonymous", s -> s.write(response(200, "X-Server-Seal: seal.1\r\n", "no attempt id")));
         assertMayHaveBeenExecuted(client().write(request("once", "a1")).read());
     }
 
@@ -79,7 +80,8 @@
 
     @Test
     void rejectionWithoutTheHeaderDoesNotImplyNonExecution() throws Exception {
-        // 429, 503 and 408 tell a client that its request never runs; without the mark a server did not say so.
+        // Clients take 429, 503 and 408 to mean that the request is never executed; without X-Not-Executed no server
+        // said so.
         for (int status : new int[] {503, 429, 408}) {
             Server server = startServer(
                     "unmarked" + status,
@@ -108,7 +110,8 @@
 
     @Test
     void resentRequestIsNotAnsweredByTheResponseToTheFirstAttempt() throws Exception {
-        // A server of other weights turns it away, and once more, late, where the second send's answer is due.
+        // A server with another weights version rejects the request, and sends that rejection again before the second
+        // response.
         AtomicReference<Socket> first = new AtomicReference<>();
         String mismatch = response(421, "X-Attempt-Id: a1\r\nX-Not-Executed: 1\r\nX-Instance-Id: twice\r\n", "");
         Server server = startServer("twice", s -> {
--- a/src/test/java/quartzspan/frontend/ShutdownScheduleTest.java
+++ b/src/test/java/quartzspan/frontend/ShutdownScheduleTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The times of a graceful shutdown. */
+/** Timing of a graceful shutdown. */
 class ShutdownScheduleTest {
     private static final long GRACE_PERIOD_MS = 8_000;
     private static final long START_MS = 100_000;
--- a/src/test/java/quartzspan/frontend/VersionMismatchTest.java
+++ b/src/test/java/quartzspan/frontend/VersionMismatchTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What a proxy does when a server rejects a request for the version of its weights. */
+/** A server's rejection of a request because of its expected weights version. */
 class VersionMismatchTest extends FleetFixture {
     @Test
     void requestWithoutModelGetsAResponseAfterAVersionMismatch() throws Exception {
