--- a/src/test/java/quartzspan/frontend/ResponseMatchingTest.java
+++ b/src/test/java/quartzspan/frontend/ResponseMatchingTest.java
@@ -112,11 +112,11 @@
     void resentRequestIsNotAnsweredByTheResponseToTheFirstAttempt() throws Exception {
         // A server with another weights version rejects the request, and sends that rejection again before the second
         // response.
-        AtomicReference<Socket> first = new AtomicReference<>();
+        AtomicReference<Socket> firstConnection = new AtomicReference<>();
         String mismatch = response(421, "X-Attempt-Id: a1\r\nX-Not-Executed: 1\r\nX-Instance-Id: twice\r\n", "");
         Server server = startServer("twice", s -> {
-            boolean resent = !first.compareAndSet(null, s.socket());
-            s.write(!resent ? mismatch : (first.get() == s.socket() ? mismatch : "") + response("a1", "ran"));
+            boolean resent = !firstConnection.compareAndSet(null, s.socket());
+            s.write(!resent ? mismatch : (firstConnection.get() == s.socket() ? mismatch : "") + response("a1", "ran"));
         });
         Message response = client().write(request("once", "a1")).read();
         assertEquals("ran", response.text(), response.first());
