--- a/src/main/java/quartzspan/controlplane/PrefixCacheIndexer.java
+++ b/src/main/java/quartzspan/controlplane/PrefixCacheIndexer.java
@@ -110,7 +110,7 @@
 
     private static Server storeAsServer(Configuration.Service service) {
         return new Server(
-                PrefixCacheIndex.store(service.store()),
+                PrefixCacheIndex.storeId(service.store()),
                 service.name(),
                 service.store(),
                 service.zone(),
@@ -122,13 +122,13 @@
     }
 
     private void poll(long now, Server source, KvEventReader reader) {
-        switch (reader.due(now)) {
+        switch (reader.nextCall(now)) {
             case EVENTS -> call(
                     source,
                     reader,
                     "/quartzspan/kv-events?since=" + reader.since(),
                     Map.of("Wait-Ms", LONG_POLL_WAIT_MS),
-                    response -> reader.events(
+                    response -> reader.onEvents(
                             clockMs.getAsLong(),
                             JsonFields.wholeNumber(response, "epoch", 0),
                             JsonFields.wholeNumber(response, "next_token", 0),
@@ -139,7 +139,7 @@
                     reader,
                     "/quartzspan/kv-list",
                     Map.of(),
-                    response -> List.of(reader.list(
+                    response -> List.of(reader.onList(
                             clockMs.getAsLong(),
                             JsonFields.wholeNumber(response, "epoch", 0),
                             JsonFields.wholeNumber(response, "next_token", 0),
@@ -159,12 +159,12 @@
 
     private List<PrefixCacheUpdate> parseUpdates(KvEventReader reader, int status, byte[] body, ResponseParser parser) {
         if (status != 200) {
-            return reader.failed(clockMs.getAsLong());
+            return reader.onFailure(clockMs.getAsLong());
         }
         try {
             return parser.parse(JsonFields.parse(body));
         } catch (FleetException | ClassCastException | NullPointerException | IndexOutOfBoundsException unreadable) {
-            return reader.failed(clockMs.getAsLong());
+            return reader.onFailure(clockMs.getAsLong());
         }
     }
 
@@ -185,7 +185,7 @@
         Set<String> recipients = new LinkedHashSet<>(gossip.cores());
         recipients.addAll(gossip.subscribers());
         for (PrefixCacheUpdate update : updates) {
-            prefixCacheIndex.take(clockMs.getAsLong(), update);
+            prefixCacheIndex.apply(clockMs.getAsLong(), update);
             recipients.forEach(to -> enqueue(to, update));
         }
     }
@@ -203,7 +203,7 @@
             }
             return;
         }
-        if (prefixCacheIndex.take(clockMs.getAsLong(), update)) {
+        if (prefixCacheIndex.apply(clockMs.getAsLong(), update)) {
             transport.send(from, PrefixCacheUpdate.snapshotRequest(update.server()));
         } else if (fromCore) {
             List<String> cores = gossip.cores();
--- a/src/main/java/quartzspan/frontend/FrontendProxy.java
+++ b/src/main/java/quartzspan/frontend/FrontendProxy.java
@@ -35,35 +35,38 @@
 import quartzspan.transport.TcpTransport;
 
 /**
- * A frontend machine's process: takes clients' requests, finds their route and tenant in the configuration, and carries them
- * to the server that the decision module names. One event loop owns all of it.
+ * The proxy on a frontend machine: accepts client requests, looks up their route and tenant in the configuration, and forwards
+ * them to the model server that the load balancer selects. All of its state is owned by one event loop.
  */
 public final class FrontendProxy implements HttpServer.RequestHandler {
     private static final Logger LOG = LoggerFactory.getLogger(FrontendProxy.class);
-    private static final int TICK_MS = 100;
-    /** Descriptors that are kept for files and for connections of the system's own processes. */
+    private static final int TICK_INTERVAL_MS = 100;
+    /** File descriptors reserved for files and for connections between the system's own processes. */
     private static final int RESERVED_DESCRIPTORS = 300;
 
     private static final int MIN_CONNECTIONS = 64;
     private static final int CONNECT_TIMEOUT_US = 400_000;
-    /** Idle connections to servers are closed before the servers close them. */
-    private static final long IDLE_TIMEOUT_US = 8_000_000;
+    /** Idle timeout of the servers; the pool closes idle connections before the servers do. */
+    private static final long SERVER_IDLE_TIMEOUT_US = 8_000_000;
 
-    private static final int IDLE_PEER_CONNECTION_MS = 10_000;
-    private static final long SHUTDOWN_TIMEOUT_MS = 200;
-    /** Clients are advised to retry after this fraction of the latency target, and a random part of it. */
+    private static final int PEER_IDLE_TIMEOUT_MS = 10_000;
+    private static final long EVENT_LOOP_SHUTDOWN_TIMEOUT_MS = 200;
+    /** The Retry-After time as a fraction of the route's latency target, before jitter. */
     private static final double RETRY_AFTER_FRACTION = 0.3;
 
     private static final double RETRY_AFTER_MIN_JITTER = 0.8;
     private static final double RETRY_AFTER_JITTER_RANGE = 0.4;
-    /** The advice while no current configuration is known. */
+    /** The Retry-After time while the proxy has no fresh configuration. */
     private static final long NOT_READY_RETRY_AFTER_US = 300_000;
-    /** The removal of a key has to be known this long before it counts: between the check and the server's start lies some time. */
+    /**
+     * The configuration counts as stale this long before a revoked API key must be rejected: a request starts at its server some
+     * time after its key was checked.
+     */
     private static final long FRESHNESS_MARGIN_MS = 700;
-    /** What a head may be longer, and a connection be idle longer, than clients are promised. */
+    /** Margins by which the enforced limits of header size and idle time exceed those stated to clients. */
     private static final int HEADER_MARGIN_BYTES = 1024;
 
-    private static final long IDLE_MARGIN_MS = 5_000;
+    private static final long CLIENT_IDLE_MARGIN_MS = 5_000;
     private static final int MIN_REQUEST_TIMEOUT_MS = 10_000;
 
     private final Settings settings;
@@ -83,46 +86,49 @@
     private final RequestClassifier classifier = new RequestClassifier(random);
     private final RetryBudget retryBudget = new RetryBudget();
     private final Set<ProxiedRequest> inFlight = new HashSet<>();
-    private final CountDownLatch ended = new CountDownLatch(1);
+    private final CountDownLatch shutdownComplete = new CountDownLatch(1);
     private final ShutdownSchedule shutdown;
     private boolean ready;
-    /** Requests that were rejected because they might not have ended before the process. */
-    private int rejectedInShutdown;
+    /** Requests rejected during the shutdown because they might not have ended before the process exits. */
+    private int rejectedDuringShutdown;
 
     private FrontendProxy(Settings settings, List<String> seeds, EventLoopGroup group, EventLoop loop) {
         this.settings = settings;
         this.group = group;
         this.loop = loop;
         this.shutdown = new ShutdownSchedule(gracePeriodMs(settings), nowMs());
-        String self = text(settings.internal());
+        String internalAddress = hostAndPort(settings.internal());
         int maxServerConnections = Math.max(MIN_CONNECTIONS, (settings.descriptors() - RESERVED_DESCRIPTORS) / 3);
-        this.connectionPool = new ConnectionPool(loop, CONNECT_TIMEOUT_US, IDLE_TIMEOUT_US, maxServerConnections);
+        this.connectionPool =
+                new ConnectionPool(loop, CONNECT_TIMEOUT_US, SERVER_IDLE_TIMEOUT_US, maxServerConnections);
         this.endpoints = new EndpointDirectory(registry, connectionPool, prefixCacheIndex, clock::now);
         this.prefixCacheRouting = new PrefixCacheRouting(endpoints, prefixCacheIndex, clock);
-        this.transport = new TcpTransport(loop, new Hello(false, self, "", settings.zone()), this::received);
-        this.gossip = new Gossip(self, false, seeds, registry, transport::send, Gossip.firstNonce(System.nanoTime()));
+        this.transport =
+                new TcpTransport(loop, new Hello(false, internalAddress, "", settings.zone()), this::onMessage);
+        this.gossip = new Gossip(
+                internalAddress, false, seeds, registry, transport::send, Gossip.firstNonce(System.nanoTime()));
         gossip.preferZone(settings.zone());
         this.httpServer = new HttpServer(this, loop);
         this.readinessServer = new HttpServer(new ReadinessHandler(clock, this::isReady), loop);
     }
 
-    /** Internal addresses of the core machines to begin with: on all machines the ports are alike. */
+    /** Internal addresses of the core machines to contact first; all machines use the same internal ports. */
     private static List<String> seeds(Settings settings) {
         return settings.seeds().stream()
-                .map(s -> s.getHostString() + ':' + settings.internalPort())
+                .map(seed -> seed.getHostString() + ':' + settings.internalPort())
                 .toList();
     }
 
-    private static String text(InetSocketAddress at) {
-        return at.getHostString() + ':' + at.getPort();
+    private static String hostAndPort(InetSocketAddress address) {
+        return address.getHostString() + ':' + address.getPort();
     }
 
-    /** Starts to serve; returns once it listens. It is ready when it has a configuration that is surely the newest. */
+    /** Starts a proxy and returns once it listens. It becomes ready when it has a fresh configuration. */
     public static FrontendProxy start(Settings settings) throws Exception {
         return start(settings, seeds(settings));
     }
 
-    /** The same, with internal addresses of core machines in place of the settings' seeds. */
+    /** Starts a proxy that contacts these internal addresses of core machines instead of the settings' seed nodes. */
     public static FrontendProxy start(Settings settings, String... cores) throws Exception {
         return start(settings, List.of(cores));
     }
@@ -130,48 +136,57 @@
     private static FrontendProxy start(Settings settings, List<String> seeds) throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
-        FrontendProxy c = loop.submit(() -> new FrontendProxy(settings, seeds, group, loop))
+        FrontendProxy proxy = loop.submit(() -> new FrontendProxy(settings, seeds, group, loop))
                 .get();
-        for (ChannelFuture f : List.of(
-                c.transport.listen(settings.internal()),
-                loop.submit(() -> c.readinessServer.listen(settings.listens("readiness")))
+        for (ChannelFuture bound : List.of(
+                proxy.transport.listen(settings.internal()),
+                loop.submit(() -> proxy.readinessServer.listen(settings.listens("readiness")))
                         .get(),
-                loop.submit(() -> c.httpServer.listen(settings.listens("frontend")))
+                loop.submit(() -> proxy.httpServer.listen(settings.listens("frontend")))
                         .get())) {
-            if (!f.await().isSuccess()) {
+            if (!bound.await().isSuccess()) {
                 throw new FleetException(
                         FleetException.Code.ADDRESS_TAKEN,
-                        "can't listen: " + f.cause().getMessage(),
+                        "can't listen: " + bound.cause().getMessage(),
                         "end the process that uses the address");
             }
         }
         loop.submit(() -> {
-                    c.connectionPool.begin();
+                    proxy.connectionPool.begin();
                     loop.scheduleWithFixedDelay(
-                            new PeriodicTask("frontend proxy tick", c::tick), 1, TICK_MS, TimeUnit.MILLISECONDS);
+                            new PeriodicTask("frontend proxy tick", proxy::tick),
+                            1,
+                            TICK_INTERVAL_MS,
+                            TimeUnit.MILLISECONDS);
                 })
                 .get();
         LOG.info("proxy {} listens at {}", settings.nodeName(), settings.listens("frontend"));
-        return c;
+        return proxy;
     }
 
-    /** Settings that changed while it serves: whom to ask first. */
+    /** Applies changed settings at run time: only the seed nodes are updated. */
     void reload(Settings changed) {
         loop.execute(() -> gossip.setSeeds(seeds(changed)));
     }
 
-    /** Serves to the end what came and still comes, without losing any of it; returns when the process may end. */
-    void leave() {
+    /**
+     * Shuts down gracefully: completes the requests in flight, and forwards or rejects those that still arrive. Blocks until the
+     * process may exit, at most for the grace period.
+     */
+    void shutDownGracefully() {
         loop.execute(() -> {
             LOG.info("shutdown requested, {} requests in flight", inFlight.size());
             shutdown.begin(nowMs());
             ready = false;
             httpServer.closeAfterResponses();
             loop.scheduleWithFixedDelay(
-                    new PeriodicTask("shutdown", this::continueShutdown), TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
+                    new PeriodicTask("shutdown", this::continueShutdown),
+                    TICK_INTERVAL_MS,
+                    TICK_INTERVAL_MS,
+                    TimeUnit.MILLISECONDS);
         });
         try {
-            ended.await(gracePeriodMs(settings), TimeUnit.MILLISECONDS);
+            shutdownComplete.await(gracePeriodMs(settings), TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -179,17 +194,17 @@
 
     private void continueShutdown() {
         long now = nowMs();
-        if (shutdown.closesIdleConnections(now)) {
+        if (shutdown.shouldCloseIdleConnections(now)) {
             httpServer.closeIdle();
         }
-        if (ended.getCount() > 0 && shutdown.isOver(now, inFlight.isEmpty() && httpServer.isIdle())) {
-            // From here to the process's end nothing more may be read: it would not be answered.
+        if (shutdownComplete.getCount() > 0 && shutdown.mayExit(now, inFlight.isEmpty() && httpServer.isIdle())) {
+            // From here to the process's exit no request may be read: it would get no response.
             httpServer.close();
             LOG.info(
                     "shutdown complete, {} requests rejected meanwhile, {} cut off",
-                    rejectedInShutdown,
+                    rejectedDuringShutdown,
                     inFlight.size());
-            ended.countDown();
+            shutdownComplete.countDown();
         }
     }
 
@@ -197,13 +212,12 @@
         return (long) (settings.bounds().gracePeriodS() * 1000);
     }
 
-    /** Ends at once. */
+    /** Stops immediately, without waiting for requests in flight. */
     public void stop() {
-        group.shutdownGracefully(0, SHUTDOWN_TIMEOUT_MS, TimeUnit.MILLISECONDS).awaitUninterruptibly();
+        group.shutdownGracefully(0, EVENT_LOOP_SHUTDOWN_TIMEOUT_MS, TimeUnit.MILLISECONDS)
+                .awaitUninterruptibly();
     }
 
-    // ---- what requests in flight use -----------------------------------------------------------------
-
     @Override
     public long now() {
         return clock.now();
@@ -233,19 +247,17 @@
         return prefixCacheIndex;
     }
 
-    /** A request has its final answer, or its client has disconnected. */
-    void onEnded(ProxiedRequest request) {
+    /** Called when a request has its final response, or its client has disconnected. */
+    void onRequestEnded(ProxiedRequest request) {
         inFlight.remove(request);
     }
 
-    /** When a client whose request was rejected had better retry, in microseconds from now. */
+    /** Time in microseconds after which a client should retry a rejected request. */
     long retryAfterUs(Route route) {
         double jitter = RETRY_AFTER_MIN_JITTER + RETRY_AFTER_JITTER_RANGE * random.nextDouble();
         return (long) (route.targetMs() * 1000 * RETRY_AFTER_FRACTION * jitter);
     }
 
-    // ---- state ---------------------------------------------------------------------------------------
-
     @Override
     public HttpServer.ConnectionLimits limits() {
         Configuration.Limits limits = configuration().limits();
@@ -253,7 +265,7 @@
                 Math.max(MIN_CONNECTIONS, (settings.descriptors() - RESERVED_DESCRIPTORS) / 2),
                 limits.headerBytes() + HEADER_MARGIN_BYTES,
                 limits.bodyBytes(),
-                limits.idleTimeoutMs() + IDLE_MARGIN_MS,
+                limits.idleTimeoutMs() + CLIENT_IDLE_MARGIN_MS,
                 Math.max(MIN_REQUEST_TIMEOUT_MS, limits.headerTimeoutMs()));
     }
 
@@ -261,8 +273,8 @@
         return registry.state().configuration();
     }
 
-    /** Whether the configuration known here is recent enough to authorise requests by it. */
-    private boolean isFresh() {
+    /** Whether this proxy's configuration is recent enough to authorise requests. */
+    private boolean isConfigurationFresh() {
         if (configuration().version() == 0) {
             return false;
         }
@@ -274,81 +286,77 @@
     }
 
     private boolean isReady() {
-        return ready && isFresh() && !shutdown.begun();
+        return ready && isConfigurationFresh() && !shutdown.hasBegun();
     }
 
-    private void becomeReady() {
-        if (!ready && isFresh() && !shutdown.begun()) {
+    private void becomeReadyIfFresh() {
+        if (!ready && isConfigurationFresh() && !shutdown.hasBegun()) {
             ready = true;
             LOG.info("ready, configuration version {}", configuration().version());
         }
     }
 
-    // ---- the event loop ------------------------------------------------------------------------------
-
     private void tick() {
         long now = nowMs();
         shutdown.onTick(now);
         gossip.onTick(now, null);
         registry.expire(now);
-        transport.closeIdle(IDLE_PEER_CONNECTION_MS);
-        becomeReady();
+        transport.closeIdle(PEER_IDLE_TIMEOUT_MS);
+        becomeReadyIfFresh();
     }
 
-    private void received(Hello from, Object message) {
+    private void onMessage(Hello from, Object message) {
         if (message instanceof PrefixCacheUpdate update) {
-            receivedPrefixCacheUpdate(from, update);
+            onPrefixCacheUpdate(from, update);
         } else if (message instanceof GossipMessage gossipMessage) {
-            endpoints.onUpdate(gossip.onGossip(nowMs(), from.address(), gossipMessage));
-            becomeReady();
+            endpoints.onRegistryUpdate(gossip.onGossip(nowMs(), from.address(), gossipMessage));
+            becomeReadyIfFresh();
         }
     }
 
-    private void receivedPrefixCacheUpdate(Hello from, PrefixCacheUpdate update) {
-        boolean incomplete =
-                update.kind() != PrefixCacheUpdate.Kind.SNAPSHOT_REQUEST && prefixCacheIndex.take(nowMs(), update);
-        if (incomplete) {
+    private void onPrefixCacheUpdate(Hello from, PrefixCacheUpdate update) {
+        boolean snapshotRequired =
+                update.kind() != PrefixCacheUpdate.Kind.SNAPSHOT_REQUEST && prefixCacheIndex.apply(nowMs(), update);
+        if (snapshotRequired) {
             transport.send(from.address(), PrefixCacheUpdate.snapshotRequest(update.server()));
         }
     }
 
-    // ---- requests of clients -------------------------------------------------------------------------
-
     @Override
-    public void onRequest(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long receivedAtUs) {
-        if (!isFresh()) {
+    public void onRequest(HttpServer.ClientConnection client, HttpRequest request, byte[] body, long receivedAtUs) {
+        if (!isConfigurationFresh()) {
             reject(client, NOT_READY_RETRY_AFTER_US);
             return;
         }
         Configuration configuration = configuration();
-        Route route = RequestClassifier.route(configuration, in);
+        Route route = RequestClassifier.route(configuration, request);
         if (route == null) {
             client.answer(HttpResponseStatus.NOT_FOUND);
             return;
         }
-        Tenant tenant = RequestClassifier.tenant(configuration, in);
+        Tenant tenant = RequestClassifier.tenant(configuration, request);
         if (configuration.hasTenants() && tenant == null && !route.open()) {
             client.answer(HttpResponseStatus.UNAUTHORIZED);
             return;
         }
-        long deadlineUs = RequestClassifier.deadlineUs(route, in, receivedAtUs);
+        long deadlineUs = RequestClassifier.deadlineUs(route, request, receivedAtUs);
         if (!shutdown.mayForward(nowMs(), deadlineUs / 1000)) {
-            rejectedInShutdown++;
+            rejectedDuringShutdown++;
             reject(client, retryAfterUs(route));
             return;
         }
         Settings.Bounds bounds = settings.bounds();
-        retryBudget.onRequest(bounds.retryBudgetRatio(), bounds.retryAllowance(), endpoints.proxies());
-        ProxiedRequest request = new ProxiedRequest(
+        retryBudget.onRequest(bounds.retryBudgetRatio(), bounds.retryAllowance(), endpoints.proxyCount());
+        ProxiedRequest proxied = new ProxiedRequest(
                 this,
                 client,
                 route,
-                classifier.placementRequest(route, in, tenant),
-                RequestClassifier.outgoing(configuration, in, body, route, tenant),
+                classifier.placementRequest(route, request, tenant),
+                RequestClassifier.outgoingRequest(configuration, request, body, route, tenant),
                 deadlineUs,
-                RequestClassifier.prompt(in, tenant));
-        inFlight.add(request);
-        request.start();
+                RequestClassifier.prompt(request, tenant));
+        inFlight.add(proxied);
+        proxied.start();
     }
 
     private static void reject(HttpServer.ClientConnection client, long retryAfterUs) {
--- a/src/main/java/quartzspan/frontend/Main.java
+++ b/src/main/java/quartzspan/frontend/Main.java
@@ -6,34 +6,34 @@
 import quartzspan.common.Settings;
 import sun.misc.Signal;
 
-/** The program of a frontend machine: the proxy that carries clients' requests. */
+/** Main class of a frontend machine's process, which runs the proxy for client requests. */
 public final class Main {
     private static final Logger LOG = LoggerFactory.getLogger(Main.class);
 
     private Main() {}
 
-    /** Takes no arguments: all comes from the settings file. */
+    /** Takes no arguments: everything is configured in the settings file. */
     public static void main(String[] args) {
         try {
             run(Settings.load());
-        } catch (Exception why) {
-            Settings.refuse(why, LOG::error);
+        } catch (Exception e) {
+            Settings.refuse(e, LOG::error);
         }
     }
 
-    /** Starts the proxy and ties it to the process's signals; returns once it listens. */
+    /** Starts the proxy; SIGHUP reloads its settings, SIGTERM shuts it down. Returns once it listens. */
     public static FrontendProxy run(Settings settings) throws Exception {
         FrontendProxy proxy = FrontendProxy.start(settings);
-        Signal.handle(new Signal("HUP"), hup -> reload(proxy));
-        Runtime.getRuntime().addShutdownHook(new Thread(proxy::leave));
+        Signal.handle(new Signal("HUP"), signal -> reload(proxy));
+        Runtime.getRuntime().addShutdownHook(new Thread(proxy::shutDownGracefully));
         return proxy;
     }
 
     private static synchronized void reload(FrontendProxy proxy) {
         try {
             proxy.reload(Settings.load());
-        } catch (FleetException why) {
-            LOG.error("the settings stay as they were: {}", why.toString());
+        } catch (FleetException e) {
+            LOG.error("settings not reloaded, the previous ones stay in effect: {}", e.toString());
         }
     }
 }
--- a/src/main/java/quartzspan/frontend/ProxiedRequest.java
+++ b/src/main/java/quartzspan/frontend/ProxiedRequest.java
@@ -21,24 +21,24 @@
 import quartzspan.loadbalancing.PlacementRequest;
 
 /**
- * One request of a client: forwards it to a server, to another one if it was surely not executed or may be repeated, and the
- * response back.
+ * A client request in flight. It is forwarded to a server, and retried at another one only if it was certainly not executed or
+ * may be executed more than once; the response is forwarded to the client.
  */
 final class ProxiedRequest implements ConnectionPool.ResponseHandler {
-    private static final String ATTEMPT_ID = "X-Attempt-Id";
-    private static final String SERVER_SEAL = "X-Server-Seal";
-    private static final String NOT_EXECUTED = "X-Not-Executed";
+    private static final String ATTEMPT_ID_HEADER = "X-Attempt-Id";
+    private static final String SERVER_SEAL_HEADER = "X-Server-Seal";
+    private static final String NOT_EXECUTED_HEADER = "X-Not-Executed";
     private static final List<CharSequence> HOP_BY_HOP_HEADERS = List.of(
             HttpHeaderNames.CONNECTION,
             "Keep-Alive",
             HttpHeaderNames.TRAILER,
             HttpHeaderNames.UPGRADE,
             "Proxy-Connection");
-    /** The final answer is sent this long before the deadline. */
+    /** The final response is sent this long before the deadline. */
     private static final long DEADLINE_MARGIN_US = 15_000;
-    /** Sends of one request, also to one server. */
+    /** Maximum number of times a request is sent, including repeated sends to the same server. */
     private static final int MAX_SENDS = 3;
-    /** Servers tried, also those that could not be reached. */
+    /** Maximum number of servers tried, including those that could not be reached. */
     private static final int MAX_SERVERS_TRIED = 8;
 
     private static final Response NO_BODY = new Response(new byte[0], null, null);
@@ -51,23 +51,25 @@
     private final String attemptId;
     private final long deadlineUs;
     private final Prompt prompt;
-    /** Names of the prompt's blocks at the server that executes it. */
+    /** Hashes of the prompt's blocks at the server of the current attempt. */
     private long[] blocks = {};
 
-    private final Set<String> tried = new HashSet<>();
-    /** Servers that received it. */
-    private final Set<String> reached = new HashSet<>();
+    private final Set<String> triedServers = new HashSet<>();
+    /** Servers that received the request. */
+    private final Set<String> reachedServers = new HashSet<>();
 
-    /** The server of the next send, whatever the placement chooses; null to let it choose. */
+    /** The server of the next attempt; null to let the placement choose. */
     private String nextServer;
 
-    private int sends;
+    private int sendCount;
     private boolean mayHaveExecuted;
     private boolean responseStarted;
     private boolean ended;
+    /** The server of the current attempt. */
     private String server;
+
     private ConnectionPool.Attempt attempt;
-    private HttpResponse head;
+    private HttpResponse responseHead;
 
     ProxiedRequest(
             FrontendProxy proxy,
@@ -83,54 +85,55 @@
         this.route = route;
         this.placementRequest = placementRequest;
         this.request = request;
-        this.attemptId = request.headers().get(ATTEMPT_ID);
+        this.attemptId = request.headers().get(ATTEMPT_ID_HEADER);
         this.deadlineUs = deadlineUs - DEADLINE_MARGIN_US;
     }
 
     void start() {
         client.onDisconnect(this::onDisconnect);
-        next();
+        sendAttempt();
     }
 
-    private void next() {
-        long left = deadlineUs - proxy.now();
-        String to = left <= 0 ? null : target();
-        ConnectionPool.Endpoint endpoint = to == null ? null : proxy.endpoints().endpoint(to);
+    private void sendAttempt() {
+        long remainingUs = deadlineUs - proxy.now();
+        String target = remainingUs <= 0 ? null : chooseServer();
+        ConnectionPool.Endpoint endpoint =
+                target == null ? null : proxy.endpoints().endpoint(target);
         if (endpoint == null) {
-            reject();
+            respondWithError();
             return;
         }
-        server = to;
-        head = null;
-        HttpHeaders headers = new DefaultHttpHeaders().set(request.headers()).set("X-Expected-Instance", to);
-        blocks = proxy.prefixCacheRouting().setHeaders(headers, to, placementRequest, prompt);
-        proxy.endpoints().placement().onSent(to, placementRequest);
+        server = target;
+        responseHead = null;
+        HttpHeaders headers = new DefaultHttpHeaders().set(request.headers()).set("X-Expected-Instance", target);
+        blocks = proxy.prefixCacheRouting().setHeaders(headers, target, placementRequest, prompt);
+        proxy.endpoints().placement().onSent(target, placementRequest);
         attempt = proxy.connectionPool()
                 .attempt(
                         endpoint,
                         new OutgoingRequest(request.method(), request.uri(), headers, request.body()),
-                        left,
+                        remainingUs,
                         () -> !ended,
                         this,
                         this::onAttemptEnded);
-        attempt.start(reuse(to));
+        attempt.start(connectionReuse(target));
     }
 
-    /** The server that is to get it: the one that it goes to again, or a further one if the route allows that. */
-    private String target() {
-        String again = nextServer;
+    /** The server of the next attempt: the one set for a resend, else another one if the route allows more attempts; or null. */
+    private String chooseServer() {
+        String preferred = nextServer;
         nextServer = null;
-        if (again != null && proxy.endpoints().endpoint(again) != null) {
-            return again;
+        if (preferred != null && proxy.endpoints().endpoint(preferred) != null) {
+            return preferred;
         }
-        return reached.size() < route.maxAttempts()
-                ? proxy.endpoints().placement().pick(proxy.now(), placementRequest, tried)
+        return reachedServers.size() < route.maxAttempts()
+                ? proxy.endpoints().placement().pick(proxy.now(), placementRequest, triedServers)
                 : null;
     }
 
-    /** Two sends of one request have the same id, so that only their connections distinguish their responses. */
-    private ConnectionPool.Reuse reuse(String to) {
-        return reached.contains(to)
+    /** Repeated sends have the same attempt id: only separate connections distinguish the responses to them. */
+    private ConnectionPool.Reuse connectionReuse(String target) {
+        return reachedServers.contains(target)
                 ? ConnectionPool.Reuse.NONE
                 : route.repeatable() ? ConnectionPool.Reuse.ANY : ConnectionPool.Reuse.RECENT;
     }
@@ -141,35 +144,38 @@
             if (attempt != null) {
                 attempt.cancel();
             }
-            proxy.onEnded(this);
+            proxy.onRequestEnded(this);
         }
     }
 
-    // ---- the server's response -------------------------------------------------------------------------
-
-    /** Servers echo the id of the request that a response is to, and a success has its server's seal and an unencoded body. */
+    /**
+     * Matches a response by the attempt id, which servers echo. A success must also have one server seal and a body without a
+     * content encoding.
+     */
     @Override
-    public ResponseMatch match(HttpResponse answer) {
-        List<String> ids = answer.headers().getAll(ATTEMPT_ID);
+    public ResponseMatch match(HttpResponse response) {
+        List<String> ids = response.headers().getAll(ATTEMPT_ID_HEADER);
         if (!ids.equals(attemptId == null ? List.of() : List.of(attemptId))) {
             return ids.size() == 1 ? ResponseMatch.EARLIER : ResponseMatch.UNKNOWN;
         }
-        int status = answer.status().code();
+        int status = response.status().code();
         boolean success = status >= 200 && status < 300;
-        return !success || hasServerSeal(answer.headers()) ? ResponseMatch.CURRENT : ResponseMatch.UNKNOWN;
+        return !success || hasServerSeal(response.headers()) ? ResponseMatch.CURRENT : ResponseMatch.UNKNOWN;
     }
 
     private static boolean hasServerSeal(HttpHeaders headers) {
-        return headers.getAll(SERVER_SEAL).size() == 1 && !headers.contains(HttpHeaderNames.CONTENT_ENCODING);
+        return headers.getAll(SERVER_SEAL_HEADER).size() == 1 && !headers.contains(HttpHeaderNames.CONTENT_ENCODING);
     }
 
     @Override
-    public Outcome outcome(HttpResponse answer) {
-        head = answer;
-        int status = answer.status().code();
+    public Outcome outcome(HttpResponse response) {
+        responseHead = response;
+        int status = response.status().code();
         return status >= 200 && status < 300
                 ? Outcome.OK
-                : status == 421 || answer.headers().contains(NOT_EXECUTED) ? Outcome.QUEUE_FULL : Outcome.FAILED;
+                : status == 421 || response.headers().contains(NOT_EXECUTED_HEADER)
+                        ? Outcome.QUEUE_FULL
+                        : Outcome.FAILED;
     }
 
     @Override
@@ -178,27 +184,27 @@
     }
 
     @Override
-    public boolean streamsBody(HttpResponse answer) {
+    public boolean streamsBody(HttpResponse response) {
         if (ended) {
             return false;
         }
         responseStarted = true;
         proxy.endpoints().placement().onResponseStarted(server);
         for (int i = 0; i < blocks.length; i++) {
-            proxy.prefixCacheIndex().onPrefill(server, blocks[i], (int) prompt.tokens()[i]);
+            proxy.prefixCacheIndex().onPrefill(server, blocks[i], (int) prompt.blockTokens()[i]);
         }
-        HttpHeaders headers = endToEndHeaders(answer.headers());
+        HttpHeaders headers = endToEndHeaders(response.headers());
         if (request.method().equals("HEAD")) {
-            // The response has no chunks, not even a last one.
+            // A response to HEAD has no body, not even the last chunk.
             headers.remove(HttpHeaderNames.TRANSFER_ENCODING);
         }
-        client.startResponse(new DefaultHttpResponse(HttpVersion.HTTP_1_1, answer.status(), headers));
+        client.startResponse(new DefaultHttpResponse(HttpVersion.HTTP_1_1, response.status(), headers));
         return true;
     }
 
-    private static HttpHeaders endToEndHeaders(HttpHeaders from) {
-        HttpHeaders headers = new DefaultHttpHeaders().set(from);
-        from.getAll(HttpHeaderNames.CONNECTION)
+    private static HttpHeaders endToEndHeaders(HttpHeaders received) {
+        HttpHeaders headers = new DefaultHttpHeaders().set(received);
+        received.getAll(HttpHeaderNames.CONNECTION)
                 .forEach(names -> List.of(names.split(",")).forEach(name -> headers.remove(name.trim())));
         HOP_BY_HOP_HEADERS.forEach(headers::remove);
         return headers;
@@ -217,9 +223,9 @@
         });
     }
 
-    private void onAttemptEnded(Outcome outcome, Response answer) {
+    private void onAttemptEnded(Outcome outcome, Response response) {
         boolean stale = attempt.isStale();
-        // That a server closes idle connections does not make it a failing one.
+        // A server that closes idle connections is not failing.
         proxy.endpoints().placement().onEnded(proxy.now(), server, placementRequest, stale ? Outcome.IGNORED : outcome);
         attempt = null;
         if (ended) {
@@ -232,76 +238,77 @@
             } else {
                 client.abort();
             }
-            proxy.onEnded(this);
+            proxy.onRequestEnded(this);
             return;
         }
-        tried.add(server);
-        boolean arrived = outcome != Outcome.CONNECT_ERROR && outcome != Outcome.IGNORED;
-        if (arrived) {
-            reached.add(server);
-            sends++;
+        triedServers.add(server);
+        boolean received = outcome != Outcome.CONNECT_ERROR && outcome != Outcome.IGNORED;
+        if (received) {
+            reachedServers.add(server);
+            sendCount++;
         }
         mayHaveExecuted |= !outcome.neverRan();
-        if (stale && sends < MAX_SENDS) {
+        if (stale && sendCount < MAX_SENDS) {
             nextServer = server;
         }
-        if (head != null && head.status().code() == 421) {
-            if (server.equals(head.headers().get("X-Instance-Id"))) {
-                // Where the same server has only changed its weights, it does not count as another attempt.
-                boolean mayRun = proxy.endpoints().onVersionMismatch(server);
-                nextServer = mayRun && sends < MAX_SENDS ? server : null;
+        if (responseHead != null && responseHead.status().code() == 421) {
+            if (server.equals(responseHead.headers().get("X-Instance-Id"))) {
+                // The same server has only changed its weights: a resend to it doesn't count as another attempt.
+                boolean mayResend = proxy.endpoints().onVersionMismatch(server);
+                nextServer = mayResend && sendCount < MAX_SENDS ? server : null;
             } else {
                 proxy.endpoints().placement().onMisdirected(proxy.now(), server);
             }
         }
-        boolean again = (!mayHaveExecuted || route.repeatable())
-                && (nextServer != null || reached.size() < route.maxAttempts())
-                && tried.size() < MAX_SERVERS_TRIED
-                && (!arrived || proxy.retryBudget().tryAcquire());
+        boolean mayRetry = (!mayHaveExecuted || route.repeatable())
+                && (nextServer != null || reachedServers.size() < route.maxAttempts())
+                && triedServers.size() < MAX_SERVERS_TRIED
+                && (!received || proxy.retryBudget().tryAcquire());
         if (outcome == Outcome.FAILED
-                && answer != null
-                && (route.repeatable() || !promisesNotExecuted(head.status()))) {
-            // The server executed it, and this is its response.
-            answer(
-                    head.status(),
-                    new Response(answer.body(), null, withoutLength(endToEndHeaders(answer.headers()))),
+                && response != null
+                && (route.repeatable() || !impliesNotExecuted(responseHead.status()))) {
+            // The server executed the request, and this is its response.
+            respond(
+                    responseHead.status(),
+                    new Response(response.body(), null, withoutFramingHeaders(endToEndHeaders(response.headers()))),
                     0);
-        } else if (again) {
-            next();
+        } else if (mayRetry) {
+            sendAttempt();
         } else {
-            reject();
+            respondWithError();
         }
     }
 
-    /** Clients take these for a promise that the request was not executed and never will be. */
-    private static boolean promisesNotExecuted(HttpResponseStatus status) {
+    /** Statuses that clients understand as a guarantee that the request was not executed and never will be. */
+    private static boolean impliesNotExecuted(HttpResponseStatus status) {
         return switch (status.code()) {
             case 408, 421, 429, 503 -> true;
             default -> false;
         };
     }
 
-    private static HttpHeaders withoutLength(HttpHeaders headers) {
+    private static HttpHeaders withoutFramingHeaders(HttpHeaders headers) {
         return headers.remove(HttpHeaderNames.CONTENT_LENGTH).remove(HttpHeaderNames.TRANSFER_ENCODING);
     }
 
-    // ---- the proxy's own answers --------------------------------------------------------------------------
-
-    /** The final answer where no server gave one: when to retry if it was surely not executed, and no promise if it may have been. */
-    private void reject() {
+    /**
+     * Sends the final response when no server gave one: 503 with Retry-After if the request was certainly not executed; else 504
+     * or 502, which guarantee nothing about its execution.
+     */
+    private void respondWithError() {
         if (!mayHaveExecuted) {
-            answer(HttpResponseStatus.SERVICE_UNAVAILABLE, NO_BODY, proxy.retryAfterUs(route));
+            respond(HttpResponseStatus.SERVICE_UNAVAILABLE, NO_BODY, proxy.retryAfterUs(route));
         } else {
-            answer(
+            respond(
                     proxy.now() >= deadlineUs ? HttpResponseStatus.GATEWAY_TIMEOUT : HttpResponseStatus.BAD_GATEWAY,
                     NO_BODY,
                     0);
         }
     }
 
-    private void answer(HttpResponseStatus status, Response answer, long retryAfterUs) {
+    private void respond(HttpResponseStatus status, Response response, long retryAfterUs) {
         ended = true;
-        client.answer(status, answer, retryAfterUs);
-        proxy.onEnded(this);
+        client.answer(status, response, retryAfterUs);
+        proxy.onRequestEnded(this);
     }
 }
--- a/src/test/java/quartzspan/controlplane/HeartbeatHandlerTest.java
+++ b/src/test/java/quartzspan/controlplane/HeartbeatHandlerTest.java
@@ -80,11 +80,11 @@
         deadlines.observe(0, Map.of("m", 2L));
         registry.confirmFresh(2 * APPLY_MS);
         handler.onHeartbeat(APPLY_MS - 1, "i", body(1, "ready"));
-        assertEquals(0, registered("i").loading(), "not overdue yet");
+        assertEquals(0, registered("i").loadingVersion(), "not overdue yet");
         handler.onHeartbeat(APPLY_MS, "j", body(1, "ready"));
-        assertEquals(2, registered("j").loading());
+        assertEquals(2, registered("j").loadingVersion());
         handler.onHeartbeat(APPLY_MS, "i", body(2, "ready"));
-        assertEquals(2, registered("i").loading(), "overdue");
+        assertEquals(2, registered("i").loadingVersion(), "overdue");
     }
 
     private Server registered(String id) {
