--- a/src/main/java/quartzspan/controlplane/ControlPlane.java
+++ b/src/main/java/quartzspan/controlplane/ControlPlane.java
@@ -171,12 +171,12 @@
                         "end the process that uses the address");
             }
         }
-        loop.submit(started::begin).get();
+        loop.submit(started::startPeriodicTasks).get();
         LOG.info("core machine {} listens at {}", settings.nodeName(), control);
         return started;
     }
 
-    private void begin() {
+    private void startPeriodicTasks() {
         connectionPool.begin();
         String control = hostAndPort(settings.listens("control_plane"));
         registry.merge(nowMs(), new CoreMachine(self, control, settings.zone()).entry());
@@ -221,7 +221,7 @@
 
     private void status(HttpServer.ClientConnection client, HttpRequest request, byte[] body, String pathSuffix) {
         byte[] json = StatusReport.toJson(nowMs(), settings.nodeName(), replica, registry);
-        RequestRouter.answer(client, HttpResponseStatus.OK, json);
+        RequestRouter.respond(client, HttpResponseStatus.OK, json);
     }
 
     private void tick() {
--- a/src/main/java/quartzspan/controlplane/OperatorApi.java
+++ b/src/main/java/quartzspan/controlplane/OperatorApi.java
@@ -64,7 +64,7 @@
         if (!redirectToPrimary(client, request)) {
             replicaHost.read(respondTo(
                     client,
-                    state -> RequestRouter.answer(
+                    state -> RequestRouter.respond(
                             client, HttpResponseStatus.OK, state.configuration().bytes())));
         }
     }
--- a/src/main/java/quartzspan/controlplane/RequestRouter.java
+++ b/src/main/java/quartzspan/controlplane/RequestRouter.java
@@ -50,7 +50,7 @@
             } else if (byPrefix != null && slash + 1 < path.length()) {
                 byPrefix.handle(client, request, body, path.substring(slash + 1));
             } else {
-                error(
+                respondError(
                         client,
                         HttpResponseStatus.NOT_FOUND,
                         "NO_SUCH_CALL",
@@ -62,7 +62,7 @@
         } catch (RuntimeException failure) {
             // The caller retries at another machine; without a response it would have to wait for its own timeout.
             LOG.error("request {} {} failed", request.method(), path, failure);
-            error(
+            respondError(
                     client,
                     HttpResponseStatus.INTERNAL_SERVER_ERROR,
                     "FAILED",
@@ -73,7 +73,7 @@
 
     /** Responds with a refusal and its remedy. */
     static void refuse(ClientConnection client, FleetException refusal) {
-        error(
+        respondError(
                 client,
                 HttpResponseStatus.valueOf(refusal.code().status()),
                 refusal.code().name(),
@@ -81,20 +81,20 @@
                 refusal.remedy());
     }
 
-    private static void error(
+    private static void respondError(
             ClientConnection client, HttpResponseStatus status, String code, String reason, String remedy) {
         StringBuilder json = new StringBuilder("{\"code\":");
         JsonLines.quote(json, code);
         JsonLines.quote(json.append(",\"reason\":"), reason);
         JsonLines.quote(json.append(",\"remedy\":"), remedy);
-        answer(client, status, json.append('}').toString().getBytes(StandardCharsets.UTF_8));
+        respond(client, status, json.append('}').toString().getBytes(StandardCharsets.UTF_8));
     }
 
     static void ok(ClientConnection client) {
-        answer(client, HttpResponseStatus.OK, "{}".getBytes(StandardCharsets.UTF_8));
+        respond(client, HttpResponseStatus.OK, "{}".getBytes(StandardCharsets.UTF_8));
     }
 
-    static void answer(ClientConnection client, HttpResponseStatus status, byte[] json) {
+    static void respond(ClientConnection client, HttpResponseStatus status, byte[] json) {
         client.answer(status, new Response(json, "application/json", null), 0);
     }
 
--- a/src/main/java/quartzspan/controlplane/RolloutCoordinator.java
+++ b/src/main/java/quartzspan/controlplane/RolloutCoordinator.java
@@ -214,8 +214,8 @@
      * Takes servers whose weights are about to be overdue out of service. This needs no lease, because it sends no orders.
      */
     private void withdraw(long now, Leadership leadership, List<Server> servers) {
-        for (RolloutPlanner.Order late : planner.dueWithdrawals(now, leadership.targets(), servers)) {
-            actions.announce(late.server(), late.version());
+        for (RolloutPlanner.Order withdrawal : planner.dueWithdrawals(now, leadership.targets(), servers)) {
+            actions.announce(withdrawal.server(), withdrawal.version());
         }
     }
 
--- a/src/main/java/quartzspan/controlplane/RolloutPlanner.java
+++ b/src/main/java/quartzspan/controlplane/RolloutPlanner.java
@@ -94,12 +94,12 @@
      */
     List<Order> dueWithdrawals(long now, Map<String, Long> targets, List<Server> servers) {
         long withdrawalHorizon = now + deadlines.fractionOfApplyTime(WITHDRAWAL_FRACTION);
-        List<Order> withdrawn = new ArrayList<>();
+        List<Order> withdrawals = new ArrayList<>();
         targets.forEach((model, version) -> loadableServers(model, servers).stream()
                 .filter(server ->
                         server.loading() == 0 && deadlines.deadlineOf(model, server.weights()) <= withdrawalHorizon)
-                .forEach(server -> withdrawn.add(new Order(server, model, version))));
-        return withdrawn;
+                .forEach(server -> withdrawals.add(new Order(server, model, version))));
+        return withdrawals;
     }
 
     /** An order is about to be sent. */
--- a/src/main/java/quartzspan/controlplane/WeightsDeadlines.java
+++ b/src/main/java/quartzspan/controlplane/WeightsDeadlines.java
@@ -41,9 +41,9 @@
 
     /** Drops all overdue versions except the latest: a server that lacks an earlier one lacks that one too. */
     private static void dropSuperseded(long now, NavigableMap<Long, Long> known) {
-        Long lastOverdue = latestDueBy(now, known);
-        for (Iterator<Long> versions = known.keySet().iterator(); lastOverdue != null && versions.hasNext(); ) {
-            if (versions.next() >= lastOverdue) {
+        Long latestOverdue = latestDueBy(now, known);
+        for (Iterator<Long> versions = known.keySet().iterator(); latestOverdue != null && versions.hasNext(); ) {
+            if (versions.next() >= latestOverdue) {
                 return;
             }
             versions.remove();
@@ -51,14 +51,14 @@
     }
 
     private static Long latestDueBy(long time, NavigableMap<Long, Long> known) {
-        Long last = null;
+        Long latest = null;
         for (Map.Entry<Long, Long> target : known.entrySet()) {
             if (target.getValue() > time) {
-                return last;
+                return latest;
             }
-            last = target.getKey();
+            latest = target.getKey();
         }
-        return last;
+        return latest;
     }
 
     /** The target versions of a model that servers must have, with their deadlines. */
@@ -74,8 +74,8 @@
 
     /** The latest version whose deadline is not after a time; 0 if there is none. */
     long latestOverdueVersion(long time, String model) {
-        Long last = latestDueBy(time, targetsOf(model));
-        return last == null ? 0 : last;
+        Long latest = latestDueBy(time, targetsOf(model));
+        return latest == null ? 0 : latest;
     }
 
     /** A fraction of the time within which weights must be applied. */
--- a/src/test/java/quartzspan/controlplane/ApiCompatibilityTest.java
+++ b/src/test/java/quartzspan/controlplane/ApiCompatibilityTest.java
@@ -118,8 +118,8 @@
     }
 
     private void record(String host, String call, String headers, String body) throws IOException {
-        String answer = cluster.call(host, call, headers, body);
-        String[] parts = answer.split("\r\n\r\n", 2);
+        String response = cluster.call(host, call, headers, body);
+        String[] parts = response.split("\r\n\r\n", 2);
         List<String> statusAndHeaders = new ArrayList<>(Arrays.asList(parts[0].split("\r\n")));
         responses
                 .append("== ")
--- a/src/test/java/quartzspan/controlplane/CoreCluster.java
+++ b/src/test/java/quartzspan/controlplane/CoreCluster.java
@@ -114,9 +114,9 @@
     }
 
     int status(String host, String requestLine, String headers, String body) throws IOException {
-        String answer = call(host, requestLine, headers, body);
-        assertTrue(answer.startsWith("HTTP/1.1 "), "response has no HTTP status line: " + answer);
-        return Integer.parseInt(answer.substring(9, 12));
+        String response = call(host, requestLine, headers, body);
+        assertTrue(response.startsWith("HTTP/1.1 "), "response has no HTTP status line: " + response);
+        return Integer.parseInt(response.substring(9, 12));
     }
 
     int describe(String host) throws IOException {
--- a/src/test/java/quartzspan/controlplane/ServerClientTest.java
+++ b/src/test/java/quartzspan/controlplane/ServerClientTest.java
@@ -138,20 +138,20 @@
      */
     @Test
     void extraResponseOnAPooledConnectionIsNotTakenForThatOfTheOrder() throws Exception {
-        String answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}";
+        String response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}";
         CompletableFuture<Integer> reported = new CompletableFuture<>();
         loop.execute(
                 () -> client.get(server, "/quartzspan/report", Map.of(), (status, body) -> reported.complete(status)));
         try (Socket pooled = serverSocket.accept()) {
             pooled.getInputStream().read();
-            pooled.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
+            pooled.getOutputStream().write(response.getBytes(StandardCharsets.US_ASCII));
             assertEquals(200, reported.get(TIMEOUT_S, TimeUnit.SECONDS));
             CompletableFuture<Integer> ordered = post(() -> true);
             try (Socket fresh = serverSocket.accept()) {
-                pooled.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
+                pooled.getOutputStream().write(response.getBytes(StandardCharsets.US_ASCII));
                 fresh.getInputStream().read();
                 fresh.getOutputStream()
-                        .write(answer.replace("200 OK", "409 Conflict").getBytes(StandardCharsets.US_ASCII));
+                        .write(response.replace("200 OK", "409 Conflict").getBytes(StandardCharsets.US_ASCII));
                 assertEquals(409, ordered.get(TIMEOUT_S, TimeUnit.SECONDS));
             }
         }
