--- a/src/test/java/quartzspan/controlplane/ApiCompatibilityTest.java
+++ b/src/test/java/quartzspan/controlplane/ApiCompatibilityTest.java
@@ -58,42 +58,42 @@
             cluster = started;
             String isolated = CoreCluster.HOSTS.get(0);
             cluster.start(isolated, false);
-            record(isolated, DESCRIBE, "", "");
-            record(isolated, REPLACE, BASE_0, CONFIGURATION);
-            record(isolated, HEARTBEAT, "", heartbeat(1, "ready"));
-            record(isolated, DEREGISTER, "", "{}");
+            recordResponse(isolated, DESCRIBE, "", "");
+            recordResponse(isolated, REPLACE, BASE_0, CONFIGURATION);
+            recordResponse(isolated, HEARTBEAT, "", heartbeat(1, "ready"));
+            recordResponse(isolated, DEREGISTER, "", "{}");
             recordStatus(isolated);
         }
         GoldenFile.assertText("api/refusals.txt", responses.toString());
     }
 
     private void recordOperatorCalls(String primary) throws IOException {
-        record(primary, DESCRIBE, "", "");
-        record(primary, REPLACE, "", CONFIGURATION);
-        record(primary, REPLACE, BASE_0, "{");
-        record(primary, REPLACE, BASE_0, "{}");
-        record(primary, REPLACE, BASE_0, CONFIGURATION.replace("\"/a/\"", "\"a\""));
-        record(primary, REPLACE, BASE_0, CONFIGURATION);
-        record(primary, REPLACE, BASE_0, CONFIGURATION);
-        record(primary, REPLACE, BASE_0, CONFIGURATION.replace("1000", "1001"));
-        record(primary, UPDATE, BASE_2, "{\"version\":2}");
-        record(primary, UPDATE, BASE_2, "{\"version\":3,\"remove\":{\"services\":[\"s\"]}}");
-        record(primary, UPDATE, BASE_2, "{\"version\":4,\"upsert\":{\"services\":[{\"name\":\"t\"}]}}");
-        record(primary, DESCRIBE, "", "");
-        record(primary, WEIGHTS, "", "{\"model\":\"m\",\"version\":7}");
-        record(primary, WEIGHTS, "", "{\"model\":\"m\",\"version\":6}");
-        record(primary, WEIGHTS, "", "{\"version\":6}");
-        record(primary, "GET /quartzspan/nothing", "", "");
-        record(primary, "GET /quartzspan/Configuration.Replace", "", "");
+        recordResponse(primary, DESCRIBE, "", "");
+        recordResponse(primary, REPLACE, "", CONFIGURATION);
+        recordResponse(primary, REPLACE, BASE_0, "{");
+        recordResponse(primary, REPLACE, BASE_0, "{}");
+        recordResponse(primary, REPLACE, BASE_0, CONFIGURATION.replace("\"/a/\"", "\"a\""));
+        recordResponse(primary, REPLACE, BASE_0, CONFIGURATION);
+        recordResponse(primary, REPLACE, BASE_0, CONFIGURATION);
+        recordResponse(primary, REPLACE, BASE_0, CONFIGURATION.replace("1000", "1001"));
+        recordResponse(primary, UPDATE, BASE_2, "{\"version\":2}");
+        recordResponse(primary, UPDATE, BASE_2, "{\"version\":3,\"remove\":{\"services\":[\"s\"]}}");
+        recordResponse(primary, UPDATE, BASE_2, "{\"version\":4,\"upsert\":{\"services\":[{\"name\":\"t\"}]}}");
+        recordResponse(primary, DESCRIBE, "", "");
+        recordResponse(primary, WEIGHTS, "", "{\"model\":\"m\",\"version\":7}");
+        recordResponse(primary, WEIGHTS, "", "{\"model\":\"m\",\"version\":6}");
+        recordResponse(primary, WEIGHTS, "", "{\"version\":6}");
+        recordResponse(primary, "GET /quartzspan/nothing", "", "");
+        recordResponse(primary, "GET /quartzspan/Configuration.Replace", "", "");
     }
 
     private void recordServerCalls(String primary) throws IOException {
-        record(primary, HEARTBEAT, "", heartbeat(1, "ready"));
-        record(primary, HEARTBEAT, "", "[]");
-        record(primary, HEARTBEAT, "", "{\"address\":\"a\\tb\"}");
-        record(primary, HEARTBEAT, "", heartbeat(2, "draining"));
-        record(primary, DEREGISTER, "", "{}");
-        record(primary, DEREGISTER, "", "{}");
+        recordResponse(primary, HEARTBEAT, "", heartbeat(1, "ready"));
+        recordResponse(primary, HEARTBEAT, "", "[]");
+        recordResponse(primary, HEARTBEAT, "", "{\"address\":\"a\\tb\"}");
+        recordResponse(primary, HEARTBEAT, "", heartbeat(2, "draining"));
+        recordResponse(primary, DEREGISTER, "", "{}");
+        recordResponse(primary, DEREGISTER, "", "{}");
     }
 
     private static String heartbeat(long count, String state) {
@@ -109,15 +109,15 @@
         for (long end = System.nanoTime() + CoreCluster.TIMEOUT_NANOS; cluster.describe(backup) != 307; ) {
             assertTrue(System.nanoTime() < end, "a backup knows the primary within the timeout");
         }
-        record(backup, DESCRIBE, "", "");
-        record(backup, REPLACE, BASE_2, CONFIGURATION);
+        recordResponse(backup, DESCRIBE, "", "");
+        recordResponse(backup, REPLACE, BASE_2, CONFIGURATION);
     }
 
     private void recordStatus(String host) throws IOException {
-        record(host, STATUS, "", "");
+        recordResponse(host, STATUS, "", "");
     }
 
-    private void record(String host, String call, String headers, String body) throws IOException {
+    private void recordResponse(String host, String call, String headers, String body) throws IOException {
         String response = cluster.call(host, call, headers, body);
         String[] parts = response.split("\r\n\r\n", 2);
         List<String> statusAndHeaders = new ArrayList<>(Arrays.asList(parts[0].split("\r\n")));
