--- a/src/main/java/quartzspan/clientproxy/ClientProxy.java
+++ b/src/main/java/quartzspan/clientproxy/ClientProxy.java
@@ -406,7 +406,7 @@
         }
         return switch (in.method().name()) {
             case "GET" -> body.length == 0 && keys == 0 ? Effect.RETRYABLE : null;
-            case "POST" -> keys == 1 ? Effect.DEDUP : Effect.FRAGILE;
+            case "POST" -> keys == 1 ? Effect.DEDUP : Effect.NON_IDEMPOTENT;
             default -> null;
         };
     }
--- a/src/main/java/quartzspan/loadbalancing/RingHashLoadBalancer.java
+++ b/src/main/java/quartzspan/loadbalancing/RingHashLoadBalancer.java
@@ -9,984 +9,981 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
-import quartzspan.loadbalancing.State.Attempt;
-import quartzspan.loadbalancing.State.Node;
-import quartzspan.loadbalancing.State.Req;
+import quartzspan.loadbalancing.BalancerState.Attempt;
+import quartzspan.loadbalancing.BalancerState.EndpointState;
+import quartzspan.loadbalancing.BalancerState.RequestState;
 
 /**
- * All decisions of the client proxy; types, events and actions are in {@link LoadBalancer}.
- *
- * <p>The path of a request. Where the whole fleet is late, only a share is admitted, by worth. It is given a
- * point on the ring: the hash of its key, or a random one. From there {@link #pick} walks the ring to the
- * first usable endpoint: ready, not ejected, allowed by effect, within its slow start if cold, with room
- * under its limit, within its bounded load. A keyless request takes the first such one that is connected,
- * or an unconnected one met earlier if no connection is being opened. Under strain the endpoint is probed
- * first where allowed. With no room, requests are held for a moment, the worthiest first. A failed attempt
- * goes to the next owner if effect, time and the retry budget permit; else the request is refused where that
- * is a true statement, and failed where not. A sweep finds endpoints that fell silent.
+ * Ring-hash load balancer; types, events and actions are documented in {@link LoadBalancer}. {@link #pick}
+ * walks the ring from the hash of the key, or a random hash, to the first endpoint that is ready, not
+ * ejected, permitted by the effect, and within its slow start, concurrency limit and load bound. Keyless
+ * requests open one connection at a time. Without a usable endpoint, requests are queued briefly, by value.
+ * While the whole fleet is overloaded, only a share is admitted, by value, and endpoints may be probed first.
+ * A failed attempt is retried at the next owner if effect, time and retry budget permit; else the request is
+ * refused where that is a true statement, and failed where it is not.
  */
 final class RingHashLoadBalancer implements LoadBalancer {
 
-    // ---- constants -----------------------------------------------------------------------------------
-
-    /** Ring points of an endpoint of weight 1: spread of shares near 1/sqrt(100), cheap to merge. */
+    /** Ring points per unit of weight: spread of shares near 1/sqrt(100), cheap to merge. */
     private static final int POINTS = 100;
-    /** Most and fewest ring points of an endpoint, so that a stray weight can't swallow the ring. */
-    private static final int MOST_POINTS = 800;
+    /** Bounds on the ring points of an endpoint, so that an extreme weight cannot take over the ring. */
+    private static final int MAX_POINTS = 800;
 
-    private static final int FEWEST_POINTS = 20;
-    /** Time between sweeps, microseconds: short against any aim, rare against requests. */
+    private static final int MIN_POINTS = 20;
+    /** Interval between sweeps: short against any target latency, rare against requests. */
     private static final long SWEEP_US = 50_000;
-    /** Answers over which what all endpoints teach is smoothed: strain, and lag by kind. */
-    private static final double POOL_GAIN = 1.0 / 16;
-    /** Kinds told apart, and the least capacity a kind counts for. */
-    private static final int KINDS = 64;
+    /** Smoothing factor of the averages over all endpoints: overload rate, and latency by kind. */
+    private static final double POOLED_GAIN = 1.0 / 16;
+    /** Kinds of machine distinguished, and the lower bound of the capacity factor of a slow kind. */
+    private static final int MAX_KINDS = 64;
 
-    private static final double LEAST_KIND = 0.25;
-    /** Samples over which a class's lag is smoothed, and the rise of what counts as usual, per second. */
+    private static final double MIN_KIND_CAPACITY = 0.25;
+    /** Smoothing factor of a class's mean latency, and the rise of its baseline per second. */
     private static final double CLASS_GAIN = 1.0 / 64;
 
-    private static final double USUAL_RISE = 0.03;
-    /** Usual lag before any answer, as part of the aim: high, for it falls faster than it rises. */
-    private static final double FIRST_USUAL = 0.25;
-    /** A lag of this many times the usual, or part of the aim if not ordinary, tells of crowding. */
-    private static final double CROWDED = 3;
-
-    private static final double CROWDED_AIM = 0.6;
-    private static final double ORDINARY = 1.5;
-    private static final double CUT = 0.85;
-    /** The cut where there was no answer at all in time: many instances with one attempt each are many. */
-    private static final double LOSS_CUT = 0.6;
+    private static final double BASELINE_RISE_PER_S = 0.03;
+    /** Initial baseline, as a part of the target: high, because the baseline falls faster than it rises. */
+    private static final double INITIAL_BASELINE = 0.25;
+    /** Slow: above this multiple of the baseline, or part of the target if beyond the normal multiple. */
+    private static final double SLOW_RATIO = 3;
+
+    private static final double SLOW_TARGET = 0.6;
+    private static final double NORMAL_RATIO = 1.5;
+    private static final double SLOW_DECREASE = 0.85;
+    /** Limit decrease after a lost attempt: stronger, since instances with one attempt each add up. */
+    private static final double LOSS_DECREASE = 0.6;
     /**
-     * Instances above which each pools what it learns, probes, and cuts a limit from what it has out: each
-     * may always have one attempt out, and with as many as this at once three or four cores are crowded.
+     * Instances above which each pools measurements, probes, and cuts a limit from its attempts in flight:
+     * each may always have one in flight, and this many at once overload an endpoint of three or four cores.
      */
-    private static final int MANY = 10;
-    /** Share of requests placed with caution, for each part of strain; half where instances are few. */
-    private static final double CAUTION = 10;
-    /** Part of endpoints late from which it is the fleet's trouble, and how fast the whole cut is reached. */
-    private static final double FEW_LATE = 0.2;
-
-    private static final double LATE_SLOPE = 5;
-    /** Cut of admission by a lost attempt (a late one: half), and growth by a good one. */
-    private static final double ADMIT_CUT = 0.4;
-
-    private static final double ADMIT_GROW = 0.05;
-    /** Admissions that may be saved up; the lower a request's worth, the more must be left after it. */
-    private static final double MOST_SAVED = 3;
-    /** Growth of a limit in use: attempts for each limit of good answers (each one until the first cut). */
-    private static final double GROW = 0.5;
-
-    private static final double REGAIN = 0.2;
-    /** Limit of attempts out at one endpoint at the start; the least share that it and admission fall to. */
-    private static final double FIRST_LIMIT = 2;
-
-    private static final double LEAST_LIMIT = 0.1;
-    /** Time after which a tenant's traffic is forgotten to 1/e, microseconds. */
-    private static final double FORGET_US = 10_000_000;
-    /** Bounded load: an owner may take this multiple of its fair part of what is asked for. */
-    private static final double BOUND = 1.25;
-    /** Time over which what is asked for is counted, microseconds: long, since many see little. */
-    private static final double ASKED_US = 30_000_000;
+    private static final int LARGE_FLEET = 10;
+    /** Share of requests placed load-aware, per unit of overload rate; half of it in a small fleet. */
+    private static final double LOAD_AWARE = 10;
+    /** Share of overloaded endpoints above which admission is cut, and the slope up to the full cut. */
+    private static final double MIN_OVERLOADED = 0.2;
+
+    private static final double ADMIT_SLOPE = 5;
+    /** Decrease of the admission rate by a lost attempt (by a slow one: half), increase by a fast one. */
+    private static final double ADMIT_DECREASE = 0.4;
+
+    private static final double ADMIT_INCREASE = 0.05;
+    /** Bucket size; the lower a request's value, the more tokens must be left after it. */
+    private static final double MAX_ADMIT_TOKENS = 3;
+    /** Growth of a limit in use per as many fast responses (per response until the first decrease). */
+    private static final double LIMIT_INCREASE = 0.5;
+
+    private static final double SMALL_GROWTH = 0.2; // of a limit below 1, as a part of it
+    /** Initial concurrency limit of an endpoint; lower bound of the limit and of the admission rate. */
+    private static final double INITIAL_LIMIT = 2;
+
+    private static final double MIN_LIMIT = 0.1;
+
+    private static final double TENANT_DECAY_US = 10_000_000; // time constant of the tenants' request counts
+
+    private static final double LOAD_BOUND = 1.25; // multiple of an owner's fair share of the offered load
+    /** Time constant of the decay of offered load: long, since each of many instances sees few requests. */
+    private static final double LOAD_DECAY_US = 30_000_000;
     /**
-     * A cold endpoint may take this multiple of its part of all sends. The part is by the least capacity the
-     * contract promises, and an instance that meets it seldom lets a quarter of it go by: where most of a
-     * fleet is cold, one part crowds the rest. Several times its capacity would push it over.
+     * Multiple of its share of all sends that a cold endpoint may take. The share follows the least capacity
+     * that the contract promises, and an instance that rarely reaches the endpoint leaves a quarter of it
+     * unused: 1 would overload the warm endpoints of a mostly cold fleet, several times the cold endpoint.
      */
     private static final double COLD_SHARE = 1.5;
-    /** Sends to a cold endpoint that may be saved up. */
-    private static final double MOST_CREDIT = 2;
-    /** Usable owners among which a request may spill: a key stays warm on few endpoints, not on all. */
-    private static final int OWNERS = 3;
-    /** Part of its limit up to which an endpoint takes keys that spill from their owner. */
-    private static final double SPILL_ROOM = 0.7;
-    /** Share of failures that tells a failing endpoint, and the least that is taken as common to all. */
-    private static final double FAILING = 0.5;
-
-    private static final double LEAST_COMMON = 0.02;
-    /** What one failure tells where they are rarest (a log likelihood ratio); three in a row eject. */
-    private static final double ONE_FAILURE = Math.log(FAILING / LEAST_COMMON);
-    /** Attempts over which the common share is smoothed: an endpoint is ejected before it moves it much. */
+
+    private static final double MAX_CREDIT = 2; // sends that a cold endpoint may accumulate
+    /** Usable owners to which a key may spill: it stays cached on few endpoints. */
+    private static final int MAX_OWNERS = 3;
+    /** Part of its limit up to which an endpoint accepts keys that spill from their owner. */
+    private static final double SPILL_LIMIT_PART = 0.7;
+    /** Failure rate of a failing endpoint, and the lower bound of the rate common to all. */
+    private static final double FAILING_RATE = 0.5;
+
+    private static final double MIN_COMMON_RATE = 0.02;
+    /** Log-likelihood ratio of a failure when failures are rarest; three in a row eject. */
+    private static final double MAX_EVIDENCE = Math.log(FAILING_RATE / MIN_COMMON_RATE);
+    /** Smoothing factor of the common failure rate: an endpoint is ejected before it moves the rate. */
     private static final double COMMON_GAIN = 1.0 / 256;
-    /** Silence: nothing back for this many usual lags, and at least this part of the aim. */
-    private static final double SILENT_LAGS = 4;
-
-    private static final double SILENT_AIM = 0.4;
-    /** First ejection, microseconds; doubles up to the longest with each that follows soon. */
-    private static final long EJECT_US = 1_000_000;
-
-    private static final long LONGEST_EJECT_US = 8_000_000;
-    /** Share of the ring that may be ejected on suspicion: beyond it the trouble is elsewhere. */
-    private static final double MOST_EJECTED = 0.4;
-    /** Retry budget: each request earns this part of a retry; the most that can be saved up. */
-    private static final double RETRY_EARN = 0.25;
-
-    private static final double RETRY_MOST = 20;
-    /** Part of the aim for which a request of the highest worth may be held when nobody can take it. */
-    private static final double HOLD_AIM = 0.4;
-    /** Worth of a repeat against a first try: some of its aim has passed before we saw it. */
-    private static final double REPEAT_WORTH = 0.3;
-    /** Part of the aim, and usual lags, that a probe may take before its endpoint is passed over as busy. */
-    private static final double PROBE_AIM = 0.12;
-
-    private static final double PROBE_LAGS = 2;
-    /** Time for which a prompt answer spares a probe, microseconds. */
-    private static final long PROMPT_US = 500_000;
-    /** Strain, for each part of a request's worth that a probe costs, from which probes pay. */
-    private static final double PROBE_PAYS = 4;
-    /** Most endpoints probed for one request. */
-    private static final int MOST_PROBES = 3;
-    /** Part of a whole try's budget under which one is a repeat; how a large one fades by each request. */
-    private static final double WHOLE_TRY = 0.95;
-
-    private static final double WHOLE_FADE = 0.999;
-    /** Part of the time left that one attempt may use while another could follow. */
+    /** Overdue: no response for this multiple of the baseline and at least this part of the target. */
+    private static final double OVERDUE_RATIO = 4;
+
+    private static final double OVERDUE_TARGET = 0.4;
+    /** First ejection time; doubles up to the maximum with each ejection that follows soon. */
+    private static final long MIN_EJECTION_US = 1_000_000;
+
+    private static final long MAX_EJECTION_US = 8_000_000;
+    /** Share of the ring that may be ejected on suspicion: beyond it the cause is not the endpoints. */
+    private static final double MAX_EJECTED_SHARE = 0.4;
+
+    private static final double RETRY_TOKENS_PER_REQUEST = 0.25;
+    private static final double MAX_RETRY_TOKENS = 20;
+    /** Part of the target for which a request of the highest value may be queued. */
+    private static final double QUEUE_TARGET_PART = 0.4;
+    /** Value of a repeat relative to a first try: part of its target time has already passed. */
+    private static final double REPEAT_VALUE_FACTOR = 0.3;
+    /** Probe timeout, as a part of the target and a multiple of the baseline; then the endpoint is busy. */
+    private static final double PROBE_PART = 0.12;
+
+    private static final double PROBE_RATIO = 2;
+    /** Time for which a fast response makes a probe unnecessary. */
+    private static final long FAST_RESPONSE_VALID_US = 500_000;
+    /** Overload rate from which a probe pays, per part of a request's value that it costs. */
+    private static final double OVERLOAD_PER_COST = 4;
+
+    private static final int MAX_PROBES = 3; // for one request
+    /** Part of the full budget of a first try below which a request is a repeat; decay per request. */
+    private static final double FULL_BUDGET = 0.95;
+
+    private static final double BUDGET_DECAY = 0.999;
+    /** Part of the remaining time that one attempt may use while another could follow. */
     private static final double ATTEMPT_PART = 0.6;
-    /** Shortest wait before discovery is asked again, microseconds; doubles, with jitter. */
-    private static final long ASK_AGAIN_US = 250_000;
 
-    // ---- state ---------------------------------------------------------------------------------------
+    private static final long MIN_BACKOFF_US = 250_000; // before discovery is subscribed to again
 
     private final Settings settings;
-    private final Actions out;
+    private final Actions actions;
     private final SplittableRandom random;
-    private final HashMap<String, Node> nodes = new HashMap<>();
-    private final HashMap<String, Req> open = new HashMap<>();
-    /** Requests answered or gone with attempts still out, whose outcomes still teach. */
-    private final HashMap<String, Req> ended = new HashMap<>();
-    /** Requests on hold, the worthiest first, then the oldest. */
-    private final TreeSet<Req> held =
-            new TreeSet<>(Comparator.comparingDouble((Req r) -> -r.worth).thenComparingLong(r -> r.order));
-
-    private final Ring<Node> ring = new Ring<>();
-    /** Listed endpoints in order of listing. */
-    private final List<Node> listed = new ArrayList<>();
-
-    private final double[] meanLag;
-    private final double[] usualLag;
-    private final double[] whole;
-    private final double[] tenantRecent;
-    private final double mostWorth;
+    private final HashMap<String, EndpointState> endpoints = new HashMap<>();
+    private final HashMap<String, RequestState> open = new HashMap<>();
+    /** Requests that are done, with attempts in flight whose outcomes still count. */
+    private final HashMap<String, RequestState> ended = new HashMap<>();
+    /** Requests without a usable endpoint, by value, then by age. */
+    private final TreeSet<RequestState> queue = new TreeSet<>(
+            Comparator.comparingDouble((RequestState r) -> -r.value).thenComparingLong(r -> r.sequence));
+
+    private final Ring<EndpointState> ring = new Ring<>();
+    private final List<EndpointState> listed = new ArrayList<>(); // in order of listing
+
+    private final double[] meanUs;
+    private final double[] baselineUs;
+    private final double[] fullBudget;
+    private final double[] tenantRequests;
+    private final double maxValue;
     private final Effect safest;
-    private final boolean many;
-    /** Lag against the usual by kind of endpoint: at little traffic no endpoint alone shows it. */
-    private final double[] kindRatio = new double[KINDS];
-
-    private double tenantTotal;
-    private long tenantAt;
-    /** Capacity of all usable endpoints, and what was asked for of late; see {@link #weigh}. */
-    private double capacity;
-
-    private double offered;
-    /** Part of the latest answers, over all endpoints, that were late or lost. */
-    private double strain;
-    /** Part of the endpoints heard of late whose last answer was late or lost: each counts once. */
-    private double lateShare;
-    /** Part of the latest attempts, over all endpoints not ejected, that failed. */
-    private double commonFailures;
-
-    private long weighedAt = Long.MIN_VALUE / 2;
-    /** Share of requests admitted, from all answers alike, and admissions saved up. */
-    private double admitted = 1;
-
-    private double saved = MOST_SAVED;
-    private double retryTokens = RETRY_MOST / 2;
-    private long sends;
-    private Node opening;
-    private int walk;
-    private long requests;
-    private long wakeAt = Long.MAX_VALUE;
-    private long wokeAt = Long.MIN_VALUE / 2;
+    private final boolean largeFleet;
+    /** Latency relative to the baseline by kind: with little traffic a single endpoint does not show it. */
+    private final double[] kindRatio = new double[MAX_KINDS];
+
+    private double allTenantRequests;
+    private long tenantsDecayedAt;
+    /** Capacity of all usable endpoints, and the decayed offered load; see {@link #updateCapacity}. */
+    private double allCapacity;
+
+    private double allLoad;
+    /** Smoothed share of slow or lost attempts over all endpoints. */
+    private double overloadRate;
+    /** Share of recently sampled endpoints whose last attempt was slow or lost: each counts once. */
+    private double overloadShare;
+
+    private double commonFailureRate;
+
+    private long capacityUpdatedAt = Long.MIN_VALUE / 2;
+    /** Share of requests admitted, adjusted by every outcome, and the tokens of its bucket. */
+    private double admitRate = 1;
+
+    private double admitTokens = MAX_ADMIT_TOKENS;
+    private double retryTokens = MAX_RETRY_TOKENS / 2;
+    private long sends; // by this instance, to all endpoints
+    private EndpointState connecting; // to which a connection is being opened
+    private int currentWalk;
+    private long requestCount;
+    private long nextWakeUp = Long.MAX_VALUE;
+    private long resumedAt = Long.MIN_VALUE / 2; // end of the last pause of this process
     private long nextSweep;
-    private long nextHold = Long.MAX_VALUE;
-    /** Requests waiting for a probe of the endpoint they are to go to. */
-    private final List<Req> probing = new ArrayList<>();
+    private long expiryAt = Long.MAX_VALUE; // when the first queued request expires
 
-    private long nextProbe = Long.MAX_VALUE;
-    private boolean asking;
+    private final List<RequestState> probing = new ArrayList<>(); // wait for the probe of their endpoint
+
+    private long nextProbeTimeout = Long.MAX_VALUE;
+    private boolean subscribing;
     private boolean subscribed;
-    private long askAt;
-    private long askWait = ASK_AGAIN_US;
+    private long resubscribeAt;
+    private long backoffUs = MIN_BACKOFF_US;
 
-    RingHashLoadBalancer(Settings settings, long seed, long now, Actions out) {
+    RingHashLoadBalancer(Settings settings, long seed, long now, Actions actions) {
         this.settings = settings;
-        this.out = out;
+        this.actions = actions;
         this.random = new SplittableRandom(seed);
-        this.usualLag = new double[settings.classes().size()];
-        this.meanLag = new double[usualLag.length];
-        this.whole = new double[usualLag.length];
-        this.tenantRecent = new double[settings.tenantShares().size()];
-        Arrays.setAll(usualLag, i -> meanLag[i] = settings.classes().get(i).aimUs() * FIRST_USUAL);
+        this.baselineUs = new double[settings.classes().size()];
+        this.meanUs = new double[baselineUs.length];
+        this.fullBudget = new double[baselineUs.length];
+        this.tenantRequests = new double[settings.tenantShares().size()];
+        Arrays.setAll(baselineUs, i -> meanUs[i] = settings.classes().get(i).targetUs() * INITIAL_BASELINE);
         Arrays.fill(kindRatio, 1);
-        this.mostWorth =
-                settings.classes().stream().mapToDouble(RequestClass::worth).reduce(1e-9, Math::max);
+        this.maxValue =
+                settings.classes().stream().mapToDouble(RequestClass::value).reduce(1e-9, Math::max);
         this.safest = settings.classes().stream()
                 .map(RequestClass::effect)
                 .sorted()
                 .iterator()
                 .next();
-        this.many = settings.instances() > MANY;
-        this.tenantAt = now;
+        this.largeFleet = settings.instances() > LARGE_FLEET;
+        this.tenantsDecayedAt = now;
         this.nextSweep = now + SWEEP_US;
-        this.askAt = now;
+        this.resubscribeAt = now;
         if (settings.subscribe()) {
-            ask();
+            subscribe();
         }
     }
 
-    // ---- discovery -----------------------------------------------------------------------------------
-
     @Override
     public void onEndpoints(long now, Source source, List<Endpoint> entries) {
-        if (source != Source.CACHED && asking) {
-            asking = false;
+        if (source != Source.CACHED && subscribing) {
+            subscribing = false;
             subscribed = true;
-            askWait = ASK_AGAIN_US;
-        }
-        walk++;
-        for (Endpoint e : entries) {
-            Node n = nodes.computeIfAbsent(e.id(), id -> new Node(id, HASH.hashCharsToLong(id), FIRST_LIMIT));
-            n.seen = walk;
-            if (e.availability() != Availability.GONE) {
-                update(n, e);
-            } else if (n.onRing) {
-                leave(n);
+            backoffUs = MIN_BACKOFF_US;
+        }
+        currentWalk++;
+        for (Endpoint entry : entries) {
+            EndpointState endpoint = endpoints.computeIfAbsent(
+                    entry.id(), id -> new EndpointState(id, HASH.hashCharsToLong(id), INITIAL_LIMIT));
+            endpoint.lastWalk = currentWalk;
+            if (entry.availability() != Availability.GONE) {
+                update(endpoint, entry);
+            } else if (endpoint.onRing) {
+                removeFromRing(endpoint);
             }
         }
         if (source != Source.DELTA) {
-            List.copyOf(listed).stream().filter(n -> n.seen != walk).forEach(this::leave);
+            List.copyOf(listed).stream().filter(n -> n.lastWalk != currentWalk).forEach(this::removeFromRing);
         }
-        nodes.values().removeIf(n -> !n.onRing && n.outstanding.isEmpty());
+        endpoints.values().removeIf(n -> !n.onRing && n.outstanding.isEmpty());
         ring.merge();
-        weigh(now);
-        retryHeld(now);
-        arm(now);
-    }
-
-    private void update(Node n, Endpoint e) {
-        n.zone = e.zone();
-        n.kind = e.kind() & KINDS - 1;
-        n.cell = e.cell();
-        n.weight = e.weight() > 0 ? e.weight() : 1;
-        boolean restarted = e.startedAtUs() != 0 && e.startedAtUs() != n.warmFrom && !n.down;
-        if (restarted || !n.onRing) {
-            // A new process: what was known of the old one no longer holds, and it is cold.
-            readmit(n);
-            if (e.startedAtUs() != 0) {
-                cool(n, e.startedAtUs());
+        updateCapacity(now);
+        dispatchQueued(now);
+        scheduleWakeUp(now);
+    }
+
+    private void update(EndpointState endpoint, Endpoint entry) {
+        endpoint.zone = entry.zone();
+        endpoint.kind = entry.kind() & MAX_KINDS - 1;
+        endpoint.cell = entry.cell();
+        endpoint.weight = entry.weight() > 0 ? entry.weight() : 1;
+        boolean processRestarted =
+                entry.startedAtUs() != 0 && entry.startedAtUs() != endpoint.startedAt && !endpoint.down;
+        if (processRestarted || !endpoint.onRing) {
+            // A new process: the state of the old one is obsolete, and the new one is cold.
+            readmit(endpoint);
+            if (entry.startedAtUs() != 0) {
+                startSlowStart(endpoint, entry.startedAtUs());
             }
         }
-        if (!n.onRing) {
-            join(n);
+        if (!endpoint.onRing) {
+            addToRing(endpoint);
         }
-        n.ready = e.availability() == Availability.READY;
+        endpoint.ready = entry.availability() == Availability.READY;
     }
 
     @Override
     public void onDiscoveryFailed(long now) {
-        asking = false;
+        subscribing = false;
         subscribed = false;
-        askAt = now + (long) (askWait * (0.5 + random.nextDouble()));
-        askWait =
-                Math.min(2 * askWait, Math.max(ASK_AGAIN_US, settings.contract().askWithinUs() / 4));
-        arm(now);
+        resubscribeAt = now + (long) (backoffUs * (0.5 + random.nextDouble()));
+        backoffUs = Math.min(
+                2 * backoffUs, Math.max(MIN_BACKOFF_US, settings.contract().subscribeWithinUs() / 4));
+        scheduleWakeUp(now);
     }
 
-    private void ask() {
-        asking = true;
-        out.subscribe();
+    private void subscribe() {
+        subscribing = true;
+        actions.subscribe();
     }
 
-    // ---- the ring ------------------------------------------------------------------------------------
-
-    private void join(Node n) {
-        n.onRing = true;
-        listed.add(n);
-        long count = Math.max(FEWEST_POINTS, Math.min(MOST_POINTS, Math.round(POINTS * size(n))));
-        ring.add(n, Ring.points(n.hash, (int) count));
+    private void addToRing(EndpointState endpoint) {
+        endpoint.onRing = true;
+        listed.add(endpoint);
+        long count = Math.max(MIN_POINTS, Math.min(MAX_POINTS, Math.round(POINTS * ringWeight(endpoint))));
+        ring.add(endpoint, Ring.points(endpoint.hash, (int) count));
     }
 
-    private void leave(Node n) {
-        n.onRing = false;
-        n.ready = false;
-        listed.remove(n);
-        ring.remove(n);
+    private void removeFromRing(EndpointState endpoint) {
+        endpoint.onRing = false;
+        endpoint.ready = false;
+        listed.remove(endpoint);
+        ring.remove(endpoint);
     }
 
-    /** Listed size; weights that follow load would move keys with every list and count as 1. */
-    private double size(Node n) {
-        return settings.weightsVary() ? 1 : n.weight;
+    /** Listed weight, or 1 if weights follow load: they would move keys with every list. */
+    private double ringWeight(EndpointState endpoint) {
+        return settings.weightsVary() ? 1 : endpoint.weight;
     }
 
     /** Walks the ring from the request's hash to the endpoint that is to serve it; null if there is none. */
-    private Node pick(Req r, long now) {
-        if (now - weighedAt >= SWEEP_US) {
-            weigh(now);
-        }
-        // What is asked of each endpoint counts when a request is first placed, and again after each probe.
-        double asked = r.attempts.isEmpty() && r.holdUntil == 0 ? 1 : 0;
-        offered += asked;
-        Attempt earlier = earlierAttempt(r);
-        boolean keyless = r.in.key() == null;
-        walk++;
-        int left = listed.size();
-        Node spare = null;
-        boolean flawed = false;
-        Node ejected = null;
+    private EndpointState pick(RequestState request, long now) {
+        if (now - capacityUpdatedAt >= SWEEP_US) {
+            updateCapacity(now);
+        }
+        // Offered load counts when a request is first placed, and again after each probe.
+        double newLoad = request.attempts.isEmpty() && request.queuedUntil == 0 ? 1 : 0;
+        allLoad += newLoad;
+        Attempt prior = priorAttempt(request);
+        boolean keyless = request.spec.key() == null;
+        currentWalk++;
+        int remaining = listed.size();
+        EndpointState fallback = null;
+        boolean fallbackFlawed = false;
+        EndpointState ejected = null;
         int usable = 0;
-        int from = ring.first(r.hash);
-        for (int k = 0; k < ring.size() && left > 0 && (usable < OWNERS || keyless); k++) {
-            Node n = ring.owner(from + k);
-            if (n.seen == walk) {
+        int start = ring.first(request.hash);
+        for (int step = 0; step < ring.size() && remaining > 0 && (usable < MAX_OWNERS || keyless); step++) {
+            EndpointState endpoint = ring.owner(start + step);
+            if (endpoint.lastWalk == currentWalk) {
                 continue;
             }
-            n.seen = walk;
-            left--;
-            boolean tried = !r.attempts.isEmpty() && r.attempts.stream().anyMatch(a -> a.node == n);
-            if (!n.ready || tried || !inGroup(r, earlier, n) || !coldAdmits(n, now)) {
+            endpoint.lastWalk = currentWalk;
+            remaining--;
+            boolean tried = !request.attempts.isEmpty()
+                    && request.attempts.stream().anyMatch(attempt -> attempt.endpoint == endpoint);
+            if (!endpoint.ready
+                    || tried
+                    || !inDedupGroup(request, prior, endpoint)
+                    || !slowStartAdmits(endpoint, now)) {
                 continue;
             }
-            if (n.ejected) {
-                if (trialDue(n, r, now)) {
-                    return n;
+            if (endpoint.ejected) {
+                if (trialDue(endpoint, request, now)) {
+                    return endpoint;
                 }
-                ejected = ejected == null && !n.down ? n : ejected;
+                ejected = ejected == null && !endpoint.down ? endpoint : ejected;
                 continue;
             }
-            n.offered += asked;
-            boolean busy = now < n.busyUntil;
+            endpoint.load += newLoad;
+            boolean busy = now < endpoint.busyUntil;
             usable += busy && usable > 0 ? 0 : 1;
-            // Where all are busy, a key had better wait for its owner than make the others do its cold work.
-            if (!hasRoom(n, r, now, usable == 1 || keyless ? 1 : SPILL_ROOM)) {
+            // When all are busy, a key waits for its owner: other endpoints have nothing cached for it.
+            if (!hasRoom(endpoint, request, now, usable == 1 || keyless ? 1 : SPILL_LIMIT_PART)) {
                 continue;
             }
-            boolean wait = keyless && now >= n.connectedUntil && opening != null && opening != n;
-            // A fragile request goes only where nothing failed lately, if it can.
-            boolean sure = r.type.effect() != Effect.FRAGILE || n.failing < ONE_FAILURE;
-            if (!wait && !busy && sure && withinBound(r, n)) {
-                return n;
+            boolean mustWait =
+                    keyless && now >= endpoint.connectedUntil && connecting != null && connecting != endpoint;
+            // A non-idempotent request prefers endpoints without recent failures.
+            boolean safe = request.type.effect() != Effect.NON_IDEMPOTENT || endpoint.evidence < MAX_EVIDENCE;
+            if (!mustWait && !busy && safe && withinLoadBound(request, endpoint)) {
+                return endpoint;
             }
-            if (spare == null || flawed && !wait && !busy) {
-                spare = n;
-                flawed = wait || busy;
+            if (fallback == null || fallbackFlawed && !mustWait && !busy) {
+                fallback = endpoint;
+                fallbackFlawed = mustWait || busy;
             }
         }
-        return usable > 0 ? spare : ejected;
+        return usable > 0 ? fallback : ejected;
     }
 
     /**
-     * Bounded load, in expectation: of what is asked of it, an endpoint takes the part that keeps it under
-     * {@code BOUND} times its fair share of all. An instance that sends little sees a hot key not by its own
-     * attempts out but by what it is asked for over a while. Half a deviation is granted to chance.
+     * Bounded load, in expectation: an endpoint takes the part of its offered load that is within the bound.
+     * Load over time shows a hot key even to an instance with few attempts in flight. Half a deviation is
+     * tolerated as chance.
      */
-    private boolean withinBound(Req r, Node n) {
-        double asked = n.offered - 0.5 * Math.sqrt(n.offered);
-        return !r.cautious || asked <= 0 || draw(r, n) * asked < BOUND * offered * n.capacity / capacity;
-    }
-
-    /** Brings up to date each endpoint's capacity (size, ramp, speed of its kind) and what was asked. */
-    private void weigh(long now) {
-        double keep = Math.exp((double) (weighedAt - now) / ASKED_US);
-        weighedAt = now;
-        offered *= keep;
-        capacity = 0;
+    private boolean withinLoadBound(RequestState request, EndpointState endpoint) {
+        double load = endpoint.load - 0.5 * Math.sqrt(endpoint.load);
+        return !request.loadAware
+                || load <= 0
+                || draw(request, endpoint) * load < LOAD_BOUND * allLoad * endpoint.capacity / allCapacity;
+    }
+
+    /** Updates each endpoint's capacity (weight, slow start, speed of its kind) and decays offered load. */
+    private void updateCapacity(long now) {
+        double decay = Math.exp((double) (capacityUpdatedAt - now) / LOAD_DECAY_US);
+        capacityUpdatedAt = now;
+        allLoad *= decay;
+        allCapacity = 0;
         double best = listed.stream().mapToDouble(n -> kindRatio[n.kind]).min().orElse(1);
-        double heard = 1;
-        double late = 0;
-        for (Node n : listed) {
-            if (now - n.heardAt < ASKED_US) {
-                heard++;
-                late += n.late ? 1 : 0;
+        double reporting = 1;
+        double overloaded = 0;
+        for (EndpointState endpoint : listed) {
+            if (now - endpoint.sampledAt < LOAD_DECAY_US) {
+                reporting++;
+                overloaded += endpoint.overloaded ? 1 : 0;
             }
-            n.offered *= keep;
-            n.limit = n.limit < 1 ? Math.min(1, n.limit / keep) : n.limit;
-            n.capacity = size(n) * ramp(n, now) * Math.max(LEAST_KIND, best / kindRatio[n.kind]);
-            capacity += n.ready && !n.ejected ? n.capacity : 0;
+            endpoint.load *= decay;
+            endpoint.limit = endpoint.limit < 1 ? Math.min(1, endpoint.limit / decay) : endpoint.limit;
+            endpoint.capacity = ringWeight(endpoint)
+                    * slowStartCapacity(endpoint, now)
+                    * Math.max(MIN_KIND_CAPACITY, best / kindRatio[endpoint.kind]);
+            allCapacity += endpoint.ready && !endpoint.ejected ? endpoint.capacity : 0;
         }
-        lateShare = late / heard;
+        overloadShare = overloaded / reporting;
     }
 
-    // ---- slow start ----------------------------------------------------------------------------------
-
-    /** The share of its capacity that a cold endpoint surely has: rises evenly over the stated time. */
-    private double ramp(Node n, long now) {
-        if (!n.cold) {
+    /** Guaranteed share of a cold endpoint's capacity: rises linearly over the slow start. */
+    private double slowStartCapacity(EndpointState endpoint, long now) {
+        if (!endpoint.cold) {
             return 1;
         }
-        Contract c = settings.contract();
-        double part = c.coldUs() == 0 ? 1 : Math.max(0.0, (double) (now - n.warmFrom)) / c.coldUs();
-        n.cold = part < 1;
-        return Math.min(1, c.coldFrom() + (1 - c.coldFrom()) * part);
+        Contract contract = settings.contract();
+        double part = contract.slowStartUs() == 0
+                ? 1
+                : Math.max(0.0, (double) (now - endpoint.startedAt)) / contract.slowStartUs();
+        endpoint.cold = part < 1;
+        return Math.min(1, contract.coldCapacityShare() + (1 - contract.coldCapacityShare()) * part);
     }
 
     /**
-     * A cold endpoint takes no more than its credit: {@code COLD_SHARE} of its part, by ramped capacity, of
-     * what this instance sends to all, from a random start below one. So however many instances there are
-     * and however little each of them sends, their sum is bound alike, from its first moment on.
+     * Whether a cold endpoint has credit: it earns {@code COLD_SHARE} of its share, by slow-start capacity,
+     * of all sends of this instance, from a random start below one. So the sum over all instances is bounded
+     * from the first moment, however many they are and however little each sends.
      */
-    private boolean coldAdmits(Node n, long now) {
-        if (!n.cold) {
+    private boolean slowStartAdmits(EndpointState endpoint, long now) {
+        if (!endpoint.cold) {
             return true;
         }
-        double own = size(n) * ramp(n, now);
-        double part = own / Math.max(capacity, own);
-        n.credit = Math.min(MOST_CREDIT, n.credit + COLD_SHARE * part * (sends - n.creditAt));
-        n.creditAt = sends;
-        return n.credit >= 1;
-    }
-
-    // ---- health --------------------------------------------------------------------------------------
-
-    private void learnLag(Attempt a, long lag, long now, boolean served) {
-        int c = a.req.in.classIndex();
-        Node n = a.node;
-        kindRatio[n.kind] += (Math.min(lag / usualLag[c], 20) - kindRatio[n.kind]) * POOL_GAIN;
-        boolean late = !served || crowded(a, lag);
-        n.late = late;
-        n.heardAt = now;
-        strain += ((late ? 1 : 0) - strain) * POOL_GAIN;
+        double own = ringWeight(endpoint) * slowStartCapacity(endpoint, now);
+        double part = own / Math.max(allCapacity, own);
+        endpoint.credits =
+                Math.min(MAX_CREDIT, endpoint.credits + COLD_SHARE * part * (sends - endpoint.creditedSends));
+        endpoint.creditedSends = sends;
+        return endpoint.credits >= 1;
+    }
+
+    private void recordLatency(Attempt attempt, long latencyUs, long now, boolean served) {
+        int classIndex = attempt.request.spec.classIndex();
+        EndpointState endpoint = attempt.endpoint;
+        kindRatio[endpoint.kind] +=
+                (Math.min(latencyUs / baselineUs[classIndex], 20) - kindRatio[endpoint.kind]) * POOLED_GAIN;
+        boolean overloaded = !served || isSlow(attempt, latencyUs);
+        endpoint.overloaded = overloaded;
+        endpoint.sampledAt = now;
+        overloadRate += ((overloaded ? 1 : 0) - overloadRate) * POOLED_GAIN;
         if (served) {
-            meanLag[c] += (lag - meanLag[c]) * CLASS_GAIN;
-            usualLag[c] = Math.min(usualLag[c], meanLag[c]);
-        }
-        if (late) {
-            double spread = many ? Math.max(0, Math.min(1, LATE_SLOPE * (lateShare - FEW_LATE))) : 0;
-            double cut = (served ? ADMIT_CUT / 2 : ADMIT_CUT) * spread;
-            admitted = Math.max(LEAST_LIMIT, admitted * (1 - cut));
-            n.everCut = true;
-            double used = many ? Math.min(n.limit, n.outstanding.size() + 1) : n.limit;
-            n.limit = Math.max(LEAST_LIMIT, (served ? CUT : LOSS_CUT) * used);
+            meanUs[classIndex] += (latencyUs - meanUs[classIndex]) * CLASS_GAIN;
+            baselineUs[classIndex] = Math.min(baselineUs[classIndex], meanUs[classIndex]);
+        }
+        if (overloaded) {
+            double reduction =
+                    largeFleet ? Math.max(0, Math.min(1, ADMIT_SLOPE * (overloadShare - MIN_OVERLOADED))) : 0;
+            double decrease = (served ? ADMIT_DECREASE / 2 : ADMIT_DECREASE) * reduction;
+            admitRate = Math.max(MIN_LIMIT, admitRate * (1 - decrease));
+            endpoint.limitReduced = true;
+            double limitBefore =
+                    largeFleet ? Math.min(endpoint.limit, endpoint.outstanding.size() + 1) : endpoint.limit;
+            endpoint.limit = Math.max(MIN_LIMIT, (served ? SLOW_DECREASE : LOSS_DECREASE) * limitBefore);
             return;
         }
-        admitted = Math.min(1, admitted + ADMIT_GROW);
-        n.promptAt = now;
-        if (n.outstanding.size() + 1 >= n.limit / 2) {
-            n.limit += !n.everCut ? GROW : n.limit < 1 ? REGAIN * n.limit : GROW / n.limit;
+        admitRate = Math.min(1, admitRate + ADMIT_INCREASE);
+        endpoint.fastResponseAt = now;
+        if (endpoint.outstanding.size() + 1 >= endpoint.limit / 2) {
+            endpoint.limit += !endpoint.limitReduced
+                    ? LIMIT_INCREASE
+                    : endpoint.limit < 1 ? SMALL_GROWTH * endpoint.limit : LIMIT_INCREASE / endpoint.limit;
         }
     }
 
-    private boolean crowded(Attempt a, long lag) {
-        double usual = usualLag[a.req.in.classIndex()];
-        double most = Math.max(CROWDED_AIM * a.req.type.aimUs(), ORDINARY * usual);
-        return a.at >= wokeAt && lag > Math.min(CROWDED * usual, most);
+    private boolean isSlow(Attempt attempt, long latencyUs) {
+        double baseline = baselineUs[attempt.request.spec.classIndex()];
+        double slowFrom = Math.max(SLOW_TARGET * attempt.request.type.targetUs(), NORMAL_RATIO * baseline);
+        return attempt.sentAt >= resumedAt && latencyUs > Math.min(SLOW_RATIO * baseline, slowFrom);
     }
 
-    /** Whether the endpoint's limit leaves room; one under 1 is the share of requests that may go there. */
-    private boolean hasRoom(Node n, Req r, long now, double part) {
-        long size = n.outstanding.stream().filter(a -> !lost(a, now)).count();
-        double room = part * n.limit;
-        return room >= 1 ? size + 1 <= room : size == 0 && draw(r, n) < room;
+    /** Whether the endpoint's limit has room; a limit below 1 is the share of requests that it admits. */
+    private boolean hasRoom(EndpointState endpoint, RequestState request, long now, double limitPart) {
+        long outstanding =
+                endpoint.outstanding.stream().filter(a -> !isLost(a, now)).count();
+        double room = limitPart * endpoint.limit;
+        return room >= 1 ? outstanding + 1 <= room : outstanding == 0 && draw(request, endpoint) < room;
     }
 
-    /** The request's lot at an endpoint: drawn once, so that waiting does not change it. */
-    private static double draw(Req r, Node n) {
-        return (HASH.hashLongLongToLong(r.order * 0x9e3779b97f4a7c15L ^ r.hash, n.hash) >>> 11) * 0x1p-53;
+    /** A uniform draw in [0, 1), fixed for a request and an endpoint, so that waiting does not change it. */
+    private static double draw(RequestState r, EndpointState e) {
+        return (HASH.hashLongLongToLong(r.sequence * 0x9e3779b97f4a7c15L ^ r.hash, e.hash) >>> 11) * 0x1p-53;
     }
 
-    private void learnFailure(Node n, Outcome outcome, long now) {
-        boolean bad = outcome != Outcome.OK && outcome != Outcome.QUEUE_FULL;
-        // What befalls all alike is no endpoint's fault: failures count by how much likelier they are here.
-        double common = Math.max(LEAST_COMMON, Math.min(FAILING, commonFailures));
-        n.failing = Math.max(0, n.failing + Math.log(FAILING / (bad ? common : 1 - common)));
-        commonFailures += n.ejected ? 0 : ((bad ? 1 : 0) - commonFailures) * COMMON_GAIN;
+    private void recordResult(EndpointState endpoint, Outcome outcome, long now) {
+        boolean failed = outcome != Outcome.OK && outcome != Outcome.QUEUE_FULL;
+        // A failure counts by its likelihood against the rate common to all: a shared cause ejects nothing.
+        double baseRate = Math.max(MIN_COMMON_RATE, Math.min(FAILING_RATE, commonFailureRate));
+        endpoint.evidence =
+                Math.max(0, endpoint.evidence + Math.log(FAILING_RATE / (failed ? baseRate : 1 - baseRate)));
+        commonFailureRate += endpoint.ejected ? 0 : ((failed ? 1 : 0) - commonFailureRate) * COMMON_GAIN;
         if (outcome == Outcome.CONNECT_ERROR) {
-            n.connectedUntil = now;
-            eject(n, now, true);
-        } else if (bad && n.failing >= 3 * ONE_FAILURE) {
-            eject(n, now, false);
+            endpoint.connectedUntil = now;
+            eject(endpoint, now, true);
+        } else if (failed && endpoint.evidence >= 3 * MAX_EVIDENCE) {
+            eject(endpoint, now, false);
         }
     }
 
-    /** Ejects unless too much of the ring would be out on suspicion: then the trouble is elsewhere. */
-    private void eject(Node n, long now, boolean down) {
-        if (!n.onRing || n.ejected && now < n.ejectedUntil) {
+    /** Ejects an endpoint unless too much of the ring would be ejected on suspicion. */
+    private void eject(EndpointState endpoint, long now, boolean down) {
+        if (!endpoint.onRing || endpoint.ejected && now < endpoint.ejectedUntil) {
             return;
         }
-        double all = listed.stream().mapToDouble(o -> o.weight).sum();
-        double outWeight = listed.stream()
-                .filter(o -> o.ejected || o == n)
+        double totalWeight = listed.stream().mapToDouble(o -> o.weight).sum();
+        double ejectedWeight = listed.stream()
+                .filter(o -> o.ejected || o == endpoint)
                 .mapToDouble(o -> o.weight)
                 .sum();
-        if (!down && !n.ejected && outWeight > MOST_EJECTED * all) {
+        if (!down && !endpoint.ejected && ejectedWeight > MAX_EJECTED_SHARE * totalWeight) {
             return;
         }
-        boolean soon = now - n.ejectedUntil < LONGEST_EJECT_US && n.ejectedFor > 0;
-        n.ejectedFor = soon ? Math.min(2 * n.ejectedFor, LONGEST_EJECT_US) : EJECT_US;
-        n.ejectedUntil = now + n.ejectedFor;
-        n.ejected = true;
-        n.down |= down;
-        n.trial = null;
+        boolean soon = now - endpoint.ejectedUntil < MAX_EJECTION_US && endpoint.ejectionUs > 0;
+        endpoint.ejectionUs = soon ? Math.min(2 * endpoint.ejectionUs, MAX_EJECTION_US) : MIN_EJECTION_US;
+        endpoint.ejectedUntil = now + endpoint.ejectionUs;
+        endpoint.ejected = true;
+        endpoint.down |= down;
+        endpoint.trial = null;
     }
 
-    /** After its ejection an endpoint serves one trial at a time, of the safest effect there is. */
-    private boolean trialDue(Node n, Req r, long now) {
-        return now >= n.ejectedUntil && n.trial == null && r.type.effect() == safest;
+    /** After its ejection an endpoint gets one trial request at a time, of the safest effect configured. */
+    private boolean trialDue(EndpointState endpoint, RequestState request, long now) {
+        return now >= endpoint.ejectedUntil && endpoint.trial == null && request.type.effect() == safest;
     }
 
-    private void trialEnded(Node n, Outcome outcome, long lag, Attempt a, long now) {
-        n.trial = null;
-        boolean wasDown = n.down;
-        if (outcome != Outcome.OK || crowded(a, lag)) {
-            eject(n, now, wasDown && outcome == Outcome.CONNECT_ERROR);
+    private void endTrial(EndpointState endpoint, Outcome outcome, long latencyUs, Attempt trial, long now) {
+        endpoint.trial = null;
+        boolean wasDown = endpoint.down;
+        if (outcome != Outcome.OK || isSlow(trial, latencyUs)) {
+            eject(endpoint, now, wasDown && outcome == Outcome.CONNECT_ERROR);
             return;
         }
-        readmit(n);
+        readmit(endpoint);
         if (wasDown) {
-            // It was away: whether or not discovery says so, it may have started afresh.
-            cool(n, now);
+            // The process may have restarted, whether or not discovery reports it.
+            startSlowStart(endpoint, now);
         }
     }
 
-    /** Starts the slow start of an endpoint whose process began at {@code from}. */
-    private void cool(Node n, long from) {
-        n.cold = true;
-        n.warmFrom = from;
-        n.credit = random.nextDouble();
-        n.creditAt = sends;
+    private void startSlowStart(EndpointState endpoint, long startedAt) {
+        endpoint.cold = true;
+        endpoint.startedAt = startedAt;
+        endpoint.credits = random.nextDouble();
+        endpoint.creditedSends = sends;
     }
 
-    private static void readmit(Node n) {
-        n.ejected = false;
-        n.down = false;
-        n.trial = null;
-        n.failing = 0;
-        n.limit = FIRST_LIMIT;
+    private static void readmit(EndpointState endpoint) {
+        endpoint.ejected = false;
+        endpoint.down = false;
+        endpoint.trial = null;
+        endpoint.evidence = 0;
+        endpoint.limit = INITIAL_LIMIT;
     }
 
-    /** Finds silent endpoints; attempts waiting on a silent one are moved where effects permit. */
+    /** Ejects unresponsive endpoints; cancels their attempts and lost ones where a retry is permitted. */
     private void sweep(long now) {
-        for (int c = 0; c < usualLag.length; c++) {
-            usualLag[c] = Math.min(meanLag[c], usualLag[c] * (1 + USUAL_RISE * SWEEP_US / 1e6));
-        }
-        weigh(now);
-        for (Node n : listed) {
-            boolean silent = silent(n, now);
-            if (silent) {
-                eject(n, now, false);
+        for (int i = 0; i < baselineUs.length; i++) {
+            baselineUs[i] = Math.min(meanUs[i], baselineUs[i] * (1 + BASELINE_RISE_PER_S * SWEEP_US / 1e6));
+        }
+        updateCapacity(now);
+        for (EndpointState endpoint : listed) {
+            boolean unresponsive = isUnresponsive(endpoint, now);
+            if (unresponsive) {
+                eject(endpoint, now, false);
             }
-            n.outstanding.stream()
-                    .filter(a -> silent && n.ejected || lost(a, now))
-                    .filter(a -> open.get(a.req.in.id()) == a.req && mayResend(a.req, now))
+            endpoint.outstanding.stream()
+                    .filter(a -> unresponsive && endpoint.ejected || isLost(a, now))
+                    .filter(a -> open.get(a.request.spec.id()) == a.request && mayRetry(a.request, now))
                     .forEach(this::cancel);
         }
     }
 
-    private boolean silent(Node n, long now) {
-        return n.outstanding.stream()
+    private boolean isUnresponsive(EndpointState endpoint, long now) {
+        return endpoint.outstanding.stream()
                 .filter(a -> !a.streaming && !a.canceled)
                 .findFirst()
-                .filter(a -> now - Math.max(Math.max(a.at, n.lastAnswer), wokeAt) > patience(a))
+                .filter(a -> now - Math.max(Math.max(a.sentAt, endpoint.replyAt), resumedAt) > overdueUs(a))
                 .isPresent();
     }
 
-    private double patience(Attempt a) {
-        return Math.max(SILENT_LAGS * usualLag[a.req.in.classIndex()], SILENT_AIM * a.req.type.aimUs());
+    private double overdueUs(Attempt attempt) {
+        return Math.max(
+                OVERDUE_RATIO * baselineUs[attempt.request.spec.classIndex()],
+                OVERDUE_TARGET * attempt.request.type.targetUs());
     }
 
-    /** Whether its endpoint has answered what it was sent later: then it is not the endpoint that is late. */
-    private static boolean overtaken(Attempt a) {
-        return a.node.answeredAt > a.at;
+    /** Whether its endpoint has answered a request sent later: then the endpoint itself is responsive. */
+    private static boolean answeredNewer(Attempt a) {
+        return a.endpoint.newestAnsweredSentAt > a.sentAt;
     }
 
-    /** An answer long due from an endpoint that goes on answering will not come: it takes no room there. */
-    private boolean lost(Attempt a, long now) {
-        return !a.streaming && overtaken(a) && now - Math.max(a.at, wokeAt) > patience(a);
+    /** An overdue response of a responsive endpoint is lost: the attempt does not count as in flight. */
+    private boolean isLost(Attempt a, long now) {
+        return !a.streaming && answeredNewer(a) && now - Math.max(a.sentAt, resumedAt) > overdueUs(a);
     }
 
-    // ---- requests ------------------------------------------------------------------------------------
-
     @Override
-    public void onRequest(long now, Request in) {
-        if (open.containsKey(in.id()) || in.classIndex() < 0 || in.classIndex() >= usualLag.length) {
+    public void onRequest(long now, Request spec) {
+        if (open.containsKey(spec.id()) || spec.classIndex() < 0 || spec.classIndex() >= baselineUs.length) {
             return;
         }
-        long hash = in.key() != null ? HASH.hashCharsToLong(in.key()) : random.nextLong();
-        RequestClass type = settings.classes().get(in.classIndex());
-        // An unmarked repeat shows by its budget: less than a whole try's of late, what patience is left.
-        whole[in.classIndex()] = Math.max((double) in.budgetUs(), whole[in.classIndex()] * WHOLE_FADE);
-        boolean repeat = in.repeat() || in.budgetUs() < WHOLE_TRY * whole[in.classIndex()];
-        double worth = type.worth() * tenantWorth(in, now) * (repeat ? REPEAT_WORTH : 1);
-        Req r = new Req(in, type, hash, now, worth, ++requests);
-        open.put(in.id(), r);
-        retryTokens = Math.min(RETRY_MOST, retryTokens + RETRY_EARN);
-        r.cautious = random.nextDouble() < (many ? CAUTION : CAUTION / 2) * strain;
-        if (admits(r)) {
-            place(r, now);
+        long hash = spec.key() != null ? HASH.hashCharsToLong(spec.key()) : random.nextLong();
+        RequestClass type = settings.classes().get(spec.classIndex());
+        // An unmarked repeat has a smaller budget than recent first tries: the client's remaining time.
+        fullBudget[spec.classIndex()] =
+                Math.max((double) spec.budgetUs(), fullBudget[spec.classIndex()] * BUDGET_DECAY);
+        boolean repeat = spec.repeat() || spec.budgetUs() < FULL_BUDGET * fullBudget[spec.classIndex()];
+        double value = type.value() * tenantValueFactor(spec, now) * (repeat ? REPEAT_VALUE_FACTOR : 1);
+        RequestState request = new RequestState(spec, type, hash, now, value, ++requestCount);
+        open.put(spec.id(), request);
+        retryTokens = Math.min(MAX_RETRY_TOKENS, retryTokens + RETRY_TOKENS_PER_REQUEST);
+        request.loadAware = random.nextDouble() < (largeFleet ? LOAD_AWARE : LOAD_AWARE / 2) * overloadRate;
+        if (tryAdmit(request)) {
+            place(request, now);
         } else {
-            finish(r);
+            refuseOrFail(request);
         }
-        arm(now);
+        scheduleWakeUp(now);
     }
 
-    /** Spends a saved admission, if enough would be left for worthier requests. */
-    private boolean admits(Req r) {
-        saved = admitted >= 1 ? MOST_SAVED : Math.min(MOST_SAVED, saved + admitted);
-        if (saved < 1 + (MOST_SAVED - 1) * (1 - r.worth / mostWorth)) {
+    private boolean tryAdmit(RequestState request) {
+        admitTokens = admitRate >= 1 ? MAX_ADMIT_TOKENS : Math.min(MAX_ADMIT_TOKENS, admitTokens + admitRate);
+        if (admitTokens < 1 + (MAX_ADMIT_TOKENS - 1) * (1 - request.value / maxValue)) {
             return false;
         }
-        saved--;
+        admitTokens--;
         return true;
     }
 
-    /** Expected worth of a request of this tenant, as a share: what is beyond its own counts less. */
-    private double tenantWorth(Request in, long now) {
-        int t = in.tenant();
-        if (t < 0 || t >= tenantRecent.length) {
+    /** Expected value of a request of this tenant, as a factor: less beyond the tenant's share. */
+    private double tenantValueFactor(Request spec, long now) {
+        int tenant = spec.tenant();
+        if (tenant < 0 || tenant >= tenantRequests.length) {
             return 1;
         }
-        double keep = Math.exp(-(now - tenantAt) / FORGET_US);
-        tenantAt = now;
-        tenantTotal = tenantTotal * keep + 1;
-        for (int i = 0; i < tenantRecent.length; i++) {
-            tenantRecent[i] *= keep;
-        }
-        tenantRecent[t]++;
-        // Few requests meet by chance: one deviation is granted, or small tenants would always be over.
-        double within = settings.tenantShares().get(t)
-                * tenantTotal
-                / Math.max(1e-9, tenantRecent[t] - Math.sqrt(tenantRecent[t]));
-        return within >= 1 ? 1 : within + (1 - within) * settings.overShareWorth();
-    }
-
-    /** First placement, also after a probe. */
-    private void place(Req r, long now) {
-        Node n = pick(r, now);
-        if (n == null) {
-            hold(r, now);
-        } else if (doubtful(r, n, now)) {
-            probe(r, n, now);
+        double decay = Math.exp(-(now - tenantsDecayedAt) / TENANT_DECAY_US);
+        tenantsDecayedAt = now;
+        allTenantRequests = allTenantRequests * decay + 1;
+        for (int i = 0; i < tenantRequests.length; i++) {
+            tenantRequests[i] *= decay;
+        }
+        tenantRequests[tenant]++;
+        // One standard deviation is tolerated as chance, or small tenants would always be over their share.
+        double withinShare = settings.tenantShares().get(tenant)
+                * allTenantRequests
+                / Math.max(1e-9, tenantRequests[tenant] - Math.sqrt(tenantRequests[tenant]));
+        return withinShare >= 1 ? 1 : withinShare + (1 - withinShare) * settings.overShareValue();
+    }
+
+    private void place(RequestState request, long now) {
+        EndpointState endpoint = pick(request, now);
+        if (endpoint == null) {
+            enqueue(request, now);
+        } else if (shouldProbe(request, endpoint, now)) {
+            probe(request, endpoint, now);
         } else {
-            dispatch(r, n, now);
+            dispatch(request, endpoint, now);
         }
     }
 
-    /** Whether to probe first: nothing came back promptly from there of late, and there is time for it. */
-    private boolean doubtful(Req r, Node n, long now) {
-        long patience = probePatience(r);
+    /** Whether to probe first: the endpoint has no recent fast response, and there is time for a probe. */
+    private boolean shouldProbe(RequestState request, EndpointState endpoint, long now) {
+        long timeoutUs = probeTimeoutUs(request);
         return settings.limits().mayProbe()
-                && many
-                && r.cautious
-                && strain > PROBE_PAYS * settings.probePrice()
-                && r.probes < MOST_PROBES
-                && now >= n.busyUntil
-                && !n.ejected
-                && now - n.promptAt > PROMPT_US
-                && r.worthUntil() - now > 4 * patience;
+                && largeFleet
+                && request.loadAware
+                && overloadRate > OVERLOAD_PER_COST * settings.probeCost()
+                && request.probeCount < MAX_PROBES
+                && now >= endpoint.busyUntil
+                && !endpoint.ejected
+                && now - endpoint.fastResponseAt > FAST_RESPONSE_VALID_US
+                && request.usefulUntil() - now > 4 * timeoutUs;
     }
 
-    private long probePatience(Req r) {
-        return (long) Math.min(PROBE_AIM * r.type.aimUs(), PROBE_LAGS * usualLag[r.in.classIndex()]);
+    private long probeTimeoutUs(RequestState r) {
+        return (long) Math.min(PROBE_PART * r.type.targetUs(), PROBE_RATIO * baselineUs[r.spec.classIndex()]);
     }
 
-    private void probe(Req r, Node n, long now) {
-        r.probes++;
-        r.probe = n;
-        r.probeUntil = now + probePatience(r);
-        nextProbe = Math.min(nextProbe, r.probeUntil);
-        probing.add(r);
-        out.probe(n.id);
+    private void probe(RequestState request, EndpointState endpoint, long now) {
+        request.probeCount++;
+        request.probedEndpoint = endpoint;
+        request.probeUntil = now + probeTimeoutUs(request);
+        nextProbeTimeout = Math.min(nextProbeTimeout, request.probeUntil);
+        probing.add(request);
+        actions.probe(endpoint.id);
     }
 
     @Override
-    public void onProbeEnded(long now, String endpointId, Outcome outcome, long lagUs) {
-        Node n = nodes.get(endpointId);
-        if (n == null) {
+    public void onProbeEnded(long now, String endpointId, Outcome outcome, long latencyUs) {
+        EndpointState endpoint = endpoints.get(endpointId);
+        if (endpoint == null) {
             return;
         }
         if (outcome == Outcome.OK) {
-            n.lastAnswer = now;
-        }
-        endProbes(now, n, outcome == Outcome.OK ? lagUs : Long.MAX_VALUE);
-        retryHeld(now);
-        arm(now);
-    }
-
-    /** Sends on the requests whose probe came back, or took too long: then the endpoint is passed over. */
-    private void endProbes(long now, Node back, long lag) {
-        nextProbe = Long.MAX_VALUE;
-        for (Req r : List.copyOf(probing)) {
-            Node n = r.probe;
-            boolean answered = n == back;
-            if (answered || now >= r.probeUntil) {
-                probing.remove(r);
-                if (answered && lag <= probePatience(r)) {
-                    n.promptAt = now;
+            endpoint.replyAt = now;
+        }
+        finishProbes(now, endpoint, outcome == Outcome.OK ? latencyUs : Long.MAX_VALUE);
+        dispatchQueued(now);
+        scheduleWakeUp(now);
+    }
+
+    /** Places the requests whose probe ended or timed out; a slow endpoint is skipped as busy. */
+    private void finishProbes(long now, EndpointState probed, long latencyUs) {
+        nextProbeTimeout = Long.MAX_VALUE;
+        for (RequestState request : List.copyOf(probing)) {
+            EndpointState endpoint = request.probedEndpoint;
+            boolean answered = endpoint == probed;
+            if (answered || now >= request.probeUntil) {
+                probing.remove(request);
+                if (answered && latencyUs <= probeTimeoutUs(request)) {
+                    endpoint.fastResponseAt = now;
                 } else {
-                    n.busyUntil = Math.max(n.busyUntil, now + probePatience(r));
+                    endpoint.busyUntil = Math.max(endpoint.busyUntil, now + probeTimeoutUs(request));
                 }
-                place(r, now);
+                place(request, now);
             } else {
-                nextProbe = Math.min(nextProbe, r.probeUntil);
+                nextProbeTimeout = Math.min(nextProbeTimeout, request.probeUntil);
             }
         }
     }
 
-    /** Sends, unless the answer would come too late to earn anything. */
-    private void dispatch(Req r, Node n, long now) {
-        if (usualLag[r.in.classIndex()] > r.worthUntil() - now) {
-            finish(r);
+    /** Sends, unless the response would come too late to have any value. */
+    private void dispatch(RequestState request, EndpointState endpoint, long now) {
+        if (baselineUs[request.spec.classIndex()] > request.usefulUntil() - now) {
+            refuseOrFail(request);
         } else {
-            send(r, n, now);
+            send(request, endpoint, now);
         }
     }
 
-    private void hold(Req r, long now) {
-        if (r.holdUntil == 0) {
-            r.holdUntil = now + (long) (HOLD_AIM * (r.aimAt - now) * r.worth / mostWorth);
+    private void enqueue(RequestState request, long now) {
+        if (request.queuedUntil == 0) {
+            request.queuedUntil =
+                    now + (long) (QUEUE_TARGET_PART * (request.targetAt - now) * request.value / maxValue);
         }
-        if (now < r.holdUntil) {
-            held.add(r);
-            nextHold = Math.min(nextHold, r.holdUntil);
+        if (now < request.queuedUntil) {
+            queue.add(request);
+            expiryAt = Math.min(expiryAt, request.queuedUntil);
         } else {
-            finish(r);
+            refuseOrFail(request);
         }
     }
 
-    /** Ends holds that are over; places the rest, worthiest first (between ends only the first few). */
-    private void retryHeld(long now) {
-        if (held.isEmpty() && now < nextHold) {
+    /** Ends expired requests and places the others by value; between expiries only the first few. */
+    private void dispatchQueued(long now) {
+        if (queue.isEmpty() && now < expiryAt) {
             return;
         }
-        List<Req> first =
-                now >= nextHold ? List.copyOf(held) : held.stream().limit(16).toList();
-        nextHold = now >= nextHold ? Long.MAX_VALUE : nextHold;
-        int stuck = 0;
-        for (Req r : first) {
-            boolean over = now >= r.holdUntil;
-            Node n = over || stuck < 2 ? pick(r, now) : null;
-            if (n != null) {
-                held.remove(r);
-                dispatch(r, n, now);
-            } else if (over) {
-                finish(r);
+        List<RequestState> candidates =
+                now >= expiryAt ? List.copyOf(queue) : queue.stream().limit(16).toList();
+        expiryAt = now >= expiryAt ? Long.MAX_VALUE : expiryAt;
+        int unplaced = 0;
+        for (RequestState request : candidates) {
+            boolean expired = now >= request.queuedUntil;
+            EndpointState endpoint = expired || unplaced < 2 ? pick(request, now) : null;
+            if (endpoint != null) {
+                queue.remove(request);
+                dispatch(request, endpoint, now);
+            } else if (expired) {
+                refuseOrFail(request);
             } else {
-                stuck++;
-                nextHold = Math.min(nextHold, r.holdUntil);
+                unplaced++;
+                expiryAt = Math.min(expiryAt, request.queuedUntil);
             }
         }
     }
 
-    private void send(Req r, Node n, long now) {
-        Attempt a = new Attempt(r, n, r.attempts.size(), now);
-        r.attempts.add(a);
-        r.outstanding++;
-        n.outstanding.add(a);
-        n.credit--;
+    private void send(RequestState request, EndpointState endpoint, long now) {
+        Attempt attempt = new Attempt(request, endpoint, request.attempts.size(), now);
+        request.attempts.add(attempt);
+        request.outstanding++;
+        endpoint.outstanding.add(attempt);
+        endpoint.credits--;
         sends++;
-        if (n.ejected && now >= n.ejectedUntil && n.trial == null) {
-            n.trial = a;
+        if (endpoint.ejected && now >= endpoint.ejectedUntil && endpoint.trial == null) {
+            endpoint.trial = attempt;
         }
-        if (now >= n.connectedUntil && opening == null) {
-            opening = n;
+        if (now >= endpoint.connectedUntil && connecting == null) {
+            connecting = endpoint;
         }
-        out.send(r.in.id(), n.id, timeout(r, now));
+        actions.send(request.spec.id(), endpoint.id, attemptTimeoutUs(request, now));
     }
 
-    /** An attempt ends when its answer is worth nothing, or earlier where another attempt could follow. */
-    private long timeout(Req r, long now) {
-        long left = Math.max(1, r.worthUntil() - now);
-        int most = r.type.effect() == Effect.FRAGILE ? 0 : settings.limits().maxAttempts();
-        double least = Math.max(ATTEMPT_PART * left, SILENT_LAGS * usualLag[r.in.classIndex()]);
-        return r.attempts.size() < most ? (long) Math.min((double) left, least) : left;
+    /** Until the response has no value, or a part of that time if another attempt could follow. */
+    private long attemptTimeoutUs(RequestState request, long now) {
+        long leftUs = Math.max(1, request.usefulUntil() - now);
+        int maxAttempts = request.type.effect() == Effect.NON_IDEMPOTENT
+                ? 0
+                : settings.limits().maxAttempts();
+        double minUs = Math.max(ATTEMPT_PART * leftUs, OVERDUE_RATIO * baselineUs[request.spec.classIndex()]);
+        return request.attempts.size() < maxAttempts ? (long) Math.min((double) leftUs, minUs) : leftUs;
     }
 
-    // ---- effects -------------------------------------------------------------------------------------
-
-    /** The earliest attempt that may have run or may yet; it binds what may follow. */
-    private static Attempt earlierAttempt(Req r) {
-        return r.attempts.stream().filter(Attempt::mayHaveRun).findFirst().orElse(null);
+    /** The earliest attempt that ran or may still run; it restricts further attempts. */
+    private static Attempt priorAttempt(RequestState request) {
+        return request.attempts.stream().filter(Attempt::mayHaveRun).findFirst().orElse(null);
     }
 
-    private static boolean inGroup(Req r, Attempt earlier, Node n) {
-        if (earlier == null || r.type.effect() != Effect.DEDUP) {
+    private static boolean inDedupGroup(RequestState request, Attempt prior, EndpointState endpoint) {
+        if (prior == null || request.type.effect() != Effect.DEDUP) {
             return true;
         }
-        return switch (r.type.scope()) {
+        return switch (request.type.scope()) {
             case ALL -> true;
-            case ZONE -> n.zone == earlier.node.zone;
-            default -> n.cell == earlier.node.cell;
+            case ZONE -> endpoint.zone == prior.endpoint.zone;
+            default -> endpoint.cell == prior.endpoint.cell;
         };
     }
 
-    /** Whether a further attempt is harmless, has time, and the retry budget allows it. */
-    private boolean mayResend(Req r, long now) {
-        Attempt earlier = earlierAttempt(r);
-        boolean harmless = earlier == null
-                || r.type.effect() == Effect.RETRYABLE
-                || r.type.effect() == Effect.DEDUP && now < earlier.at + r.type.dedupWindowUs();
+    private boolean mayRetry(RequestState request, long now) {
+        Attempt prior = priorAttempt(request);
+        boolean harmless = prior == null
+                || request.type.effect() == Effect.RETRYABLE
+                || request.type.effect() == Effect.DEDUP && now < prior.sentAt + request.type.dedupWindowUs();
         return harmless
-                && r.attempts.size() < settings.limits().maxAttempts()
+                && request.attempts.size() < settings.limits().maxAttempts()
                 && retryTokens >= 1
-                && r.worthUntil() - now > usualLag[r.in.classIndex()] / 2;
+                && request.usefulUntil() - now > baselineUs[request.spec.classIndex()] / 2;
     }
 
-    private boolean mayRefuse(Req r) {
-        return earlierAttempt(r) == null
-                || r.type.effect() == Effect.RETRYABLE
-                || r.type.effect() == Effect.DEDUP && r.type.scope() == DedupScope.ALL;
+    private boolean mayRefuse(RequestState request) {
+        return priorAttempt(request) == null
+                || request.type.effect() == Effect.RETRYABLE
+                || request.type.effect() == Effect.DEDUP && request.type.scope() == DedupScope.ALL;
     }
 
-    /** The final answer where none was served. */
-    private void finish(Req r) {
-        drop(r);
-        if (mayRefuse(r)) {
-            out.refuse(r.in.id(), Math.min(settings.limits().maxRetryAfterUs(), r.type.aimUs() / 8));
+    private void refuseOrFail(RequestState unanswered) {
+        removeRequest(unanswered);
+        if (mayRefuse(unanswered)) {
+            actions.refuse(
+                    unanswered.spec.id(),
+                    Math.min(settings.limits().maxRetryAfterUs(), unanswered.type.targetUs() / 8));
         } else {
-            out.fail(r.in.id());
+            actions.fail(unanswered.spec.id());
         }
-        r.attempts.forEach(this::cancel);
+        unanswered.attempts.forEach(this::cancel);
     }
 
-    /** Stops waiting for an attempt that is out and may be cancelled. */
-    private void cancel(Attempt a) {
-        if (a.outcome == null
-                && !a.canceled
-                && !a.streaming
+    private void cancel(Attempt attempt) {
+        if (attempt.outcome == null
+                && !attempt.canceled
+                && !attempt.streaming
                 && settings.limits().mayCancel()) {
-            a.canceled = true;
-            out.cancel(a.req.in.id(), a.number);
+            attempt.canceled = true;
+            actions.cancel(attempt.request.spec.id(), attempt.number);
         }
     }
 
-    private void drop(Req r) {
-        open.remove(r.in.id());
-        held.remove(r);
-        probing.remove(r);
-        if (r.outstanding > 0) {
-            ended.put(r.in.id(), r);
+    private void removeRequest(RequestState request) {
+        open.remove(request.spec.id());
+        queue.remove(request);
+        probing.remove(request);
+        if (request.outstanding > 0) {
+            ended.put(request.spec.id(), request);
         }
     }
 
-    // ---- outcomes ------------------------------------------------------------------------------------
-
     @Override
     public void onRequestGone(long now, String id) {
-        Req r = open.get(id);
-        if (r != null) {
-            drop(r);
-            r.attempts.forEach(this::cancel);
+        RequestState request = open.get(id);
+        if (request != null) {
+            removeRequest(request);
+            request.attempts.forEach(this::cancel);
         }
     }
 
     @Override
     public void onStreamStarted(long now, String id, int number) {
-        Req r = open.get(id);
-        if (r != null && number >= 0 && number < r.attempts.size()) {
-            Attempt a = r.attempts.get(number);
-            a.streaming = true;
-            a.node.lastAnswer = now;
+        RequestState request = open.get(id);
+        if (request != null && number >= 0 && number < request.attempts.size()) {
+            Attempt attempt = request.attempts.get(number);
+            attempt.streaming = true;
+            attempt.endpoint.replyAt = now;
         }
     }
 
     @Override
     public void onAttemptEnded(long now, AttemptEnd end) {
-        Req r = open.get(end.requestId());
-        boolean alive = r != null;
-        r = alive ? r : ended.get(end.requestId());
-        if (r == null
+        RequestState request = open.get(end.requestId());
+        boolean isOpen = request != null;
+        request = isOpen ? request : ended.get(end.requestId());
+        if (request == null
                 || end.attempt() < 0
-                || end.attempt() >= r.attempts.size()
-                || r.attempts.get(end.attempt()).outcome != null) {
+                || end.attempt() >= request.attempts.size()
+                || request.attempts.get(end.attempt()).outcome != null) {
             return;
         }
-        Attempt a = r.attempts.get(end.attempt());
-        a.outcome = end.outcome();
-        a.node.outstanding.remove(a);
-        if (!a.node.onRing && a.node.outstanding.isEmpty()) {
-            nodes.remove(a.node.id, a.node);
+        Attempt attempt = request.attempts.get(end.attempt());
+        attempt.outcome = end.outcome();
+        attempt.endpoint.outstanding.remove(attempt);
+        if (!attempt.endpoint.onRing && attempt.endpoint.outstanding.isEmpty()) {
+            endpoints.remove(attempt.endpoint.id, attempt.endpoint);
         }
-        r.outstanding--;
-        if (r.outstanding == 0) {
+        request.outstanding--;
+        if (request.outstanding == 0) {
             ended.remove(end.requestId());
         }
-        look(now);
-        learn(a, end, now);
-        if (alive && end.requestDone()) {
-            drop(r);
-        } else if (alive && r.outstanding == 0) {
-            again(r, now);
-        }
-        retryHeld(now);
-        arm(now);
-    }
-
-    private void learn(Attempt a, AttemptEnd end, long now) {
-        Node n = a.node;
-        Outcome o = end.outcome();
-        opening = opening == n ? null : opening;
-        if (o == Outcome.OK || o == Outcome.FAILED || o == Outcome.QUEUE_FULL) {
-            n.lastAnswer = now;
-            n.answeredAt = Math.max(n.answeredAt, a.at);
-            n.connectedUntil = now + settings.limits().connIdleUs();
-        }
-        if (o == Outcome.OK && !a.streaming) {
-            learnLag(a, end.lagUs(), now, true);
-        } else if ((o == Outcome.TIMED_OUT || o == Outcome.CANCELED && a.canceled)
-                && crowded(a, end.lagUs())
-                && !overtaken(a)) {
-            // Before an ordinary answer's time a loss tells of the client, and overtaken of one answer only.
-            learnLag(a, end.lagUs(), now, false);
-        }
-        if (n.trial == a) {
-            trialEnded(n, o, end.lagUs(), a, now);
-        } else if (o != Outcome.CANCELED && o != Outcome.IGNORED && o != Outcome.TIMED_OUT) {
-            learnFailure(n, o, now);
-        }
-    }
-
-    /** After a failed attempt: the next owner on the ring, or the final answer. */
-    private void again(Req r, long now) {
-        Node n = mayResend(r, now) ? pick(r, now) : null;
-        if (n != null) {
+        detectPause(now);
+        recordOutcome(attempt, end, now);
+        if (isOpen && end.requestDone()) {
+            removeRequest(request);
+        } else if (isOpen && request.outstanding == 0) {
+            retryOrFinish(request, now);
+        }
+        dispatchQueued(now);
+        scheduleWakeUp(now);
+    }
+
+    private void recordOutcome(Attempt attempt, AttemptEnd end, long now) {
+        EndpointState endpoint = attempt.endpoint;
+        Outcome result = end.outcome();
+        connecting = connecting == endpoint ? null : connecting;
+        if (result == Outcome.OK || result == Outcome.FAILED || result == Outcome.QUEUE_FULL) {
+            endpoint.replyAt = now;
+            endpoint.newestAnsweredSentAt = Math.max(endpoint.newestAnsweredSentAt, attempt.sentAt);
+            endpoint.connectedUntil = now + settings.limits().connIdleUs();
+        }
+        if (result == Outcome.OK && !attempt.streaming) {
+            recordLatency(attempt, end.latencyUs(), now, true);
+        } else if ((result == Outcome.TIMED_OUT || result == Outcome.CANCELED && attempt.canceled)
+                && isSlow(attempt, end.latencyUs())
+                && !answeredNewer(attempt)) {
+            // A loss before that is due to the client; if a later request was answered, only this is lost.
+            recordLatency(attempt, end.latencyUs(), now, false);
+        }
+        if (endpoint.trial == attempt) {
+            endTrial(endpoint, result, end.latencyUs(), attempt, now);
+        } else if (result != Outcome.CANCELED && result != Outcome.IGNORED && result != Outcome.TIMED_OUT) {
+            recordResult(endpoint, result, now);
+        }
+    }
+
+    private void retryOrFinish(RequestState request, long now) {
+        EndpointState endpoint = mayRetry(request, now) ? pick(request, now) : null;
+        if (endpoint != null) {
             retryTokens--;
-            send(r, n, now);
+            send(request, endpoint, now);
         } else {
-            finish(r);
+            refuseOrFail(request);
         }
     }
 
-    // ---- time ----------------------------------------------------------------------------------------
-
     @Override
     public void onTimer(long now) {
-        look(now);
-        if (now >= wakeAt) {
-            wakeAt = Long.MAX_VALUE;
+        detectPause(now);
+        if (now >= nextWakeUp) {
+            nextWakeUp = Long.MAX_VALUE;
         }
         if (now >= nextSweep) {
             nextSweep = now + SWEEP_US;
             sweep(now);
         }
-        if (now >= nextProbe && now > wokeAt) {
-            endProbes(now, null, 0);
+        if (now >= nextProbeTimeout && now > resumedAt) {
+            finishProbes(now, null, 0);
         }
-        retryHeld(now);
-        arm(now);
+        dispatchQueued(now);
+        scheduleWakeUp(now);
     }
 
-    /** A wake-up long overdue tells that this process stood still: nothing is judged by what it missed. */
-    private void look(long now) {
-        if (now - 2 * SWEEP_US > wakeAt) {
-            wokeAt = now;
+    /** An overdue wake-up shows that this process was paused: endpoints are not judged by that time. */
+    private void detectPause(long now) {
+        if (now - 2 * SWEEP_US > nextWakeUp) {
+            resumedAt = now;
         }
     }
 
-    /** Asks discovery if that is due, and sets the next wake-up while there is anything to wait for. */
-    private void arm(long now) {
-        boolean mustAsk = settings.subscribe() && !asking && !subscribed;
-        if (mustAsk && now >= askAt) {
-            ask();
-            mustAsk = false;
+    /** Resubscribes if due, and requests the next wake-up while anything is pending. */
+    private void scheduleWakeUp(long now) {
+        boolean mustResubscribe = settings.subscribe() && !subscribing && !subscribed;
+        if (mustResubscribe && now >= resubscribeAt) {
+            subscribe();
+            mustResubscribe = false;
         }
         long next = !open.isEmpty() ? Math.max(nextSweep, now + 1) : Long.MAX_VALUE;
-        // A hold may be shorter than a sweep: a try with little time left must still be answered in it.
-        next = Math.min(next, Math.max(Math.min(nextHold, nextProbe), now + 1));
-        if (mustAsk) {
-            next = Math.min(next, Math.max(askAt, now + 1));
-        }
-        if (next < wakeAt) {
-            wakeAt = next;
-            out.wakeAt(next);
+        // Queue time may be shorter than a sweep: a request with little time left is still answered in time.
+        next = Math.min(next, Math.max(Math.min(expiryAt, nextProbeTimeout), now + 1));
+        if (mustResubscribe) {
+            next = Math.min(next, Math.max(resubscribeAt, now + 1));
+        }
+        if (next < nextWakeUp) {
+            nextWakeUp = next;
+            actions.wakeAt(next);
         }
     }
 }
--- a/src/main/java/quartzspan/simulator/SettingsReader.java
+++ b/src/main/java/quartzspan/simulator/SettingsReader.java
@@ -119,7 +119,7 @@
                 switch (text(c, "effect", "fragile")) {
                     case "retryable" -> Effect.RETRYABLE;
                     case "dedup" -> Effect.DEDUP;
-                    case "fragile" -> Effect.FRAGILE;
+                    case "fragile" -> Effect.NON_IDEMPOTENT;
                     default -> throw new IllegalArgumentException(
                             "settings: " + name + ": unknown effect " + c.get("effect"));
                 };
--- a/src/test/java/quartzspan/loadbalancing/BalancerFixture.java
+++ b/src/test/java/quartzspan/loadbalancing/BalancerFixture.java
@@ -23,7 +23,8 @@
     static final RequestClass SAFE = new RequestClass("safe", Effect.RETRYABLE, null, 0, 1, 0, 500_000, 0, 2_000_000);
     static final RequestClass KEYED =
             new RequestClass("keyed", Effect.DEDUP, DedupScope.ZONE, 1_000_000, 2, 0, 500_000, 0, 2_000_000);
-    static final RequestClass UNSAFE = new RequestClass("unsafe", Effect.FRAGILE, null, 0, 4, 0, 500_000, 0, 2_000_000);
+    static final RequestClass UNSAFE =
+            new RequestClass("unsafe", Effect.NON_IDEMPOTENT, null, 0, 4, 0, 500_000, 0, 2_000_000);
     static final Contract CONTRACT = new Contract(10_000_000, 0.2, 20_000_000);
 
     final List<String> log = new ArrayList<>();
--- a/src/test/java/quartzspan/loadbalancing/BalancerInvariantsTest.java
+++ b/src/test/java/quartzspan/loadbalancing/BalancerInvariantsTest.java
@@ -71,7 +71,7 @@
             for (Try t : s.tries) {
                 assertTrue(t.outcome != null, "two attempts out at once");
                 boolean maybe = t.outcome == null || !t.outcome.neverRan();
-                if (maybe && s.type.effect() == Effect.FRAGILE) {
+                if (maybe && s.type.effect() == Effect.NON_IDEMPOTENT) {
                     throw new AssertionError("fragile request sent twice");
                 }
                 if (maybe && s.type.effect() == Effect.DEDUP) {
--- a/src/test/java/quartzspan/loadbalancing/LargeFleetBalancingTest.java
+++ b/src/test/java/quartzspan/loadbalancing/LargeFleetBalancingTest.java
@@ -66,7 +66,7 @@
             }
             long from = rig.now;
             for (int k = 0; k < 100; k++) {
-                double least = 36 * (0.2 + 0.8 * (rig.now - from) / BalancerFixture.CONTRACT.coldUs());
+                double least = 36 * (0.2 + 0.8 * (rig.now - from) / BalancerFixture.CONTRACT.slowStartUs());
                 part += least / (24 + least);
                 toCold += rig.serve(0, "key" + (100 * i + k)).startsWith("cold") ? 1 : 0;
             }
@@ -304,7 +304,7 @@
                     rig.now, Source.FULL, List.of(BalancerFixture.ready(i), BalancerFixture.ready(i + 1)));
             rig.serve(0, "k" + i);
         }
-        for (String field : List.of("nodes", "open", "ended", "held", "probing", "listed")) {
+        for (String field : List.of("endpoints", "open", "ended", "queue", "probing", "listed")) {
             java.lang.reflect.Field f = RingHashLoadBalancer.class.getDeclaredField(field);
             f.setAccessible(true);
             Object kept = f.get(rig.balancer);
@@ -340,7 +340,7 @@
         }
         assertTrue(times.size() > 9 && last - first > 1_000_000, "in step: " + times);
         // Backoff ends below what counts as told: the next call still comes in time to be answered.
-        assertTrue(last <= BalancerFixture.CONTRACT.askWithinUs() / 2, "asked again after " + last);
+        assertTrue(last <= BalancerFixture.CONTRACT.subscribeWithinUs() / 2, "asked again after " + last);
     }
 
     @Test
