--- a/src/main/java/quartzspan/loadbalancing/CachedTokens.java
+++ b/src/main/java/quartzspan/loadbalancing/CachedTokens.java
@@ -3,5 +3,5 @@
 /** What the index of cached prompts says of one request. */
 public interface CachedTokens {
     /** Number of tokens of its prompt that a server has cached and that it may use. */
-    long at(String server);
+    long onServer(String server);
 }
--- a/src/main/java/quartzspan/loadbalancing/PlacementServer.java
+++ b/src/main/java/quartzspan/loadbalancing/PlacementServer.java
@@ -10,9 +10,9 @@
     private static final long MIN_EJECTION_US = 700_000;
     private static final long MAX_EJECTION_US = 6_000_000;
     /** How long a server that was full is passed over. */
-    private static final long FULL_US = 150_000;
+    private static final long FULL_SKIP_US = 150_000;
     /** A server younger than this may lack what the next owner of its keys has cached. */
-    private static final long YOUNG_US = 12_000_000;
+    private static final long RECENTLY_LISTED_US = 12_000_000;
 
     private final String id;
     private final String service;
@@ -68,8 +68,8 @@
         return now < fullUntilUs;
     }
 
-    boolean isYoung(long now) {
-        return now - listedSinceUs <= YOUNG_US;
+    boolean isRecentlyListed(long now) {
+        return now - listedSinceUs <= RECENTLY_LISTED_US;
     }
 
     double outstandingWork() {
@@ -93,7 +93,7 @@
     }
 
     void onFull(long now) {
-        fullUntilUs = now + FULL_US;
+        fullUntilUs = now + FULL_SKIP_US;
     }
 
     void onFailure(long now, Outcome outcome) {
--- a/src/main/java/quartzspan/loadbalancing/PrefixAwarePlacement.java
+++ b/src/main/java/quartzspan/loadbalancing/PrefixAwarePlacement.java
@@ -24,7 +24,7 @@
     /** Cached tokens that are worth a transfer: fewer are computed as fast. */
     private static final long MIN_TRANSFER_TOKENS = 100;
     /** Keys of which is remembered which server ran them last. */
-    private static final int MAX_REMEMBERED_KEYS = 8_192;
+    private static final int MAX_TRACKED_KEYS = 8_192;
 
     private final SplittableRandom random;
     private final ServerConnections connections;
@@ -35,7 +35,7 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, String> eldest) {
-            return size() > MAX_REMEMBERED_KEYS;
+            return size() > MAX_TRACKED_KEYS;
         }
     };
     private int walks;
@@ -99,7 +99,7 @@
             }
         }
         PlacementServer picked = usable.isEmpty() ? lastResort : pickUsable(now, request, ring, usable);
-        return picked == null ? null : picked(picked);
+        return picked == null ? null : reserveConnection(picked);
     }
 
     /** The first on the walk that has room and fits the connection rule, else the one with the least work. */
@@ -130,7 +130,7 @@
         return least;
     }
 
-    private String picked(PlacementServer server) {
+    private String reserveConnection(PlacementServer server) {
         if (connecting == null && !connections.isConnected(server.id())) {
             connecting = server;
         }
@@ -198,7 +198,7 @@
         if (request.key() == null || ring == null) {
             return null;
         }
-        long cachedHere = cached.at(server);
+        long cachedHere = cached.onServer(server);
         PlacementServer indexed = indexedSource(now, request, server, cached, cachedHere);
         if (indexed != null) {
             return indexed.id();
@@ -209,16 +209,17 @@
 
     private PlacementServer indexedSource(
             long now, PlacementRequest request, String server, CachedTokens cached, long cachedHere) {
-        long most = cachedHere + MIN_TRANSFER_TOKENS;
+        long mostTokens = cachedHere + MIN_TRANSFER_TOKENS;
         PlacementServer best = null;
         for (PlacementServer other : servers.values()) {
             if (!other.service().equals(request.service()) || other.id().equals(server) || other.isEjected(now)) {
                 continue;
             }
-            long tokens = cached.at(other.id());
-            boolean lessLoaded = tokens == most && best != null && other.outstandingWork() < best.outstandingWork();
-            if (tokens > most || lessLoaded) {
-                most = tokens;
+            long tokens = cached.onServer(other.id());
+            boolean lessLoaded =
+                    tokens == mostTokens && best != null && other.outstandingWork() < best.outstandingWork();
+            if (tokens > mostTokens || lessLoaded) {
+                mostTokens = tokens;
                 best = other;
             }
         }
@@ -235,17 +236,17 @@
             return null;
         }
         PlacementServer owner = owners.get(0);
-        boolean ownsItself = owner.id().equals(server);
-        if (!ownsItself && !owner.isYoung(now)) {
+        boolean isOwner = owner.id().equals(server);
+        if (!isOwner && !owner.isRecentlyListed(now)) {
             return owner;
         }
         PlacementServer last = servers.get(lastServerOfKey.getOrDefault(request.key(), server));
         if (last != null && !last.id().equals(server) && !last.isEjected(now)) {
             return last;
         }
-        if (!ownsItself) {
+        if (!isOwner) {
             return owner;
         }
-        return owners.size() > 1 && owner.isYoung(now) ? owners.get(1) : null;
+        return owners.size() > 1 && owner.isRecentlyListed(now) ? owners.get(1) : null;
     }
 }
--- a/src/main/java/quartzspan/loadbalancing/Ring.java
+++ b/src/main/java/quartzspan/loadbalancing/Ring.java
@@ -13,7 +13,7 @@
  * @param <T> the owners, told apart by identity
  */
 final class Ring<T> {
-    private static final int SLOT_BITS = 0xffff;
+    private static final int SLOT_MASK = 0xffff;
     /** What ids and keys are hashed by, everywhere. */
     static final Hasher64 HASH = Hashing.xxh3_64();
 
@@ -46,10 +46,10 @@
     /** Removes an owner; until the next {@link #merge} the ring must not be walked. */
     void remove(T owner) {
         changed = true;
-        int at = joining.indexOf(owner);
-        if (at >= 0) {
-            joining.remove(at);
-            joiningPoints.remove(at);
+        int index = joining.indexOf(owner);
+        if (index >= 0) {
+            joining.remove(index);
+            joiningPoints.remove(index);
         } else {
             slots.set(slots.indexOf(owner), null);
         }
@@ -62,9 +62,9 @@
         }
         changed = false;
         long[] kept = Arrays.stream(points)
-                .filter(p -> slots.get((int) p & SLOT_BITS) != null)
+                .filter(p -> slots.get((int) p & SLOT_MASK) != null)
                 .toArray();
-        long[] fresh = new long[joiningPoints.stream().mapToInt(h -> h.length).sum()];
+        long[] added = new long[joiningPoints.stream().mapToInt(h -> h.length).sum()];
         int filled = 0;
         for (int i = 0; i < joining.size(); i++) {
             int slot = slots.indexOf(null);
@@ -74,16 +74,16 @@
             }
             slots.set(slot, joining.get(i));
             for (long hash : joiningPoints.get(i)) {
-                fresh[filled++] = hash & ~SLOT_BITS | slot;
+                added[filled++] = hash & ~SLOT_MASK | slot;
             }
         }
         joining.clear();
         joiningPoints.clear();
-        Arrays.sort(fresh);
-        points = new long[kept.length + fresh.length];
+        Arrays.sort(added);
+        points = new long[kept.length + added.length];
         for (int i = 0, j = 0; i + j < points.length; ) {
-            boolean old = j == fresh.length || i < kept.length && kept[i] < fresh[j];
-            points[i + j] = old ? kept[i++] : fresh[j++];
+            boolean takeKept = j == added.length || i < kept.length && kept[i] < added[j];
+            points[i + j] = takeKept ? kept[i++] : added[j++];
         }
     }
 
@@ -93,13 +93,13 @@
     }
 
     /** Place of the first point at or after a hash; may be {@link #size}, which {@link #owner} takes as 0. */
-    int first(long hash) {
-        int at = Arrays.binarySearch(points, hash & ~SLOT_BITS);
-        return at < 0 ? ~at : at;
+    int firstIndex(long hash) {
+        int index = Arrays.binarySearch(points, hash & ~SLOT_MASK);
+        return index < 0 ? ~index : index;
     }
 
     /** Owner of the point at a place; places go round. */
-    T owner(int place) {
-        return slots.get((int) points[place % points.length] & SLOT_BITS);
+    T owner(int index) {
+        return slots.get((int) points[index % points.length] & SLOT_MASK);
     }
 }
--- a/src/main/java/quartzspan/loadbalancing/RingHashLoadBalancer.java
+++ b/src/main/java/quartzspan/loadbalancing/RingHashLoadBalancer.java
@@ -131,7 +131,7 @@
 
     private static final int MAX_PROBES = 3; // for one request
     /** Part of the full budget of a first try below which a request is a repeat; decay per request. */
-    private static final double FULL_BUDGET = 0.95;
+    private static final double FIRST_TRY_PART = 0.95;
 
     private static final double BUDGET_DECAY = 0.999;
     /** Part of the remaining time that one attempt may use while another could follow. */
@@ -244,9 +244,9 @@
             }
         }
         if (source != Source.DELTA) {
-            List.copyOf(listed).stream().filter(n -> n.lastWalk != currentWalk).forEach(this::removeFromRing);
+            List.copyOf(listed).stream().filter(e -> e.lastWalk != currentWalk).forEach(this::removeFromRing);
         }
-        endpoints.values().removeIf(n -> !n.onRing && n.outstanding.isEmpty());
+        endpoints.values().removeIf(e -> !e.onRing && e.outstanding.isEmpty());
         ring.merge();
         updateCapacity(now);
         dispatchQueued(now);
@@ -264,7 +264,7 @@
             // A new process: the state of the old one is obsolete, and the new one is cold.
             readmit(endpoint);
             if (entry.startedAtUs() != 0) {
-                startSlowStart(endpoint, entry.startedAtUs());
+                beginSlowStart(endpoint, entry.startedAtUs());
             }
         }
         if (!endpoint.onRing) {
@@ -323,7 +323,7 @@
         boolean fallbackFlawed = false;
         EndpointState ejected = null;
         int usable = 0;
-        int start = ring.first(request.hash);
+        int start = ring.firstIndex(request.hash);
         for (int step = 0; step < ring.size() && remaining > 0 && (usable < MAX_OWNERS || keyless); step++) {
             EndpointState endpoint = ring.owner(start + step);
             if (endpoint.lastWalk == currentWalk) {
@@ -386,7 +386,7 @@
         capacityUpdatedAt = now;
         allLoad *= decay;
         allCapacity = 0;
-        double best = listed.stream().mapToDouble(n -> kindRatio[n.kind]).min().orElse(1);
+        double best = listed.stream().mapToDouble(e -> kindRatio[e.kind]).min().orElse(1);
         double reporting = 1;
         double overloaded = 0;
         for (EndpointState endpoint : listed) {
@@ -506,10 +506,10 @@
         if (!endpoint.onRing || endpoint.ejected && now < endpoint.ejectedUntil) {
             return;
         }
-        double totalWeight = listed.stream().mapToDouble(o -> o.weight).sum();
+        double totalWeight = listed.stream().mapToDouble(e -> e.weight).sum();
         double ejectedWeight = listed.stream()
-                .filter(o -> o.ejected || o == endpoint)
-                .mapToDouble(o -> o.weight)
+                .filter(e -> e.ejected || e == endpoint)
+                .mapToDouble(e -> e.weight)
                 .sum();
         if (!down && !endpoint.ejected && ejectedWeight > MAX_EJECTED_SHARE * totalWeight) {
             return;
@@ -537,11 +537,11 @@
         readmit(endpoint);
         if (wasDown) {
             // The process may have restarted, whether or not discovery reports it.
-            startSlowStart(endpoint, now);
+            beginSlowStart(endpoint, now);
         }
     }
 
-    private void startSlowStart(EndpointState endpoint, long startedAt) {
+    private void beginSlowStart(EndpointState endpoint, long startedAt) {
         endpoint.cold = true;
         endpoint.startedAt = startedAt;
         endpoint.credits = random.nextDouble();
@@ -608,7 +608,7 @@
         // An unmarked repeat has a smaller budget than recent first tries: the client's remaining time.
         fullBudget[spec.classIndex()] =
                 Math.max((double) spec.budgetUs(), fullBudget[spec.classIndex()] * BUDGET_DECAY);
-        boolean repeat = spec.repeat() || spec.budgetUs() < FULL_BUDGET * fullBudget[spec.classIndex()];
+        boolean repeat = spec.repeat() || spec.budgetUs() < FIRST_TRY_PART * fullBudget[spec.classIndex()];
         double value = type.value() * tenantValueFactor(spec, now) * (repeat ? REPEAT_VALUE_FACTOR : 1);
         RequestState request = new RequestState(spec, type, hash, now, value, ++requestCount);
         open.put(spec.id(), request);
--- a/src/main/java/quartzspan/loadbalancing/ServiceRing.java
+++ b/src/main/java/quartzspan/loadbalancing/ServiceRing.java
@@ -37,15 +37,15 @@
     }
 
     /** All servers in the order of their first points from a hash on. */
-    List<PlacementServer> walk(long hash, int walk) {
-        List<PlacementServer> met = new ArrayList<>(servers);
-        int first = ring.first(hash);
-        for (int step = 0; step < ring.size() && met.size() < servers; step++) {
-            PlacementServer server = ring.owner(first + step);
-            if (server.visit(walk)) {
-                met.add(server);
+    List<PlacementServer> walk(long hash, int walkNumber) {
+        List<PlacementServer> visited = new ArrayList<>(servers);
+        int start = ring.firstIndex(hash);
+        for (int step = 0; step < ring.size() && visited.size() < servers; step++) {
+            PlacementServer server = ring.owner(start + step);
+            if (server.visit(walkNumber)) {
+                visited.add(server);
             }
         }
-        return met;
+        return visited;
     }
 }
--- a/src/test/java/quartzspan/loadbalancing/RingTest.java
+++ b/src/test/java/quartzspan/loadbalancing/RingTest.java
@@ -35,7 +35,8 @@
                 long hash = random.nextLong();
                 var entry = map.ceilingEntry(hash & ~0xffffL);
                 assertSame(
-                        entry == null ? map.firstEntry().getValue() : entry.getValue(), ring.owner(ring.first(hash)));
+                        entry == null ? map.firstEntry().getValue() : entry.getValue(),
+                        ring.owner(ring.firstIndex(hash)));
             }
         }
     }
