--- a/src/main/java/quartzspan/loadbalancing/CachedTokens.java
+++ b/src/main/java/quartzspan/loadbalancing/CachedTokens.java
@@ -1,7 +1,7 @@
 package quartzspan.loadbalancing;
 
-/** What the index of cached prompts says of one request. */
+/** Cached tokens of one request by server, from the prefix cache index. */
 public interface CachedTokens {
-    /** Number of tokens of its prompt that a server has cached and that it may use. */
+    /** Number of tokens of the prompt that a server has cached and that the request may use. */
     long onServer(String server);
 }
--- a/src/main/java/quartzspan/loadbalancing/PlacementServer.java
+++ b/src/main/java/quartzspan/loadbalancing/PlacementServer.java
@@ -2,16 +2,16 @@
 
 import quartzspan.loadbalancing.LoadBalancer.Outcome;
 
-/** A server as the placement sees it: listed as ready or not, failing or not, and how much work it has. */
+/** State of a server for the placement: its readiness, its failures and ejection, and its outstanding work. */
 final class PlacementServer {
-    /** Failures in a row that eject a server; one failure to connect does. */
+    /** Consecutive failures that eject a server; a single connect error ejects it too. */
     private static final int MAX_FAILURES = 2;
 
     private static final long MIN_EJECTION_US = 700_000;
     private static final long MAX_EJECTION_US = 6_000_000;
-    /** How long a server that was full is passed over. */
+    /** How long a server is skipped after its queue was full. */
     private static final long FULL_SKIP_US = 150_000;
-    /** A server younger than this may lack what the next owner of its keys has cached. */
+    /** A server listed for less than this may not have cached what the next owner of its keys has. */
     private static final long RECENTLY_LISTED_US = 12_000_000;
 
     private final String id;
@@ -24,7 +24,7 @@
     private long nextEjectionUs = MIN_EJECTION_US;
     private long fullUntilUs;
     private double outstandingWork;
-    /** The last walk that has met it. */
+    /** Number of the last ring walk that visited it. */
     private int lastWalk;
 
     PlacementServer(String id, String service, long listedSinceUs) {
@@ -41,7 +41,7 @@
         return service;
     }
 
-    /** A listing; one that becomes ready starts without failures. */
+    /** Updates the listed state; a server that becomes ready starts without failures. */
     void onListed(boolean isReady, boolean isLoading) {
         if (isReady && !ready) {
             failures = 0;
@@ -55,7 +55,7 @@
         return ready;
     }
 
-    /** Whether it gets requests only where no other server can take them. */
+    /** Whether it gets requests only if no other server can take them. */
     boolean isLastResort(long now) {
         return loading || isEjected(now);
     }
@@ -80,7 +80,7 @@
         outstandingWork = Math.max(0, outstandingWork + work);
     }
 
-    /** Whether a walk meets it for the first time. */
+    /** Marks it as visited by a walk; returns whether this is the first visit. */
     boolean visit(int walk) {
         boolean first = lastWalk != walk;
         lastWalk = walk;
@@ -104,7 +104,7 @@
         }
     }
 
-    /** Another server answers at its address. */
+    /** Another server responded at its address. */
     void onMisdirected(long now) {
         ejectedUntilUs = now + MAX_EJECTION_US;
     }
--- a/src/main/java/quartzspan/loadbalancing/PrefixAwarePlacement.java
+++ b/src/main/java/quartzspan/loadbalancing/PrefixAwarePlacement.java
@@ -10,20 +10,20 @@
 import quartzspan.loadbalancing.LoadBalancer.Outcome;
 
 /**
- * Where a proxy of the fleet sends each request: ring hash as in gRPC A76, one ring for each service, for servers that run
- * batches and cache prompts. Like all of the module it has no clock, thread or I/O; times are microseconds.
+ * Placement of requests on servers that run batches and cache prompts: ring hash as in gRPC A76, one ring for each service.
+ * It has no clock, thread or I/O; times are microseconds.
  *
- * <p>A server's ring points come from its instance id. A keyed request goes to the next usable owner from its key's hash on:
- * listed as ready, not failing, not full of late, and not beyond its bounded part of the outstanding work. A keyless request
- * walks from a random hash: a usable server without a connection takes it if it comes before any connected one and no
- * connection is being opened, else the first usable connected one does.
+ * <p>A server's ring points come from its instance id. A request with a key goes to the first usable owner from the hash of
+ * its key on: listed as ready, not ejected, not recently full, and within its load bound. A request without a key starts at a
+ * random hash: the first usable server takes it if it is connected or no other connection is being opened, else the first
+ * usable server that is connected.
  */
 public final class PrefixAwarePlacement {
-    /** Bounded load: a server may have this multiple of its fair part of the outstanding work. */
+    /** Bounded load: multiple of its fair share of the outstanding work that a server may have. */
     private static final double LOAD_BOUND = 1.35;
-    /** Cached tokens that are worth a transfer: fewer are computed as fast. */
+    /** Least number of cached tokens to transfer: fewer are computed as fast. */
     private static final long MIN_TRANSFER_TOKENS = 100;
-    /** Keys of which is remembered which server ran them last. */
+    /** Number of keys for which the server that ran them last is kept. */
     private static final int MAX_TRACKED_KEYS = 8_192;
 
     private final SplittableRandom random;
@@ -39,7 +39,7 @@
         }
     };
     private int walks;
-    /** The server to which a connection is being opened; null if there is none. */
+    /** The server to which a connection is being opened, or null. */
     private PlacementServer connecting;
 
     public PrefixAwarePlacement(long seed, ServerConnections connections) {
@@ -47,12 +47,10 @@
         this.connections = connections;
     }
 
-    // ---- servers -------------------------------------------------------------------------------------
-
     /**
-     * A server as it is listed now. A new incarnation of a server has a new id.
+     * Adds a server or updates its listed state. A new incarnation of a server has a new id.
      *
-     * @param loading whether it is loading weights, and runs no requests meanwhile
+     * @param loading whether it is loading weights and runs no requests meanwhile
      */
     public void onListed(long now, String id, String service, boolean ready, boolean loading) {
         PlacementServer server = servers.get(id);
@@ -64,7 +62,7 @@
         server.onListed(ready, loading);
     }
 
-    /** A server that is no more. */
+    /** Removes a server. */
     public void onGone(String id) {
         PlacementServer server = servers.remove(id);
         if (server != null) {
@@ -77,9 +75,7 @@
         connecting = connecting == server ? null : connecting;
     }
 
-    // ---- requests ------------------------------------------------------------------------------------
-
-    /** The server that is to run a request; null if none can. Not one of those tried. */
+    /** Selects the server for a request, none of those already tried; null if there is none. */
     public String pick(long now, PlacementRequest request, Set<String> tried) {
         ServiceRing ring = rings.get(request.service());
         if (ring == null || ring.isEmpty()) {
@@ -102,7 +98,10 @@
         return picked == null ? null : reserveConnection(picked);
     }
 
-    /** The first on the walk that has room and fits the connection rule, else the one with the least work. */
+    /**
+     * The first server within the load bound for which no second connection is opened at the same time; else the first within
+     * the bound; else the one with the least work.
+     */
     private PlacementServer pickUsable(
             long now, PlacementRequest request, ServiceRing ring, List<PlacementServer> usable) {
         double bound = LOAD_BOUND * (ring.outstandingWork() + request.work()) / usable.size();
@@ -137,7 +136,7 @@
         return server.id();
     }
 
-    /** A request is sent to a server. */
+    /** A request was sent to a server. */
     public void onSent(String server, PlacementRequest request) {
         addWork(server, request.work());
         if (request.key() != null) {
@@ -153,7 +152,7 @@
         }
     }
 
-    /** A response has begun, so a connection is established. */
+    /** A response has begun: the connection is established. */
     public void onResponseStarted(String id) {
         PlacementServer server = servers.get(id);
         if (server != null) {
@@ -178,7 +177,7 @@
         }
     }
 
-    /** Another server answers at a server's address: it is gone, whatever the list says. */
+    /** Another server responded at a server's address: it is gone, even if it is still listed. */
     public void onMisdirected(long now, String id) {
         PlacementServer server = servers.get(id);
         if (server != null) {
@@ -186,12 +185,10 @@
         }
     }
 
-    // ---- cached prompts ------------------------------------------------------------------------------
-
     /**
-     * The server from which another is to fetch what it lacks of a prompt: the one that has cached the most by the index;
-     * where the index knows of none, the one that most likely has. To be asked before {@link #onSent}. Null if there is none,
-     * or computing is as fast.
+     * The server from which another fetches the cached part of a prompt that it lacks: by the index the one with the most cached
+     * tokens; if the index has none, the one most likely to have cached it. Call before {@link #onSent}. Null if there is none
+     * or if computing is as fast.
      */
     public String prefixSource(long now, PlacementRequest request, String server, CachedTokens cached) {
         ServiceRing ring = rings.get(request.service());
@@ -226,7 +223,7 @@
         return best;
     }
 
-    /** The key's owner, or the server that ran the key last, or the next owner as long as the owner is new. */
+    /** The key's owner, the server that ran the key last, or the next owner if the owner was listed recently. */
     private PlacementServer likelySource(long now, PlacementRequest request, String server, ServiceRing ring) {
         List<PlacementServer> owners = ring.walk(Ring.HASH.hashCharsToLong(request.key()), ++walks).stream()
                 .filter(owner -> !owner.isEjected(now))
--- a/src/main/java/quartzspan/loadbalancing/RetryBudget.java
+++ b/src/main/java/quartzspan/loadbalancing/RetryBudget.java
@@ -1,17 +1,17 @@
 package quartzspan.loadbalancing;
 
-/** This proxy's part of the retries that all proxies together may send: each request earns a fraction of one. */
+/** Retry budget of one proxy: its part of a budget shared by all proxies. Each request adds a fraction of a retry. */
 public final class RetryBudget {
-    /** Part of the budget that is used: others count requests at slightly other times. */
+    /** Part of the budget that is used, since the proxies count requests at slightly different times. */
     private static final double USED_PART = 0.7;
 
     private double tokens;
 
     /**
-     * A request came.
+     * Adds the retries that a request earns.
      *
      * @param ratio retries per request that are permitted
-     * @param allowance retries that are permitted beyond the ratio, all proxies together
+     * @param allowance retries that all proxies together may send beyond the ratio
      * @param proxies number of proxies that share the allowance
      */
     public void onRequest(double ratio, double allowance, int proxies) {
@@ -19,7 +19,7 @@
         tokens = Math.min(maximum, tokens + USED_PART * ratio);
     }
 
-    /** Takes one retry from the budget; whether there was one. */
+    /** Takes one retry from the budget; returns whether there was one. */
     public boolean tryAcquire() {
         if (tokens < 1) {
             return false;
--- a/src/main/java/quartzspan/loadbalancing/Ring.java
+++ b/src/main/java/quartzspan/loadbalancing/Ring.java
@@ -7,14 +7,14 @@
 import java.util.List;
 
 /**
- * A hash ring as in gRFC A42: one sorted array of points, searched by bisection. A point's low 16 bits name
- * the slot of its owner, so nothing is boxed. {@link #merge} moves only the points of owners that come or go.
+ * A hash ring as in gRFC A42: a sorted array of points with binary search. The low 16 bits of a point are the
+ * slot of its owner, so nothing is boxed. {@link #merge} moves only the points of owners that join or leave.
  *
- * @param <T> the owners, told apart by identity
+ * @param <T> type of the owners, compared by identity
  */
 final class Ring<T> {
     private static final int SLOT_MASK = 0xffff;
-    /** What ids and keys are hashed by, everywhere. */
+    /** Hash function of ids and keys. */
     static final Hasher64 HASH = Hashing.xxh3_64();
 
     private long[] points = {};
@@ -26,9 +26,9 @@
     private boolean changed;
 
     /**
-     * The points of an owner: hashes of its own hash and a running number.
+     * The points of an owner: hashes of its hash and a sequence number.
      *
-     * @param hash of the owner's id
+     * @param hash hash of the owner's id
      */
     static long[] points(long hash, int count) {
         long[] points = new long[count];
@@ -36,7 +36,7 @@
         return points;
     }
 
-    /** Adds an owner; its points count after the next {@link #merge}. */
+    /** Adds an owner; its points take effect with the next {@link #merge}. */
     void add(T owner, long[] hashes) {
         changed = true;
         joining.add(owner);
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Takes off the points of owners that left and merges in those that joined; nothing, if none did. */
+    /** Removes the points of owners that left and merges in those of owners that joined. */
     void merge() {
         if (!changed) {
             return;
@@ -92,13 +92,13 @@
         return points.length;
     }
 
-    /** Place of the first point at or after a hash; may be {@link #size}, which {@link #owner} takes as 0. */
+    /** Index of the first point at or after a hash; may be {@link #size}, which {@link #owner} treats as 0. */
     int firstIndex(long hash) {
         int index = Arrays.binarySearch(points, hash & ~SLOT_MASK);
         return index < 0 ? ~index : index;
     }
 
-    /** Owner of the point at a place; places go round. */
+    /** Owner of the point at an index; indexes wrap around. */
     T owner(int index) {
         return slots.get((int) points[index % points.length] & SLOT_MASK);
     }
--- a/src/main/java/quartzspan/loadbalancing/ServiceRing.java
+++ b/src/main/java/quartzspan/loadbalancing/ServiceRing.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The servers of one service on their ring, and the work that they have together. */
+/** The hash ring of a service and the total outstanding work of its servers. */
 final class ServiceRing {
     private static final int POINTS_PER_SERVER = 120;
 
@@ -36,7 +36,7 @@
         outstandingWork = Math.max(0, outstandingWork + work);
     }
 
-    /** All servers in the order of their first points from a hash on. */
+    /** All servers in ring order from a hash on, each at its first point. */
     List<PlacementServer> walk(long hash, int walkNumber) {
         List<PlacementServer> visited = new ArrayList<>(servers);
         int start = ring.firstIndex(hash);
--- a/src/main/java/quartzspan/loadbalancing/package-info.java
+++ b/src/main/java/quartzspan/loadbalancing/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Decisions where requests go: ring hash (gRPC A76), limits, outlier detection, retries. No clock, no I/O.
+ * Load balancing: ring hash (gRPC A76), concurrency limits, outlier detection, retries. No clock, no I/O.
  *
- * <p>Owns what is known of endpoints and requests. May import none of the other packages.
+ * <p>Owns the state of endpoints and requests. Imports no other package of this project.
  */
 package quartzspan.loadbalancing;
