--- a/src/test/java/example/EmbeddingTest.java
+++ b/src/test/java/example/EmbeddingTest.java
@@ -25,7 +25,7 @@
 /** The README's example, from another package, with actions that write down what they are told. */
 class EmbeddingTest {
     @Test
-    void exampleOfTheReadmeWorks() {
+    void readmeExampleWorks() {
         List<String> log = new ArrayList<>();
         Actions actions = new Actions() {
             @Override
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void readmeShowsTheSameLines() throws Exception {
+    void readmeContainsTheExampleLines() throws Exception {
         String source = Files.readString(Path.of("src/test/java/example/EmbeddingTest.java"));
         String readme = Files.readString(Path.of("README.md"));
         String body = source.substring(source.indexOf("// <example>") + 12, source.indexOf("// </example>"));
--- a/src/test/java/quartzspan/loadbalancing/BalancerFixture.java
+++ b/src/test/java/quartzspan/loadbalancing/BalancerFixture.java
@@ -20,34 +20,35 @@
 
 /** Drives one balancer by hand and writes down what it does. */
 final class BalancerFixture implements Actions {
-    static final RequestClass SAFE = new RequestClass("safe", Effect.RETRYABLE, null, 0, 1, 0, 500_000, 0, 2_000_000);
-    static final RequestClass KEYED =
+    static final RequestClass RETRYABLE =
+            new RequestClass("safe", Effect.RETRYABLE, null, 0, 1, 0, 500_000, 0, 2_000_000);
+    static final RequestClass DEDUP =
             new RequestClass("keyed", Effect.DEDUP, DedupScope.ZONE, 1_000_000, 2, 0, 500_000, 0, 2_000_000);
-    static final RequestClass UNSAFE =
+    static final RequestClass NON_IDEMPOTENT =
             new RequestClass("unsafe", Effect.NON_IDEMPOTENT, null, 0, 4, 0, 500_000, 0, 2_000_000);
     static final Contract CONTRACT = new Contract(10_000_000, 0.2, 20_000_000);
 
     final List<String> log = new ArrayList<>();
-    final Map<String, List<String>> sends = new HashMap<>();
-    final Map<String, String> finals = new HashMap<>();
+    final Map<String, List<String>> sentTo = new HashMap<>();
+    final Map<String, String> finalAnswers = new HashMap<>();
     final List<String> probes = new ArrayList<>();
     int subscribes;
-    long wake = Long.MAX_VALUE;
-    long timeout;
+    long wakeUpAt = Long.MAX_VALUE;
+    long lastTimeoutUs;
     LoadBalancer balancer;
     long now = 1_000_000;
-    private int ids;
+    private int nextId;
 
     static Settings settings(boolean subscribe, RequestClass... classes) {
         return settings(3, false, subscribe, classes);
     }
 
     /** One of 500 instances, with probes that cost nothing. */
-    static Settings oneOfMany(boolean mayProbe, RequestClass... classes) {
+    static Settings largeFleetSettings(boolean mayProbe, RequestClass... classes) {
         return settings(500, mayProbe, false, classes);
     }
 
-    static Settings oneOf(int instances, RequestClass... classes) {
+    static Settings fleetSettings(int instances, RequestClass... classes) {
         return settings(instances, false, false, classes);
     }
 
@@ -76,58 +77,59 @@
         balancer = LoadBalancer.create(settings, seed, now, this);
     }
 
-    static Endpoint ready(int i) {
-        return new Endpoint("e" + i, i % 3, i % 4, 0, Availability.READY, 1, 0);
+    static Endpoint readyEndpoint(int index) {
+        return new Endpoint("e" + index, index % 3, index % 4, 0, Availability.READY, 1, 0);
     }
 
     /** Discovery tells of an endpoint whose process starts now. */
-    void starts(String id) {
+    void startEndpoint(String id) {
         balancer.onEndpoints(now, Source.DELTA, List.of(new Endpoint(id, 0, 0, 0, Availability.READY, 1, now)));
     }
 
-    BalancerFixture endpoints(int count) {
+    BalancerFixture withEndpoints(int count) {
         List<Endpoint> list = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            list.add(ready(i));
+            list.add(readyEndpoint(i));
         }
         balancer.onEndpoints(now, Source.FULL, list);
         return this;
     }
 
-    String request(int type, String key, long budget) {
-        String id = "r" + ids++;
-        balancer.onRequest(now, new Request(id, type, key, budget, 0, 0, false));
+    String request(int classIndex, String key, long budgetUs) {
+        String id = "r" + nextId++;
+        balancer.onRequest(now, new Request(id, classIndex, key, budgetUs, 0, 0, false));
         return id;
     }
 
     /** Endpoint of the request's latest attempt. */
-    String at(String id) {
-        List<String> to = sends.get(id);
-        return to == null ? null : to.get(to.size() - 1);
+    String endpointOf(String id) {
+        List<String> endpoints = sentTo.get(id);
+        return endpoints == null ? null : endpoints.get(endpoints.size() - 1);
     }
 
-    int attempts(String id) {
-        return sends.getOrDefault(id, List.of()).size();
+    int attemptCount(String id) {
+        return sentTo.getOrDefault(id, List.of()).size();
     }
 
-    void end(String id, Outcome outcome, long lag) {
-        balancer.onAttemptEnded(now, new AttemptEnd(id, attempts(id) - 1, outcome, outcome == Outcome.OK, lag));
+    void endAttempt(String id, Outcome outcome, long latencyUs) {
+        balancer.onAttemptEnded(
+                now, new AttemptEnd(id, attemptCount(id) - 1, outcome, outcome == Outcome.OK, latencyUs));
     }
 
     /** Serves one request at once; gives the endpoint. */
-    String serve(int type, String key) {
-        String id = request(type, key, 1_000_000);
+    String serve(int classIndex, String key) {
+        String id = request(classIndex, key, 1_000_000);
         now += 20_000;
-        end(id, Outcome.OK, 20_000);
-        return at(id);
+        endAttempt(id, Outcome.OK, 20_000);
+        return endpointOf(id);
     }
 
     /** Lets time pass, with the timers that were asked for. */
-    void pass(long us) {
-        long until = now + us;
-        while (wake <= until) {
-            now = Math.max(now, wake);
-            wake = Long.MAX_VALUE;
+    void advance(long durationUs) {
+        long until = now + durationUs;
+        while (wakeUpAt <= until) {
+            now = Math.max(now, wakeUpAt);
+            wakeUpAt = Long.MAX_VALUE;
             balancer.onTimer(now);
         }
         now = until;
@@ -135,20 +137,20 @@
 
     @Override
     public void send(String requestId, String endpointId, long timeoutUs) {
-        sends.computeIfAbsent(requestId, k -> new ArrayList<>()).add(endpointId);
-        timeout = timeoutUs;
+        sentTo.computeIfAbsent(requestId, k -> new ArrayList<>()).add(endpointId);
+        lastTimeoutUs = timeoutUs;
         log.add("send " + requestId + " " + endpointId + " " + timeoutUs);
     }
 
     @Override
     public void refuse(String requestId, long retryAfterUs) {
-        finals.put(requestId, "refuse");
+        finalAnswers.put(requestId, "refuse");
         log.add("refuse " + requestId);
     }
 
     @Override
     public void fail(String requestId) {
-        finals.put(requestId, "fail");
+        finalAnswers.put(requestId, "fail");
         log.add("fail " + requestId);
     }
 
@@ -171,6 +173,6 @@
 
     @Override
     public void wakeAt(long atUs) {
-        wake = Math.min(wake, atUs);
+        wakeUpAt = Math.min(wakeUpAt, atUs);
     }
 }
--- a/src/test/java/quartzspan/loadbalancing/ModuleIndependenceTest.java
+++ b/src/test/java/quartzspan/loadbalancing/ModuleIndependenceTest.java
@@ -11,21 +11,21 @@
 
 /** The module's size, width and ignorance of any deployment. */
 class ModuleIndependenceTest {
-    private static final Path MODULE = Path.of("src/main/java/quartzspan/loadbalancing/RingHashLoadBalancer.java");
+    private static final Path SOURCE = Path.of("src/main/java/quartzspan/loadbalancing/RingHashLoadBalancer.java");
 
     @Test
-    void moduleIsShortAndNarrow() throws Exception {
-        List<String> lines = Files.readAllLines(MODULE);
-        long filled = lines.stream().filter(l -> !l.isBlank()).count();
-        assertTrue(filled <= 900, filled + " lines");
+    void loadBalancerStaysWithinItsSizeLimits() throws Exception {
+        List<String> lines = Files.readAllLines(SOURCE);
+        long filledLines = lines.stream().filter(l -> !l.isBlank()).count();
+        assertTrue(filledLines <= 900, filledLines + " lines");
         for (String line : lines) {
             assertTrue(line.length() <= 110, line);
         }
     }
 
     @Test
-    void moduleKnowsNoDeployment() throws Exception {
-        for (Path file : List.of(MODULE, Path.of("src/main/java/quartzspan/loadbalancing/LoadBalancer.java"))) {
+    void loadBalancerContainsNoDeploymentNames() throws Exception {
+        for (Path file : List.of(SOURCE, Path.of("src/main/java/quartzspan/loadbalancing/LoadBalancer.java"))) {
             String text = Files.readString(file).toLowerCase(Locale.ROOT);
             for (String name : List.of(
                     "lisboa",
--- a/src/test/java/quartzspan/loadbalancing/PrefixAwarePlacementTest.java
+++ b/src/test/java/quartzspan/loadbalancing/PrefixAwarePlacementTest.java
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void aKeyedRequestGoesToItsOwnerAndElseToTheNextUsableOne() {
+    void requestWithKeyGoesToItsOwnerOrTheNextUsableServer() {
         Map<String, Integer> shares = new HashMap<>();
         for (int k = 0; k < 600; k++) {
             String key = "k" + k;
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void aNewLifeOfAServerLandsAtNewPoints() {
+    void newIncarnationOfAServerGetsNewRingPoints() {
         PrefixAwarePlacement other = new PrefixAwarePlacement(7, null);
         Map<String, String> owners = new HashMap<>();
         for (int k = 0; k < 100; k++) {
@@ -64,15 +64,15 @@
         placement.onGone("i-0");
         placement.onListed(0, "i-0-again", "s", true, false);
         int movedAmongOthers = 0;
-        int same = 0;
+        int keysTakenOver = 0;
         for (int k = 0; k < 100; k++) {
             String now = placement.pick(0, request("k" + k), Set.of());
             String before = owners.get("k" + k);
             movedAmongOthers += !before.equals("i-0") && !now.equals(before) && !now.equals("i-0-again") ? 1 : 0;
-            same += before.equals("i-0") && now.equals("i-0-again") ? 1 : 0;
+            keysTakenOver += before.equals("i-0") && now.equals("i-0-again") ? 1 : 0;
         }
         assertEquals(0, movedAmongOthers);
-        assertTrue(same < 12, "points come from the id, not from the place");
+        assertTrue(keysTakenOver < 12, "points come from the id, not from the place");
         assertNull(other.pick(0, request("k"), Set.of()));
     }
 
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void failingServersArePassedOverForAWhile() {
+    void failingServersAreSkippedTemporarily() {
         String owner = placement.pick(0, request("k"), Set.of());
         placement.onSent(owner, request("k"));
         placement.onEnded(0, owner, request("k"), Outcome.CONNECT_ERROR);
@@ -109,22 +109,22 @@
     }
 
     @Test
-    void anOwnerTakesItsPartOfTheWorkAndNoMore() {
-        Map<String, Integer> out = new HashMap<>();
+    void ownerTakesNoMoreThanItsBoundedShareOfTheWork() {
+        Map<String, Integer> sent = new HashMap<>();
         for (int i = 0; i < 60; i++) {
-            String to = placement.pick(0, request("hot"), Set.of());
-            placement.onSent(to, request("hot"));
-            out.merge(to, 1, Integer::sum);
+            String server = placement.pick(0, request("hot"), Set.of());
+            placement.onSent(server, request("hot"));
+            sent.merge(server, 1, Integer::sum);
         }
-        assertTrue(out.values().stream().allMatch(n -> n <= 15), out.toString());
+        assertTrue(sent.values().stream().allMatch(n -> n <= 15), sent.toString());
     }
 
     @Test
-    void whoKeepsMostIsTheSource() {
-        String to = placement.pick(20_000_000, request("k"), Set.of());
-        String other = to.equals("i-1") ? "i-2" : "i-1";
-        assertEquals(other, placement.prefixSource(20_000_000, request("k"), to, s -> s.equals(other) ? 5_000 : 0));
-        assertNull(placement.prefixSource(20_000_000, request("k"), to, s -> 5_000), "it has as much itself");
-        assertNull(placement.prefixSource(20_000_000, request(null), to, s -> 0));
+    void serverWithMostCachedTokensIsThePrefixSource() {
+        String target = placement.pick(20_000_000, request("k"), Set.of());
+        String other = target.equals("i-1") ? "i-2" : "i-1";
+        assertEquals(other, placement.prefixSource(20_000_000, request("k"), target, s -> s.equals(other) ? 5_000 : 0));
+        assertNull(placement.prefixSource(20_000_000, request("k"), target, s -> 5_000), "it has as much itself");
+        assertNull(placement.prefixSource(20_000_000, request(null), target, s -> 0));
     }
 }
--- a/src/test/java/quartzspan/loadbalancing/RetryBudgetTest.java
+++ b/src/test/java/quartzspan/loadbalancing/RetryBudgetTest.java
@@ -10,7 +10,7 @@
     private final RetryBudget budget = new RetryBudget();
 
     @Test
-    void retriesAreEarnedByRequestsAndANewProcessHasNone() {
+    void requestsEarnRetriesAndANewProcessHasNone() {
         assertFalse(budget.tryAcquire());
         for (int i = 0; i < 100; i++) {
             budget.onRequest(0.2, 60, 6);
--- a/src/test/java/quartzspan/loadbalancing/RingTest.java
+++ b/src/test/java/quartzspan/loadbalancing/RingTest.java
@@ -11,7 +11,7 @@
 class RingTest {
 
     @Test
-    void mergingGivesTheSameOwnersAsAMap() {
+    void mergedRingHasTheSameOwnersAsASortedMap() {
         Random random = new Random(3);
         Ring<String> ring = new Ring<>();
         TreeMap<Long, String> map = new TreeMap<>();
