--- a/src/test/java/example/EmbeddingTest.java
+++ b/src/test/java/example/EmbeddingTest.java
@@ -22,7 +22,7 @@
 import quartzspan.loadbalancing.LoadBalancer.Settings;
 import quartzspan.loadbalancing.LoadBalancer.Source;
 
-/** The README's example, from another package, with actions that write down what they are told. */
+/** The README's example, compiled in another package, with actions that record their calls. */
 class EmbeddingTest {
     @Test
     void readmeExampleWorks() {
--- a/src/test/java/quartzspan/loadbalancing/BalancerFixture.java
+++ b/src/test/java/quartzspan/loadbalancing/BalancerFixture.java
@@ -18,14 +18,14 @@
 import quartzspan.loadbalancing.LoadBalancer.Settings;
 import quartzspan.loadbalancing.LoadBalancer.Source;
 
-/** Drives one balancer by hand and writes down what it does. */
+/** Drives one load balancer with a simulated clock and records its actions. */
 final class BalancerFixture implements Actions {
     static final RequestClass RETRYABLE =
-            new RequestClass("safe", Effect.RETRYABLE, null, 0, 1, 0, 500_000, 0, 2_000_000);
+            new RequestClass("retryable", Effect.RETRYABLE, null, 0, 1, 0, 500_000, 0, 2_000_000);
     static final RequestClass DEDUP =
-            new RequestClass("keyed", Effect.DEDUP, DedupScope.ZONE, 1_000_000, 2, 0, 500_000, 0, 2_000_000);
+            new RequestClass("dedup", Effect.DEDUP, DedupScope.ZONE, 1_000_000, 2, 0, 500_000, 0, 2_000_000);
     static final RequestClass NON_IDEMPOTENT =
-            new RequestClass("unsafe", Effect.NON_IDEMPOTENT, null, 0, 4, 0, 500_000, 0, 2_000_000);
+            new RequestClass("non-idempotent", Effect.NON_IDEMPOTENT, null, 0, 4, 0, 500_000, 0, 2_000_000);
     static final Contract CONTRACT = new Contract(10_000_000, 0.2, 20_000_000);
 
     final List<String> log = new ArrayList<>();
@@ -43,7 +43,7 @@
         return settings(3, false, subscribe, classes);
     }
 
-    /** One of 500 instances, with probes that cost nothing. */
+    /** Settings of one of 500 instances, with probes at no cost. */
     static Settings largeFleetSettings(boolean mayProbe, RequestClass... classes) {
         return settings(500, mayProbe, false, classes);
     }
@@ -81,7 +81,7 @@
         return new Endpoint("e" + index, index % 3, index % 4, 0, Availability.READY, 1, 0);
     }
 
-    /** Discovery tells of an endpoint whose process starts now. */
+    /** Lists an endpoint whose process starts now. */
     void startEndpoint(String id) {
         balancer.onEndpoints(now, Source.DELTA, List.of(new Endpoint(id, 0, 0, 0, Availability.READY, 1, now)));
     }
@@ -116,7 +116,7 @@
                 now, new AttemptEnd(id, attemptCount(id) - 1, outcome, outcome == Outcome.OK, latencyUs));
     }
 
-    /** Serves one request at once; gives the endpoint. */
+    /** Sends a request and ends it successfully after 20 ms; returns the endpoint. */
     String serve(int classIndex, String key) {
         String id = request(classIndex, key, 1_000_000);
         now += 20_000;
@@ -124,7 +124,7 @@
         return endpointOf(id);
     }
 
-    /** Lets time pass, with the timers that were asked for. */
+    /** Advances the clock and runs the timers that are due. */
     void advance(long durationUs) {
         long until = now + durationUs;
         while (wakeUpAt <= until) {
--- a/src/test/java/quartzspan/loadbalancing/BalancerInvariantsTest.java
+++ b/src/test/java/quartzspan/loadbalancing/BalancerInvariantsTest.java
@@ -25,13 +25,13 @@
 import quartzspan.loadbalancing.LoadBalancer.Source;
 
 /**
- * Plays seeded random but legal sequences of events and checks every action against the rules with
- * bookkeeping of its own.
+ * Runs seeded random but valid sequences of events and checks every action against the rules, with records
+ * independent of the load balancer's state.
  */
 class BalancerInvariantsTest {
     private static final long SLACK_US = 20_000;
 
-    /** One request as the checker sees it. */
+    /** A request as recorded by the checker. */
     private static final class TrackedRequest {
         RequestClass type;
         long deadlineAt;
@@ -47,7 +47,7 @@
         Outcome outcome;
     }
 
-    /** LoadBalancer's actions, checked as they come. */
+    /** Actions that check each call. */
     private static final class Checker implements Actions {
         final Map<String, Endpoint> listed = new HashMap<>();
         final Map<String, TrackedRequest> open = new HashMap<>();
@@ -64,25 +64,28 @@
         @Override
         public void send(String requestId, String endpointId, long timeoutUs) {
             TrackedRequest request = open.get(requestId);
-            assertTrue(request != null && !request.done, "sent after its end: " + requestId);
+            assertTrue(request != null && !request.done, "sent after its final answer: " + requestId);
             Endpoint target = listed.get(endpointId);
             assertTrue(
-                    target != null && target.availability() == Availability.READY, "sent to a drained " + endpointId);
-            assertTrue(request.attempts.size() < 3, "too many attempts");
+                    target != null && target.availability() == Availability.READY,
+                    "sent to an endpoint that is not ready: " + endpointId);
+            assertTrue(request.attempts.size() < 3, "more than 3 attempts");
             for (TrackedAttempt attempt : request.attempts) {
-                assertTrue(attempt.outcome != null, "two attempts out at once");
+                assertTrue(attempt.outcome != null, "two attempts in flight at once");
                 boolean mayHaveRun = attempt.outcome == null || !attempt.outcome.neverRan();
                 if (mayHaveRun && request.type.effect() == Effect.NON_IDEMPOTENT) {
-                    throw new AssertionError("fragile request sent twice");
+                    throw new AssertionError("non-idempotent request sent again although it may have run");
                 }
                 if (mayHaveRun && request.type.effect() == Effect.DEDUP) {
                     Endpoint first = listed.get(attempt.endpoint);
-                    assertTrue(now - attempt.sentAt <= request.type.dedupWindowUs(), "outside the window");
+                    assertTrue(
+                            now - attempt.sentAt <= request.type.dedupWindowUs(),
+                            "dedup request sent again outside its window");
                     assertTrue(
                             request.type.scope() == DedupScope.ALL
                                     || request.type.scope() == DedupScope.ZONE && first.zone() == target.zone()
                                     || request.type.scope() == DedupScope.CELL && first.cell() == target.cell(),
-                            "outside the group");
+                            "dedup request sent again outside its group");
                 }
             }
             TrackedAttempt attempt = new TrackedAttempt();
@@ -112,7 +115,7 @@
                         !mayHaveRun
                                 || request.type.effect() == Effect.RETRYABLE
                                 || request.type.effect() == Effect.DEDUP && request.type.scope() == DedupScope.ALL,
-                        "untrue refusal");
+                        "refusal of a request that may have run");
             }
         }
 
@@ -124,7 +127,9 @@
         private TrackedRequest recordFinalAnswer(String requestId) {
             TrackedRequest request = open.get(requestId);
             assertTrue(request != null && !request.done, "second final answer");
-            assertTrue(now <= request.deadlineAt + SLACK_US, "answered " + (now - request.deadlineAt) + " us late");
+            assertTrue(
+                    now <= request.deadlineAt + SLACK_US,
+                    "answered " + (now - request.deadlineAt) + " us after the deadline");
             request.done = true;
             finalAnswers++;
             return request;
@@ -141,7 +146,7 @@
 
         @Override
         public void probe(String endpoint) {
-            assertTrue(listed.containsKey(endpoint), "probed an endpoint never listed");
+            assertTrue(listed.containsKey(endpoint), "probed an endpoint that was never listed");
             probes.add(endpoint);
         }
 
@@ -150,7 +155,7 @@
 
         @Override
         public void wakeAt(long atUs) {
-            assertTrue(atUs > now, "timer in the past");
+            assertTrue(atUs > now, "wake-up requested in the past");
             wakeUpAt = Math.min(wakeUpAt, atUs);
         }
     }
@@ -169,7 +174,7 @@
         Settings settings = seed > 16
                 ? BalancerFixture.largeFleetSettings(seed % 2 == 0, classArray)
                 : BalancerFixture.settings(seed % 3 == 0, classArray);
-        // One of many sees little and stands still now and then; requests are as many, only further apart.
+        // An instance of a large fleet has a tenth of the request rate and is paused from time to time.
         int maxGapUs = seed > 16 ? 40_000 : 4_000;
         LoadBalancer balancer = LoadBalancer.create(settings, seed, checker.now, checker);
         int requestCount = 0;
@@ -215,10 +220,10 @@
             ended += advance(checker, balancer, 4_000);
         }
         assertEquals(requestCount, checker.finalAnswers, "requests without a final answer");
-        assertTrue(ended > 1_000, "too little was sent: " + ended);
+        assertTrue(ended > 1_000, "attempts ended: " + ended);
     }
 
-    /** The process stands still: clients whose time is up have left when it looks again. */
+    /** Pauses the process: clients whose deadline passes meanwhile have disconnected when it resumes. */
     private static void pauseProcess(Checker checker, LoadBalancer balancer, long durationUs) {
         checker.now += durationUs;
         for (Map.Entry<String, TrackedRequest> entry : new ArrayList<>(checker.open.entrySet())) {
@@ -230,7 +235,7 @@
         }
     }
 
-    /** Lets time pass, then fires the timers due and ends the attempts due; gives how many ended. */
+    /** Advances the clock, runs the timers and ends the attempts that are due; returns how many ended. */
     private static int advance(Checker checker, LoadBalancer balancer, long durationUs) {
         checker.now += durationUs;
         while (checker.wakeUpAt <= checker.now) {
@@ -267,7 +272,8 @@
                 inFlight |= attempt.outcome == null;
             }
             assertTrue(
-                    request.done || checker.now <= request.deadlineAt + SLACK_US || inFlight, "lost " + entry.getKey());
+                    request.done || checker.now <= request.deadlineAt + SLACK_US || inFlight,
+                    "no final answer for " + entry.getKey());
             if (request.done && !inFlight) {
                 checker.open.remove(entry.getKey());
             }
@@ -275,7 +281,7 @@
         return ended;
     }
 
-    /** Endpoints start, drain, leave and come back; what the balancer is told holds at once. */
+    /** Endpoints start, drain, leave and return; a list takes effect at once. */
     private static void changeEndpoints(Checker checker, LoadBalancer balancer, Random random) {
         List<Endpoint> list = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
@@ -305,14 +311,14 @@
         openRequest(checker, "a", BalancerFixture.RETRYABLE);
         assertThrows(AssertionError.class, () -> checker.send("a", "drained", 0));
         checker.send("a", "up", 0);
-        assertThrows(AssertionError.class, () -> checker.send("a", "far", 0), "two attempts out");
+        assertThrows(AssertionError.class, () -> checker.send("a", "far", 0), "two attempts in flight");
         checker.fail("a");
-        assertThrows(AssertionError.class, () -> checker.fail("a"), "two answers");
+        assertThrows(AssertionError.class, () -> checker.fail("a"), "two final answers");
         openRequest(checker, "b", BalancerFixture.NON_IDEMPOTENT);
         checker.send("b", "up", 0);
         checker.open.get("b").attempts.get(0).outcome = Outcome.FAILED;
-        assertThrows(AssertionError.class, () -> checker.send("b", "far", 0), "fragile twice");
-        assertThrows(AssertionError.class, () -> checker.refuse("b", 0), "untrue refusal");
+        assertThrows(AssertionError.class, () -> checker.send("b", "far", 0), "non-idempotent request sent twice");
+        assertThrows(AssertionError.class, () -> checker.refuse("b", 0), "refusal of a request that may have run");
         openRequest(checker, "d", BalancerFixture.DEDUP);
         checker.send("d", "up", 0);
         checker.open.get("d").attempts.get(0).outcome = Outcome.FAILED;
@@ -321,7 +327,7 @@
         assertThrows(AssertionError.class, () -> checker.send("d", "up", 0), "outside its window");
         openRequest(checker, "e", BalancerFixture.RETRYABLE);
         checker.now += 3_000_000;
-        assertThrows(AssertionError.class, () -> checker.fail("e"), "late");
+        assertThrows(AssertionError.class, () -> checker.fail("e"), "answered after the deadline");
     }
 
     private static void openRequest(Checker checker, String id, RequestClass type) {
--- a/src/test/java/quartzspan/loadbalancing/LargeFleetBalancingTest.java
+++ b/src/test/java/quartzspan/loadbalancing/LargeFleetBalancingTest.java
@@ -18,12 +18,12 @@
 import quartzspan.loadbalancing.LoadBalancer.RequestClass;
 import quartzspan.loadbalancing.LoadBalancer.Source;
 
-/** What goes wrong only where hundreds of instances each send little. */
+/** Failures that appear only when hundreds of instances each send few requests. */
 class LargeFleetBalancingTest {
     private static final RequestClass HIGH_VALUE =
-            new RequestClass("dear", Effect.RETRYABLE, null, 0, 10, 0, 500_000, 0, 2_000_000);
+            new RequestClass("high-value", Effect.RETRYABLE, null, 0, 10, 0, 500_000, 0, 2_000_000);
 
-    /** Every request of the instance is lost, whichever endpoint it went to. */
+    /** Every attempt of the requests times out, at any endpoint. */
     private static void timeOutAll(BalancerFixture fixture, int requests) {
         for (int i = 0; i < requests; i++) {
             String id = fixture.request(0, "lost" + i, 2_000_000);
@@ -50,9 +50,12 @@
                 all++;
             }
         }
-        // It has a fifth of its capacity: 0.2 of 9.2 is 33 of 1500, half as much again 49; one each would be 150.
+        // The cold endpoint has a fifth of its capacity: 0.2 of 9.2 is 33 of 1500 requests, with the factor 1.5 49.
+        // One request from each instance that reaches it would be 150.
         double share = 0.2 / 9.2 * all;
-        assertTrue(sentToCold > 0 && sentToCold < 2 * share, sentToCold + " to the cold one, its part is " + share);
+        assertTrue(
+                sentToCold > 0 && sentToCold < 2 * share,
+                sentToCold + " requests to the cold endpoint, its share is " + share);
     }
 
     @Test
@@ -76,10 +79,10 @@
         }
         assertTrue(
                 sentToCold > 0.9 * share && sentToCold < 1.5 * share,
-                sentToCold + " to the cold, their part is " + share);
+                sentToCold + " requests to the cold endpoints, their share is " + share);
     }
 
-    /** Of a hundred instances, how many send to an endpoint that lost the one attempt they had out there. */
+    /** Number of instances, of a hundred, that send to an endpoint after their only attempt there was lost. */
     private static int instancesSendingAfterOneLoss(int instances) {
         int sent = 0;
         for (int i = 0; i < 100; i++) {
@@ -96,7 +99,7 @@
     void fourteenInstancesWithOneAttemptEachReduceTheirLimitAfterALoss() {
         assertEquals(100, instancesSendingAfterOneLoss(6));
         int sent = instancesSendingAfterOneLoss(14);
-        assertTrue(sent > 40 && sent < 80, "sent at once: " + sent);
+        assertTrue(sent > 40 && sent < 80, "instances that still send: " + sent);
     }
 
     @Test
@@ -115,7 +118,7 @@
                 sent += fixture.serve(0, "k" + k).equals("cold") ? 1 : 0;
             }
         }
-        assertTrue(sent < 0.3 * 400, "sent " + sent);
+        assertTrue(sent < 0.3 * 400, "requests sent to the cold endpoint: " + sent);
     }
 
     @Test
@@ -135,7 +138,7 @@
             }
             fixture.advance(200_000);
         }
-        assertTrue(owners.size() >= 2, "hot key on " + owners);
+        assertTrue(owners.size() >= 2, "endpoints of the hot key: " + owners);
     }
 
     @Test
@@ -149,7 +152,7 @@
             fixture.advance(100_000);
         }
         assertEquals(1, owners.size());
-        assertTrue(fixture.probes.isEmpty(), "no strain, no probe");
+        assertTrue(fixture.probes.isEmpty(), "probes without overload");
     }
 
     @Test
@@ -174,8 +177,8 @@
         }
         assertTrue(
                 lowValueAdmitted < 10 && highValueAdmitted > lowValueAdmitted,
-                "admitted " + lowValueAdmitted + " cheap, " + highValueAdmitted + " dear");
-        // It ends with its cause: good answers open it again.
+                "admitted " + lowValueAdmitted + " of low value, " + highValueAdmitted + " of high value");
+        // Admission recovers with fast responses.
         int served = 0;
         for (int i = 0; i < 400; i++) {
             String id = fixture.request(0, "good" + i, 2_000_000);
@@ -186,7 +189,7 @@
             }
             fixture.advance(300_000);
         }
-        assertTrue(served > 90, "of the last hundred only " + served);
+        assertTrue(served > 90, "served of the last hundred: " + served);
     }
 
     @Test
@@ -208,7 +211,7 @@
         List<String> after = fixture.log.subList(before, fixture.log.size());
         assertTrue(
                 after.stream().anyMatch(l -> l.startsWith("probe") || l.startsWith("send") || l.startsWith("refuse")),
-                "waits for a probe that does not come: " + after);
+                "neither probed, sent nor refused after the probe timed out: " + after);
         assertTrue(after.stream().noneMatch(l -> l.contains("send") && l.contains(" " + slow + " ")), "" + after);
     }
 
@@ -222,7 +225,7 @@
         assertEquals(List.of("send " + id + " " + owner + " " + fixture.lastTimeoutUs), fixture.log);
         fixture.endAttempt(id, Outcome.OK, 1_200_000);
         for (int i = 0; i < 3; i++) {
-            assertEquals(owner, fixture.serve(0, "k"), "the owner keeps its key after our own pause");
+            assertEquals(owner, fixture.serve(0, "k"), "the owner keeps its key after a pause of this process");
         }
     }
 
@@ -246,7 +249,7 @@
         fixture.balancer.onEndpoints(fixture.now, Source.FULL, List.of());
         String id = fixture.request(0, "k", 1_000_000);
         fixture.advance(100_000);
-        assertNull(fixture.finalAnswers.get(id), "held as a first try, not as a repeat");
+        assertNull(fixture.finalAnswers.get(id), "queued as a first try, not as a repeat");
     }
 
     @Test
@@ -261,9 +264,9 @@
         for (int i = 0; i < 5_000; i++) {
             String id = "r" + i;
             if (fixture.finalAnswers.get(id) == null) {
-                assertEquals(1, fixture.attemptCount(id), "neither answered nor out: " + id);
+                assertEquals(1, fixture.attemptCount(id), "neither answered nor in flight: " + id);
                 fixture.endAttempt(id, Outcome.TIMED_OUT, 400_000);
-                assertTrue(fixture.finalAnswers.get(id) != null, "lost " + id);
+                assertTrue(fixture.finalAnswers.get(id) != null, "no final answer for " + id);
             }
         }
     }
@@ -314,7 +317,7 @@
             }
             fixture.advance(50_000);
         }
-        assertTrue(sent[0] > sent[1], sent[0] + " to the fast kind, " + sent[1] + " to the slow");
+        assertTrue(sent[0] > sent[1], sent[0] + " requests to the fast kind, " + sent[1] + " to the slow kind");
     }
 
     @Test
@@ -332,7 +335,7 @@
             field.setAccessible(true);
             Object value = field.get(fixture.balancer);
             int size = value instanceof java.util.Map<?, ?> m ? m.size() : ((java.util.Collection<?>) value).size();
-            assertTrue(size <= 3, name + " keeps " + size);
+            assertTrue(size <= 3, name + " has size " + size);
         }
         assertNotEquals(0, fixture.sentTo.size());
     }
@@ -347,7 +350,9 @@
                     new BalancerFixture(BalancerFixture.settings(true, BalancerFixture.RETRYABLE), i).withEndpoints(3);
             for (int k = 0; k < 4; k++) {
                 fixture.balancer.onDiscoveryFailed(fixture.now);
-                assertTrue(fixture.endpointOf(fixture.request(0, "k" + k, 1_000_000)) != null, "the list held is lost");
+                assertTrue(
+                        fixture.endpointOf(fixture.request(0, "k" + k, 1_000_000)) != null,
+                        "the current list was discarded");
                 fixture.endAttempt("r" + k, Outcome.OK, 0);
                 int before = fixture.subscribes;
                 long failedAt = fixture.now;
@@ -361,9 +366,9 @@
                 }
             }
         }
-        assertTrue(times.size() > 9 && last - first > 1_000_000, "in step: " + times);
-        // Backoff ends below what counts as told: the next call still comes in time to be answered.
-        assertTrue(last <= BalancerFixture.CONTRACT.subscribeWithinUs() / 2, "asked again after " + last);
+        assertTrue(times.size() > 9 && last - first > 1_000_000, "delays without jitter: " + times);
+        // The backoff stays below subscribeWithinUs, so the next call is still in time.
+        assertTrue(last <= BalancerFixture.CONTRACT.subscribeWithinUs() / 2, "resubscribed after " + last);
     }
 
     @Test
--- a/src/test/java/quartzspan/loadbalancing/ModuleIndependenceTest.java
+++ b/src/test/java/quartzspan/loadbalancing/ModuleIndependenceTest.java
@@ -9,7 +9,7 @@
 import java.util.Locale;
 import org.junit.jupiter.api.Test;
 
-/** The module's size, width and ignorance of any deployment. */
+/** Size limits of the load balancer's source, and its independence of any deployment. */
 class ModuleIndependenceTest {
     private static final Path SOURCE = Path.of("src/main/java/quartzspan/loadbalancing/RingHashLoadBalancer.java");
 
@@ -17,7 +17,7 @@
     void loadBalancerStaysWithinItsSizeLimits() throws Exception {
         List<String> lines = Files.readAllLines(SOURCE);
         long filledLines = lines.stream().filter(l -> !l.isBlank()).count();
-        assertTrue(filledLines <= 900, filledLines + " lines");
+        assertTrue(filledLines <= 900, filledLines + " lines with text");
         for (String line : lines) {
             assertTrue(line.length() <= 110, line);
         }
@@ -42,7 +42,7 @@
                     "rotas",
                     "getname",
                     ".name()")) {
-                assertFalse(text.contains(name), file + ": " + name);
+                assertFalse(text.contains(name), file + " contains the deployment name " + name);
             }
         }
     }
--- a/src/test/java/quartzspan/loadbalancing/PrefixAwarePlacementTest.java
+++ b/src/test/java/quartzspan/loadbalancing/PrefixAwarePlacementTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import quartzspan.loadbalancing.LoadBalancer.Outcome;
 
-/** The design on the fleet's ordinary path: points from ids, the next usable owner, one connection at a time. */
+/** Placement of requests: ring points from ids, the next usable owner, one connection at a time. */
 class PrefixAwarePlacementTest {
     private final Set<String> connected = new HashSet<>();
     private final PrefixAwarePlacement placement = new PrefixAwarePlacement(7, new ServerConnections() {
@@ -44,10 +44,11 @@
             String key = "k" + k;
             String owner = placement.pick(0, request(key), Set.of());
             shares.merge(owner, 1, Integer::sum);
-            assertEquals(owner, placement.pick(0, request(key), Set.of()), "the same each time");
+            assertEquals(owner, placement.pick(0, request(key), Set.of()), "same key, same owner");
             String next = placement.pick(0, request(key), Set.of(owner));
             placement.onListed(0, owner, "s", false, false);
-            assertEquals(next, placement.pick(0, request(key), Set.of()), "draining: the next owner");
+            assertEquals(
+                    next, placement.pick(0, request(key), Set.of()), "a draining owner is replaced by the next one");
             placement.onListed(0, owner, "s", true, false);
             assertEquals(owner, placement.pick(0, request(key), Set.of()));
         }
@@ -72,7 +73,7 @@
             keysTakenOver += before.equals("i-0") && now.equals("i-0-again") ? 1 : 0;
         }
         assertEquals(0, movedAmongOthers);
-        assertTrue(keysTakenOver < 12, "points come from the id, not from the place");
+        assertTrue(keysTakenOver < 12, "ring points come from the id");
         assertNull(other.pick(0, request("k"), Set.of()));
     }
 
@@ -84,7 +85,7 @@
         if (!first.equals("i-3")) {
             for (int i = 0; i < 50; i++) {
                 String next = placement.pick(0, request(null), Set.of());
-                assertTrue(next.equals("i-3") || next.equals(first), "a second connection to " + next);
+                assertTrue(next.equals("i-3") || next.equals(first), "second connection opened to " + next);
             }
         }
         placement.onResponseStarted(first);
@@ -94,7 +95,7 @@
             later.add(next);
             placement.onResponseStarted(next);
         }
-        assertTrue(later.size() > 2, "none is being opened: the walk's first takes it");
+        assertTrue(later.size() > 2, "with no connection being opened, the first server of the walk is used");
     }
 
     @Test
@@ -105,7 +106,7 @@
         assertNotEquals(owner, placement.pick(1_000, request("k"), Set.of()));
         assertEquals(owner, placement.pick(900_000, request("k"), Set.of()));
         placement.onListed(0, owner, "s", true, true);
-        assertNotEquals(owner, placement.pick(900_000, request("k"), Set.of()), "it loads weights");
+        assertNotEquals(owner, placement.pick(900_000, request("k"), Set.of()), "the owner is loading weights");
     }
 
     @Test
@@ -124,7 +125,9 @@
         String target = placement.pick(20_000_000, request("k"), Set.of());
         String other = target.equals("i-1") ? "i-2" : "i-1";
         assertEquals(other, placement.prefixSource(20_000_000, request("k"), target, s -> s.equals(other) ? 5_000 : 0));
-        assertNull(placement.prefixSource(20_000_000, request("k"), target, s -> 5_000), "it has as much itself");
+        assertNull(
+                placement.prefixSource(20_000_000, request("k"), target, s -> 5_000),
+                "the target has cached as much itself");
         assertNull(placement.prefixSource(20_000_000, request(null), target, s -> 0));
     }
 }
--- a/src/test/java/quartzspan/loadbalancing/RetryBudgetTest.java
+++ b/src/test/java/quartzspan/loadbalancing/RetryBudgetTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How many retries a proxy may send. */
+/** Number of retries that a proxy may send. */
 class RetryBudgetTest {
     private final RetryBudget budget = new RetryBudget();
 
--- a/src/test/java/quartzspan/loadbalancing/RingHashLoadBalancerTest.java
+++ b/src/test/java/quartzspan/loadbalancing/RingHashLoadBalancerTest.java
@@ -22,7 +22,7 @@
 import quartzspan.loadbalancing.LoadBalancer.RequestClass;
 import quartzspan.loadbalancing.LoadBalancer.Source;
 
-/** One small test for each decision and for each failure found. */
+/** Decisions of the ring-hash load balancer: placement, limits, ejection, retries, queueing, discovery. */
 class RingHashLoadBalancerTest {
 
     @Test
@@ -38,7 +38,8 @@
 
     @Test
     void endpointsAndKeysUsedOnceAreNotRetained() throws Exception {
-        // Guards a day on which all is new all the time: also an end told of a host that was never listed.
+        // Guards against a leak when endpoints and keys are always new, also for GONE entries of endpoints never
+        // listed.
         BalancerFixture fixture = new BalancerFixture(BalancerFixture.RETRYABLE).withEndpoints(9);
         for (int i = 0; i < 2000; i++) {
             fixture.balancer.onEndpoints(
@@ -54,9 +55,9 @@
         for (java.lang.reflect.Field field : fixture.balancer.getClass().getDeclaredFields()) {
             field.setAccessible(true);
             if (field.get(fixture.balancer) instanceof Map<?, ?> map) {
-                assertTrue(map.size() <= 9, field.getName() + " holds " + map.size());
+                assertTrue(map.size() <= 9, field.getName() + " has size " + map.size());
             } else if (field.get(fixture.balancer) instanceof java.util.Collection<?> collection) {
-                assertTrue(collection.size() <= 9, field.getName() + " holds " + collection.size());
+                assertTrue(collection.size() <= 9, field.getName() + " has size " + collection.size());
             }
         }
     }
@@ -77,7 +78,7 @@
                 moved++;
             }
         }
-        assertTrue(moved > 5 && moved < 75, "moved " + moved);
+        assertTrue(moved > 5 && moved < 75, "keys moved: " + moved);
         fixture.withEndpoints(9);
         for (int k = 0; k < 300; k++) {
             assertEquals(before.get("k" + k), fixture.serve(0, "k" + k));
@@ -96,7 +97,7 @@
                 unconnected.add(endpoint);
             }
         }
-        assertTrue(unconnected.size() <= 1, "opened " + unconnected);
+        assertTrue(unconnected.size() <= 1, "connections opened: " + unconnected);
     }
 
     @Test
@@ -133,20 +134,20 @@
         List<String> lost = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             lost.add(fixture.request(0, "k", 10_000_000));
-            assertEquals("e0", fixture.endpointOf(lost.get(i)), "lost " + i);
-            assertEquals("e0", fixture.serve(0, "k"), "beside it " + i);
+            assertEquals("e0", fixture.endpointOf(lost.get(i)), "request that is lost " + i);
+            assertEquals("e0", fixture.serve(0, "k"), "request sent meanwhile " + i);
             fixture.advance(250_000);
-            assertEquals("e0", fixture.serve(0, "k"), "served " + i);
+            assertEquals("e0", fixture.serve(0, "k"), "request sent later " + i);
         }
         for (String id : lost) {
             fixture.endAttempt(id, Outcome.TIMED_OUT, 1_200_000);
         }
         for (int i = 0; i < 2; i++) {
-            assertEquals("e0", fixture.endpointOf(fixture.request(0, "k", 2_000_000)), "at once " + i);
+            assertEquals("e0", fixture.endpointOf(fixture.request(0, "k", 2_000_000)), "simultaneous request " + i);
         }
     }
 
-    /** Until the usual lag is what it is in these tests. */
+    /** Serves requests until the latency baseline matches the latency of these tests. */
     private static void settleBaseline(BalancerFixture fixture) {
         for (int i = 0; i < 300; i++) {
             fixture.serve(0, "k");
@@ -163,7 +164,7 @@
             assertEquals(owner, fixture.serve(0, "k"));
             fixture.advance(40_000);
         }
-        assertTrue(fixture.log.contains("cancel " + id + " 0"), "waits on");
+        assertTrue(fixture.log.contains("cancel " + id + " 0"), "lost attempt is not cancelled");
         fixture.endAttempt(id, Outcome.CANCELED, 300_000);
         assertEquals(2, fixture.attemptCount(id));
         assertNotEquals(owner, fixture.endpointOf(id));
@@ -172,13 +173,13 @@
 
     @Test
     void normalLatencySpreadDoesNotReduceTheLimitOfABusyEndpoint() {
-        // A pod of a slow kind, a key not seen before: well within the aim, and no sign of a queue.
+        // Slow machines and uncached keys: well within the target latency and no sign of a queue.
         BalancerFixture fixture = new BalancerFixture(BalancerFixture.NON_IDEMPOTENT).withEndpoints(1);
         ArrayDeque<String> inFlight = new ArrayDeque<>();
         for (int i = 0; i < 1_000; i++) {
             String id = fixture.request(0, "k", 2_000_000);
             if (i > 100) {
-                assertEquals("e0", fixture.endpointOf(id), "no room at " + i);
+                assertEquals("e0", fixture.endpointOf(id), "limit reached at request " + i);
             }
             inFlight.add(id);
             fixture.advance(10_000);
@@ -202,14 +203,14 @@
         for (int i = 0; i < 3; i++) {
             assertEquals(owner, resetThenServe(fixture, "k"));
         }
-        assertEquals(owner, fixture.serve(0, "k"), "ejected for what all suffer");
+        assertEquals(owner, fixture.serve(0, "k"), "ejected because of failures common to all endpoints");
         for (int i = 0; i < 10; i++) {
             resetThenServe(fixture, "k");
         }
-        assertNotEquals(owner, fixture.serve(0, "k"), "fails everything and stays");
+        assertNotEquals(owner, fixture.serve(0, "k"), "not ejected although every request fails");
     }
 
-    /** A request whose first attempt is reset and whose second, if there is one, is served; gives the first's. */
+    /** Resets the first attempt of a request and serves the second, if any; returns the endpoint of the first. */
     private static String resetThenServe(BalancerFixture fixture, String key) {
         String id = fixture.request(0, key, 1_000_000);
         fixture.now += 20_000;
@@ -316,7 +317,7 @@
             fixture.now += 1_000;
             fixture.endAttempt(id, Outcome.OK, 1_000);
         }
-        assertTrue(used.size() >= 3, "used " + used);
+        assertTrue(used.size() >= 3, "endpoints used: " + used);
     }
 
     @Test
@@ -344,7 +345,7 @@
                 used.add(endpoint);
             }
         }
-        assertTrue(used.size() >= 2 && used.size() <= 3, "used " + used);
+        assertTrue(used.size() >= 2 && used.size() <= 3, "endpoints used: " + used);
     }
 
     @Test
@@ -364,10 +365,10 @@
         for (int k = 0; k < 60; k++) {
             inFlight += fixture.endpointOf(fixture.request(0, "k" + k, 1_000_000)) == null ? 0 : 1;
         }
-        assertTrue(inFlight < 12, "out " + inFlight);
+        assertTrue(inFlight < 12, "attempts in flight: " + inFlight);
     }
 
-    /** Warms the rig up, starts the endpoint afresh and counts what it then serves. */
+    /** Serves requests, starts the endpoint, and counts the requests that it serves after its start. */
     private static int requestsServedAfterStart(BalancerFixture fixture, int before, String endpoint, int after) {
         for (int k = 0; k < before; k++) {
             fixture.serve(0, "k" + k);
@@ -384,14 +385,14 @@
     void coldEndpointTakesOnlyItsSlowStartShare() {
         BalancerFixture fixture = new BalancerFixture(BalancerFixture.RETRYABLE).withEndpoints(4);
         int cold = requestsServedAfterStart(fixture, 400, "cold", 200);
-        assertTrue(cold > 0 && cold < 25, "cold got " + cold);
+        assertTrue(cold > 0 && cold < 25, "requests to the cold endpoint: " + cold);
     }
 
     @Test
     void restartUnderTheSameIdIsColdAgain() {
         BalancerFixture fixture = new BalancerFixture(BalancerFixture.RETRYABLE).withEndpoints(2);
         int first = requestsServedAfterStart(fixture, 200, "e0", 100);
-        assertTrue(first < 30, "restarted got " + first);
+        assertTrue(first < 30, "requests to the restarted endpoint: " + first);
     }
 
     @Test
@@ -411,9 +412,9 @@
     @Test
     void unknownAndRepeatedEventsAreIgnored() {
         BalancerFixture fixture = new BalancerFixture(BalancerFixture.RETRYABLE).withEndpoints(3);
-        fixture.endAttempt("nobody", Outcome.FAILED, 1);
-        fixture.balancer.onRequestGone(fixture.now, "nobody");
-        fixture.balancer.onStreamStarted(fixture.now, "nobody", 3);
+        fixture.endAttempt("unknown", Outcome.FAILED, 1);
+        fixture.balancer.onRequestGone(fixture.now, "unknown");
+        fixture.balancer.onStreamStarted(fixture.now, "unknown", 3);
         String id = fixture.request(0, "k", 1_000_000);
         fixture.endAttempt(id, Outcome.OK, 1_000);
         int before = fixture.log.size();
@@ -450,7 +451,7 @@
         for (int i = 0; i < 6; i++) {
             sent += fixture.endpointOf(fixture.request(0, "k" + i, 1_000_000)) == null ? 0 : 1;
         }
-        assertTrue(sent <= 1, "sent " + sent);
+        assertTrue(sent <= 1, "attempts sent: " + sent);
     }
 
     @Test
--- a/src/test/java/quartzspan/loadbalancing/RingTest.java
+++ b/src/test/java/quartzspan/loadbalancing/RingTest.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** The ring against a plain sorted map, through many joins and leaves. */
+/** Compares the ring with a sorted map while owners join and leave. */
 class RingTest {
 
     @Test
