--- a/src/main/java/quartzspan/loadbalancing/RingHashLoadBalancer.java
+++ b/src/main/java/quartzspan/loadbalancing/RingHashLoadBalancer.java
@@ -18,7 +18,7 @@
  * walks the ring from the hash of the key, or a random hash, to the first endpoint that is ready, not
  * ejected, permitted by the effect, and within its slow start, concurrency limit and load bound. Keyless
  * requests open one connection at a time. Without a usable endpoint, requests are queued briefly, by value.
- * While the whole fleet is overloaded, only a share is admitted, by value, and endpoints may be probed first.
+ * While the entire fleet is overloaded, only a share is admitted, by value, and endpoints may be probed first.
  * A failed attempt is retried at the next owner if effect, time and retry budget permit; else the request is
  * refused where that is a true statement, and failed where it is not.
  */
@@ -81,7 +81,7 @@
     private static final double TENANT_DECAY_US = 10_000_000; // time constant of the tenants' request counts
 
     private static final double LOAD_BOUND = 1.25; // multiple of an owner's fair share of the offered load
-    /** Time constant of the decay of offered load: long, since each of many instances sees few requests. */
+    /** Time constant of the decay of offered load: long, since each of many instances gets few requests. */
     private static final double LOAD_DECAY_US = 30_000_000;
     /**
      * Multiple of its share of all sends that a cold endpoint may take. The share follows the least capacity
