--- a/src/main/java/quartzspan/loadbalancing/RingHashLoadBalancer.java
+++ b/src/main/java/quartzspan/loadbalancing/RingHashLoadBalancer.java
@@ -18,7 +18,7 @@
  * walks the ring from the hash of the key, or a random hash, to the first endpoint that is ready, not
  * ejected, permitted by the effect, and within its slow start, concurrency limit and load bound. Keyless
  * requests open one connection at a time. Without a usable endpoint, requests are queued briefly, by value.
- * While the entire fleet is overloaded, only a share is admitted, by value, and endpoints may be probed first.
+ * While the fleet is overloaded, only a share is admitted, by value, and endpoints may be probed first.
  * A failed attempt is retried at the next owner if effect, time and retry budget permit; else the request is
  * refused where that is a true statement, and failed where it is not.
  */
