--- a/src/main/java/quartzspan/loadbalancing/Ring.java
+++ b/src/main/java/quartzspan/loadbalancing/Ring.java
@@ -7,14 +7,14 @@
 import java.util.List;
 
 /**
- * A hash ring as in gRFC A42: one sorted array of points, searched by bisection. A point's low 16 bits name
- * the slot of its owner, so nothing is boxed. {@link #merge} moves only the points of owners that come or go.
+ * A hash ring as in gRFC A42: a sorted array of points with binary search. The low 16 bits of a point are the
+ * slot of its owner, so nothing is boxed. {@link #merge} moves only the points of owners that join or leave.
  *
- * @param <T> the owners, told apart by identity
+ * @param <T> type of the owners, compared by identity
  */
 final class Ring<T> {
-    private static final int SLOT_BITS = 0xffff;
-    /** What ids and keys are hashed by, everywhere. */
+    private static final int SLOT_MASK = 0xffff;
+    /** Hash function of ids and keys. */
     static final Hasher64 HASH = Hashing.xxh3_64();
 
     private long[] points = {};
@@ -26,9 +26,9 @@
     private boolean changed;
 
     /**
-     * The points of an owner: hashes of its own hash and a running number.
+     * The points of an owner: hashes of its hash and a sequence number.
      *
-     * @param hash of the owner's id
+     * @param hash hash of the owner's id
      */
     static long[] points(long hash, int count) {
         long[] points = new long[count];
@@ -36,7 +36,7 @@
         return points;
     }
 
-    /** Adds an owner; its points count after the next {@link #merge}. */
+    /** Adds an owner; its points take effect with the next {@link #merge}. */
     void add(T owner, long[] hashes) {
         changed = true;
         joining.add(owner);
@@ -46,25 +46,25 @@
     /** Removes an owner; until the next {@link #merge} the ring must not be walked. */
     void remove(T owner) {
         changed = true;
-        int at = joining.indexOf(owner);
-        if (at >= 0) {
-            joining.remove(at);
-            joiningPoints.remove(at);
+        int index = joining.indexOf(owner);
+        if (index >= 0) {
+            joining.remove(index);
+            joiningPoints.remove(index);
         } else {
             slots.set(slots.indexOf(owner), null);
         }
     }
 
-    /** Takes off the points of owners that left and merges in those that joined; nothing, if none did. */
+    /** Removes the points of owners that left and merges in those of owners that joined. */
     void merge() {
         if (!changed) {
             return;
         }
         changed = false;
         long[] kept = Arrays.stream(points)
-                .filter(p -> slots.get((int) p & SLOT_BITS) != null)
+                .filter(p -> slots.get((int) p & SLOT_MASK) != null)
                 .toArray();
-        long[] fresh = new long[joiningPoints.stream().mapToInt(h -> h.length).sum()];
+        long[] added = new long[joiningPoints.stream().mapToInt(h -> h.length).sum()];
         int filled = 0;
         for (int i = 0; i < joining.size(); i++) {
             int slot = slots.indexOf(null);
@@ -74,16 +74,16 @@
             }
             slots.set(slot, joining.get(i));
             for (long hash : joiningPoints.get(i)) {
-                fresh[filled++] = hash & ~SLOT_BITS | slot;
+                added[filled++] = hash & ~SLOT_MASK | slot;
             }
         }
         joining.clear();
         joiningPoints.clear();
-        Arrays.sort(fresh);
-        points = new long[kept.length + fresh.length];
+        Arrays.sort(added);
+        points = new long[kept.length + added.length];
         for (int i = 0, j = 0; i + j < points.length; ) {
-            boolean old = j == fresh.length || i < kept.length && kept[i] < fresh[j];
-            points[i + j] = old ? kept[i++] : fresh[j++];
+            boolean takeKept = j == added.length || i < kept.length && kept[i] < added[j];
+            points[i + j] = takeKept ? kept[i++] : added[j++];
         }
     }
 
@@ -92,14 +92,14 @@
         return points.length;
     }
 
-    /** Place of the first point at or after a hash; may be {@link #size}, which {@link #owner} takes as 0. */
-    int first(long hash) {
-        int at = Arrays.binarySearch(points, hash & ~SLOT_BITS);
-        return at < 0 ? ~at : at;
+    /** Index of the first point at or after a hash; may be {@link #size}, which {@link #owner} treats as 0. */
+    int firstIndex(long hash) {
+        int index = Arrays.binarySearch(points, hash & ~SLOT_MASK);
+        return index < 0 ? ~index : index;
     }
 
-    /** Owner of the point at a place; places go round. */
-    T owner(int place) {
-        return slots.get((int) points[place % points.length] & SLOT_BITS);
+    /** Owner of the point at an index; indexes wrap around. */
+    T owner(int index) {
+        return slots.get((int) points[index % points.length] & SLOT_MASK);
     }
 }
--- a/src/test/java/example/EmbeddingTest.java
+++ b/src/test/java/example/EmbeddingTest.java
@@ -22,10 +22,10 @@
 import quartzspan.loadbalancing.LoadBalancer.Settings;
 import quartzspan.loadbalancing.LoadBalancer.Source;
 
-/** The README's example, from another package, with actions that write down what they are told. */
+/** The README's example, compiled in another package, with actions that record their calls. */
 class EmbeddingTest {
     @Test
-    void exampleOfTheReadmeWorks() {
+    void readmeExampleWorks() {
         List<String> log = new ArrayList<>();
         Actions actions = new Actions() {
             @Override
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void readmeShowsTheSameLines() throws Exception {
+    void readmeContainsTheExampleLines() throws Exception {
         String source = Files.readString(Path.of("src/test/java/example/EmbeddingTest.java"));
         String readme = Files.readString(Path.of("README.md"));
         String body = source.substring(source.indexOf("// <example>") + 12, source.indexOf("// </example>"));
--- a/src/test/java/quartzspan/loadbalancing/ModuleIndependenceTest.java
+++ b/src/test/java/quartzspan/loadbalancing/ModuleIndependenceTest.java
@@ -9,23 +9,23 @@
 import java.util.Locale;
 import org.junit.jupiter.api.Test;
 
-/** The module's size, width and ignorance of any deployment. */
+/** Size limits of the load balancer's source, and its independence of any deployment. */
 class ModuleIndependenceTest {
-    private static final Path MODULE = Path.of("src/main/java/quartzspan/loadbalancing/RingHashLoadBalancer.java");
+    private static final Path SOURCE = Path.of("src/main/java/quartzspan/loadbalancing/RingHashLoadBalancer.java");
 
     @Test
-    void moduleIsShortAndNarrow() throws Exception {
-        List<String> lines = Files.readAllLines(MODULE);
-        long filled = lines.stream().filter(l -> !l.isBlank()).count();
-        assertTrue(filled <= 900, filled + " lines");
+    void loadBalancerStaysWithinItsSizeLimits() throws Exception {
+        List<String> lines = Files.readAllLines(SOURCE);
+        long filledLines = lines.stream().filter(l -> !l.isBlank()).count();
+        assertTrue(filledLines <= 900, filledLines + " lines with text");
         for (String line : lines) {
             assertTrue(line.length() <= 110, line);
         }
     }
 
     @Test
-    void moduleKnowsNoDeployment() throws Exception {
-        for (Path file : List.of(MODULE, Path.of("src/main/java/quartzspan/loadbalancing/LoadBalancer.java"))) {
+    void loadBalancerContainsNoDeploymentNames() throws Exception {
+        for (Path file : List.of(SOURCE, Path.of("src/main/java/quartzspan/loadbalancing/LoadBalancer.java"))) {
             String text = Files.readString(file).toLowerCase(Locale.ROOT);
             for (String name : List.of(
                     "lisboa",
@@ -42,7 +42,7 @@
                     "rotas",
                     "getname",
                     ".name()")) {
-                assertFalse(text.contains(name), file + ": " + name);
+                assertFalse(text.contains(name), file + " contains the deployment name " + name);
             }
         }
     }
--- a/src/test/java/quartzspan/loadbalancing/RetryBudgetTest.java
+++ b/src/test/java/quartzspan/loadbalancing/RetryBudgetTest.java
@@ -5,12 +5,12 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How many retries a proxy may send. */
+/** Number of retries that a proxy may send. */
 class RetryBudgetTest {
     private final RetryBudget budget = new RetryBudget();
 
     @Test
-    void retriesAreEarnedByRequestsAndANewProcessHasNone() {
+    void requestsEarnRetriesAndANewProcessHasNone() {
         assertFalse(budget.tryAcquire());
         for (int i = 0; i < 100; i++) {
             budget.onRequest(0.2, 60, 6);
--- a/src/test/java/quartzspan/loadbalancing/RingTest.java
+++ b/src/test/java/quartzspan/loadbalancing/RingTest.java
@@ -7,11 +7,11 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** The ring against a plain sorted map, through many joins and leaves. */
+/** Compares the ring with a sorted map while owners join and leave. */
 class RingTest {
 
     @Test
-    void mergingGivesTheSameOwnersAsAMap() {
+    void mergedRingHasTheSameOwnersAsASortedMap() {
         Random random = new Random(3);
         Ring<String> ring = new Ring<>();
         TreeMap<Long, String> map = new TreeMap<>();
@@ -35,7 +35,8 @@
                 long hash = random.nextLong();
                 var entry = map.ceilingEntry(hash & ~0xffffL);
                 assertSame(
-                        entry == null ? map.firstEntry().getValue() : entry.getValue(), ring.owner(ring.first(hash)));
+                        entry == null ? map.firstEntry().getValue() : entry.getValue(),
+                        ring.owner(ring.firstIndex(hash)));
             }
         }
     }
