--- a/src/test/java/quartzspan/soak/ControlClient.java
+++ b/src/test/java/quartzspan/soak/ControlPlaneClient.java
@@ -7,7 +7,7 @@
 import quartzspan.http.LoopbackPeers.Message;
 
 /** Calls of servers and operators to the core: at any machine, redirected twice at most, a second of patience each. */
-final class ControlClient {
+final class ControlPlaneClient {
     private static final int TIMEOUT_MS = 1_000;
     private static final int MAX_REDIRECTS = 2;
 
@@ -15,7 +15,7 @@
     private final int port;
     private final SplittableRandom random;
 
-    ControlClient(List<String> hosts, int port, SplittableRandom random) {
+    ControlPlaneClient(List<String> hosts, int port, SplittableRandom random) {
         this.hosts = hosts;
         this.port = port;
         this.random = random;
@@ -35,7 +35,7 @@
     }
 
     private Message callAt(String host, String method, String path, String headers, String body) {
-        try (HttpExchange exchange = new HttpExchange(host, port, TIMEOUT_MS)) {
+        try (HttpClientConnection exchange = new HttpClientConnection(host, port, TIMEOUT_MS)) {
             exchange.write(method + ' ' + path + " HTTP/1.1\r\nHost: c\r\nConnection: close\r\n" + headers
                     + "Content-Type: application/json\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
             return exchange.read(TIMEOUT_MS);
--- a/src/test/java/quartzspan/soak/FleetProcess.java
+++ b/src/test/java/quartzspan/soak/FleetProcess.java
@@ -8,21 +8,21 @@
 
 /** One of the fleet's programs as a process, started again with the same settings after each end. */
 final class FleetProcess implements AutoCloseable {
-    private static final List<String> JVM =
+    private static final List<String> JVM_OPTIONS =
             List.of("-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC", "-Xmx96m", "-Xss512k", "-XX:-UsePerfData");
-    private static final long END_PATIENCE_S = 20;
+    private static final long KILL_TIMEOUT_S = 20;
 
     private final String name;
     private final String host;
-    private final Class<?> program;
+    private final Class<?> mainClass;
     private final Path settings;
     private final Path log;
     private Process process;
 
-    FleetProcess(String name, String host, Class<?> program, Path settings) {
+    FleetProcess(String name, String host, Class<?> mainClass, Path settings) {
         this.name = name;
         this.host = host;
-        this.program = program;
+        this.mainClass = mainClass;
         this.settings = settings;
         this.log = settings.resolveSibling(name + ".log");
     }
@@ -42,8 +42,8 @@
     synchronized void start() throws IOException {
         ProcessBuilder builder = new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        builder.command().addAll(JVM);
-        builder.command().addAll(List.of("-cp", System.getProperty("java.class.path"), program.getName()));
+        builder.command().addAll(JVM_OPTIONS);
+        builder.command().addAll(List.of("-cp", System.getProperty("java.class.path"), mainClass.getName()));
         builder.environment().put("QUARTZSPAN_CONFIG", settings.toString());
         builder.redirectErrorStream(true);
         builder.redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
@@ -62,16 +62,16 @@
     }
 
     /** Waits until the process has ended by itself; whether it did in time. */
-    boolean awaitEnd(long timeoutMs) throws InterruptedException {
-        return current().waitFor(timeoutMs, TimeUnit.MILLISECONDS);
+    boolean awaitExit(long timeoutMs) throws InterruptedException {
+        return currentProcess().waitFor(timeoutMs, TimeUnit.MILLISECONDS);
     }
 
-    private synchronized Process current() {
+    private synchronized Process currentProcess() {
         return process;
     }
 
     void kill() throws InterruptedException {
-        current().destroyForcibly().waitFor(END_PATIENCE_S, TimeUnit.SECONDS);
+        currentProcess().destroyForcibly().waitFor(KILL_TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     /** What it has logged. */
@@ -81,6 +81,6 @@
 
     @Override
     public void close() {
-        current().destroyForcibly().onExit().join();
+        currentProcess().destroyForcibly().onExit().join();
     }
 }
--- a/src/test/java/quartzspan/soak/HttpExchange.java
+++ b/src/test/java/quartzspan/soak/HttpClientConnection.java
@@ -12,13 +12,13 @@
 import quartzspan.http.LoopbackPeers.Message;
 
 /** A client's connection that is used for one request after another; blocking. */
-final class HttpExchange implements AutoCloseable {
+final class HttpClientConnection implements AutoCloseable {
     private static final int CHUNK_RADIX = 16;
 
     private final Socket socket = new Socket();
     private InputStream in;
 
-    HttpExchange(String host, int port, int timeoutMs) throws IOException {
+    HttpClientConnection(String host, int port, int timeoutMs) throws IOException {
         try {
             socket.connect(new InetSocketAddress(host, port), timeoutMs);
             socket.setTcpNoDelay(true);
--- a/src/test/java/quartzspan/soak/ModelServer.java
+++ b/src/test/java/quartzspan/soak/ModelServer.java
@@ -29,14 +29,14 @@
 final class ModelServer implements HttpServer.RequestHandler {
     static final String MODEL = "m";
     /** How many events a request asks for, and how far they are apart. */
-    static final String EVENTS = "x-soak-events";
+    static final String EVENT_COUNT_HEADER = "x-soak-events";
 
-    static final String PAUSE_MS = "x-soak-pause-ms";
+    static final String EVENT_INTERVAL_MS_HEADER = "x-soak-pause-ms";
 
     private static final int CAPACITY = 16;
     private static final int MAX_QUEUED = 48;
-    private static final long LOAD_MS = 500;
-    private static final long KV_EVENTS_WAIT_MS = 900;
+    private static final long LOAD_DURATION_MS = 500;
+    private static final long KV_EVENTS_POLL_MS = 900;
     private static final HttpServer.ConnectionLimits LIMITS =
             new HttpServer.ConnectionLimits(2_000, 32 * 1024, 64 * 1024, 20_000, 20_000);
 
@@ -45,22 +45,22 @@
     private final SoakClock clock;
     private final SoakRecord record;
     private final HttpServer http;
-    private final ArrayDeque<RunningRequest> queued = new ArrayDeque<>();
-    private final Set<RunningRequest> running = new HashSet<>();
-    private long weights;
-    private long loading;
-    private int ordersTaken;
+    private final ArrayDeque<InferenceRequest> queued = new ArrayDeque<>();
+    private final Set<InferenceRequest> running = new HashSet<>();
+    private long weightsVersion;
+    private long loadingVersion;
+    private int acceptedOrders;
 
     /** Starts to listen on a port of its own; to be called off the event loop. */
-    static ModelServer start(String id, long weights, EventLoop loop, SoakClock clock, SoakRecord record) {
-        return loop.submit(() -> new ModelServer(id, weights, loop, clock, record))
+    static ModelServer start(String id, long weightsVersion, EventLoop loop, SoakClock clock, SoakRecord record) {
+        return loop.submit(() -> new ModelServer(id, weightsVersion, loop, clock, record))
                 .syncUninterruptibly()
                 .getNow();
     }
 
-    private ModelServer(String id, long weights, EventLoop loop, SoakClock clock, SoakRecord record) {
+    private ModelServer(String id, long weightsVersion, EventLoop loop, SoakClock clock, SoakRecord record) {
         this.id = id;
-        this.weights = weights;
+        this.weightsVersion = weightsVersion;
         this.loop = loop;
         this.clock = clock;
         this.record = record;
@@ -77,17 +77,17 @@
         return loop.submit(() ->
                         "{\"service\":\"s\",\"address\":\"127.0.0.1:" + http.port() + "\",\"zone\":\"z\",\"state\":\""
                                 + state + "\",\"capacity\":" + CAPACITY + ",\"models\":[{\"name\":\"" + MODEL
-                                + "\",\"version\":" + weights + "}],\"call_count\":" + ordersTaken + "}")
+                                + "\",\"version\":" + weightsVersion + "}],\"call_count\":" + acceptedOrders + "}")
                 .syncUninterruptibly()
                 .getNow();
     }
 
-    long weights() {
-        return loop.submit(() -> weights).syncUninterruptibly().getNow();
+    long weightsVersion() {
+        return loop.submit(() -> weightsVersion).syncUninterruptibly().getNow();
     }
 
     /** Takes no more connections and requests; what runs goes on to its end. */
-    void retire() {
+    void shutDownGracefully() {
         loop.submit(() -> {
                     http.closeAfterResponses();
                     http.close();
@@ -116,7 +116,7 @@
     }
 
     @Override
-    public void onRequest(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
+    public void onRequest(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long receivedAtUs) {
         String path = in.uri().split("\\?", 2)[0];
         switch (path) {
             case "/quartzspan/order" -> onOrder(client, in, JsonFields.parse(body));
@@ -126,7 +126,7 @@
                             client,
                             HttpResponseStatus.OK,
                             "{\"epoch\":1,\"next_token\":0,\"lost\":false,\"events\":[]}"),
-                    KV_EVENTS_WAIT_MS,
+                    KV_EVENTS_POLL_MS,
                     TimeUnit.MILLISECONDS);
             case "/quartzspan/kv-list" -> answer(
                     client, HttpResponseStatus.OK, "{\"epoch\":1,\"next_token\":0,\"held\":[]}");
@@ -135,8 +135,10 @@
     }
 
     private String report() {
-        return "{\"busy\":" + (loading > 0) + ",\"models\":[{\"name\":\"" + MODEL + "\",\"version\":" + weights
-                + "}],\"call_count\":" + ordersTaken + ",\"queued\":" + queued.size() + ",\"active\":" + running.size()
+        return "{\"busy\":" + (loadingVersion > 0) + ",\"models\":[{\"name\":\"" + MODEL + "\",\"version\":"
+                + weightsVersion
+                + "}],\"call_count\":" + acceptedOrders + ",\"queued\":" + queued.size() + ",\"active\":"
+                + running.size()
                 + "}";
     }
 
@@ -147,66 +149,66 @@
                 0);
     }
 
-    // ---- weights -------------------------------------------------------------------------------------
+    // ---- weights --
 
     private void onOrder(HttpServer.ClientConnection client, HttpRequest in, JsonObject order) {
-        if (isForAnother(in)) {
+        if (isMisdirected(in)) {
             answer(client, HttpResponseStatus.MISDIRECTED_REQUEST, "{}");
             return;
         }
         long version = JsonFields.wholeNumber(order, "version", 0);
         record.orders.add(new SoakRecord.ServerOrder(
                 id, order.getString("holder"), JsonFields.wholeNumber(order, "fencing_token", -1), clock.nowMs()));
-        if (loading == 0 && weights == version) {
+        if (loadingVersion == 0 && weightsVersion == version) {
             answer(client, HttpResponseStatus.OK, "{}");
-        } else if (loading != 0 && loading != version) {
+        } else if (loadingVersion != 0 && loadingVersion != version) {
             answer(client, HttpResponseStatus.CONFLICT, "{}");
         } else {
             answer(client, HttpResponseStatus.ACCEPTED, "{}");
-            beginLoad(version);
+            startLoading(version);
         }
     }
 
-    private void beginLoad(long version) {
-        if (loading == 0) {
-            loading = version;
-            ordersTaken++;
-            queued.forEach(RunningRequest::reject);
+    private void startLoading(long version) {
+        if (loadingVersion == 0) {
+            loadingVersion = version;
+            acceptedOrders++;
+            queued.forEach(InferenceRequest::reject);
             queued.clear();
-            loadOnceIdle();
+            loadWhenIdle();
         }
     }
 
-    private void loadOnceIdle() {
-        if (loading > 0 && running.isEmpty()) {
-            loop.schedule(this::endLoad, LOAD_MS, TimeUnit.MILLISECONDS);
+    private void loadWhenIdle() {
+        if (loadingVersion > 0 && running.isEmpty()) {
+            loop.schedule(this::finishLoading, LOAD_DURATION_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void endLoad() {
-        if (loading > 0) {
-            weights = loading;
-            loading = 0;
+    private void finishLoading() {
+        if (loadingVersion > 0) {
+            weightsVersion = loadingVersion;
+            loadingVersion = 0;
         }
     }
 
     // ---- clients' requests ---------------------------------------------------------------------------
 
-    private boolean isForAnother(HttpRequest in) {
+    private boolean isMisdirected(HttpRequest in) {
         return !id.equals(in.headers().get("X-Expected-Instance", id));
     }
 
     private void onClientRequest(HttpServer.ClientConnection client, HttpRequest in) {
-        RunningRequest request = new RunningRequest(client, in.headers());
+        InferenceRequest request = new InferenceRequest(client, in.headers());
         String expected = in.headers().get("Expect-Version", "");
-        if (isForAnother(in)) {
+        if (isMisdirected(in)) {
             answer(client, HttpResponseStatus.MISDIRECTED_REQUEST, "{}");
             return;
         }
         record.arrivals.add(new SoakRecord.Arrival(request.attemptId, id, clock.nowMs()));
-        if (!expected.isEmpty() && Long.parseLong(expected) != weights) {
+        if (!expected.isEmpty() && Long.parseLong(expected) != weightsVersion) {
             request.answer(HttpResponseStatus.MISDIRECTED_REQUEST);
-        } else if (loading > 0 || queued.size() >= MAX_QUEUED) {
+        } else if (loadingVersion > 0 || queued.size() >= MAX_QUEUED) {
             request.reject();
         } else {
             client.onDisconnect(() -> queued.remove(request));
@@ -217,81 +219,87 @@
 
     private void runNext() {
         while (running.size() < CAPACITY && !queued.isEmpty()) {
-            RunningRequest next = queued.poll();
+            InferenceRequest next = queued.poll();
             if (clock.nowMs() >= next.deadlineMs) {
                 next.reject();
             } else {
-                next.begin();
+                next.start();
             }
         }
-        loadOnceIdle();
+        loadWhenIdle();
     }
 
     /** A request of a client, from its arrival to the end of its answer. */
-    private final class RunningRequest {
+    private final class InferenceRequest {
         private final HttpServer.ClientConnection client;
         private final String attemptId;
         private final String tenant;
         private final long deadlineMs;
-        private final long pauseMs;
-        private int eventsLeft;
-        private long beganAtMs;
-        private long beganOnWeights;
+        private final long eventIntervalMs;
+        private int remainingEvents;
+        private long startedAtMs;
+        private long startedOnVersion;
 
-        RunningRequest(HttpServer.ClientConnection client, HttpHeaders headers) {
+        InferenceRequest(HttpServer.ClientConnection client, HttpHeaders headers) {
             this.client = client;
             this.attemptId = headers.get("X-Attempt-Id", "");
             this.tenant = headers.get("X-Tenant", "");
             this.deadlineMs = clock.nowMs() + Long.parseLong(headers.get("X-Deadline-Ms", "0"));
-            this.eventsLeft = headers.getInt(EVENTS, 1);
-            this.pauseMs = headers.getInt(PAUSE_MS, 1);
+            this.remainingEvents = headers.getInt(EVENT_COUNT_HEADER, 1);
+            this.eventIntervalMs = headers.getInt(EVENT_INTERVAL_MS_HEADER, 1);
         }
 
-        private HttpHeaders marks() {
+        private HttpHeaders identityHeaders() {
             return new DefaultHttpHeaders().set("X-Attempt-Id", attemptId).set("X-Instance-Id", id);
         }
 
         void answer(HttpResponseStatus status) {
             client.answer(
-                    status, new ConnectionPool.Response(new byte[0], null, marks().set("X-Not-Executed", "1")), 0);
+                    status,
+                    new ConnectionPool.Response(
+                            new byte[0], null, identityHeaders().set("X-Not-Executed", "1")),
+                    0);
         }
 
         void reject() {
             answer(HttpResponseStatus.SERVICE_UNAVAILABLE);
         }
 
-        void begin() {
+        void start() {
             running.add(this);
-            beganAtMs = clock.nowMs();
-            beganOnWeights = weights;
-            client.onDisconnect(this::end);
+            startedAtMs = clock.nowMs();
+            startedOnVersion = weightsVersion;
+            client.onDisconnect(this::finish);
             HttpResponse head = new DefaultHttpResponse(
-                    HttpVersion.HTTP_1_1, HttpResponseStatus.OK, marks().set("X-Server-Seal", id));
+                    HttpVersion.HTTP_1_1,
+                    HttpResponseStatus.OK,
+                    identityHeaders().set("X-Server-Seal", id));
             head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
             client.startResponse(head);
-            nextEvent();
+            sendNextEvent();
         }
 
-        private void nextEvent() {
+        private void sendNextEvent() {
             if (!running.contains(this)) {
                 return;
             }
             if (clock.nowMs() >= deadlineMs) {
                 client.abort();
-            } else if (eventsLeft == 0) {
+            } else if (remainingEvents == 0) {
                 client.finishResponse();
-                end();
+                finish();
             } else {
                 byte[] event = ("data: " + attemptId + "\n\n").getBytes(StandardCharsets.ISO_8859_1);
                 client.writeChunk(Unpooled.wrappedBuffer(event));
-                eventsLeft--;
-                loop.schedule(this::nextEvent, pauseMs, TimeUnit.MILLISECONDS);
+                remainingEvents--;
+                loop.schedule(this::sendNextEvent, eventIntervalMs, TimeUnit.MILLISECONDS);
             }
         }
 
-        private void end() {
+        private void finish() {
             if (running.remove(this)) {
-                record.runs.add(new SoakRecord.Run(attemptId, id, tenant, beganOnWeights, beganAtMs, clock.nowMs()));
+                record.executions.add(
+                        new SoakRecord.Execution(attemptId, id, tenant, startedOnVersion, startedAtMs, clock.nowMs()));
                 runNext();
             }
         }
--- a/src/test/java/quartzspan/soak/ReadinessMonitor.java
+++ b/src/test/java/quartzspan/soak/ReadinessMonitor.java
@@ -9,29 +9,29 @@
 
 /** The platform's entry: asks each proxy every second whether it is ready, and names one for a new connection. */
 final class ReadinessMonitor {
-    static final long INTERVAL_MS = 1_000;
-    private static final int TIMEOUT_MS = 500;
-    private static final int MAX_MISSES = 2;
+    static final long PROBE_INTERVAL_MS = 1_000;
+    private static final int PROBE_TIMEOUT_MS = 500;
+    private static final int UNHEALTHY_THRESHOLD = 2;
 
     private final int port;
     /** Questions in a row without a 200, by proxy. */
-    private final Map<String, Integer> misses = new ConcurrentHashMap<>();
+    private final Map<String, Integer> failedProbes = new ConcurrentHashMap<>();
 
     ReadinessMonitor(List<String> hosts, int port) {
         this.port = port;
-        hosts.forEach(host -> misses.put(host, MAX_MISSES));
+        hosts.forEach(host -> failedProbes.put(host, UNHEALTHY_THRESHOLD));
     }
 
     /** Asks one proxy. */
     void probe(String host) {
         boolean ready = isReady(host);
-        misses.merge(host, 1, (before, one) -> ready ? 0 : before + one);
+        failedProbes.merge(host, 1, (before, one) -> ready ? 0 : before + one);
     }
 
     private boolean isReady(String host) {
-        try (HttpExchange exchange = new HttpExchange(host, port, TIMEOUT_MS)) {
+        try (HttpClientConnection exchange = new HttpClientConnection(host, port, PROBE_TIMEOUT_MS)) {
             exchange.write("GET /quartzspan/readiness HTTP/1.1\r\nHost: r\r\nConnection: close\r\n\r\n");
-            return exchange.read(TIMEOUT_MS).status() == 200;
+            return exchange.read(PROBE_TIMEOUT_MS).status() == 200;
         } catch (IOException noAnswer) {
             return false;
         }
@@ -39,23 +39,24 @@
 
     /** A proxy that is in; where under half are, any. Null if there is none at all. */
     String pick(SplittableRandom random) {
-        List<String> in = new ArrayList<>();
-        misses.forEach((host, missed) -> {
-            if (missed < MAX_MISSES) {
-                in.add(host);
+        List<String> healthy = new ArrayList<>();
+        failedProbes.forEach((host, failures) -> {
+            if (failures < UNHEALTHY_THRESHOLD) {
+                healthy.add(host);
             }
         });
-        List<String> from = 2 * in.size() < misses.size() ? List.copyOf(misses.keySet()) : in;
-        return from.get(random.nextInt(from.size()));
+        List<String> candidates =
+                2 * healthy.size() < failedProbes.size() ? List.copyOf(failedProbes.keySet()) : healthy;
+        return candidates.get(random.nextInt(candidates.size()));
     }
 
     /** Whether all proxies are in. */
     boolean allReady() {
-        return misses.values().stream().allMatch(missed -> missed < MAX_MISSES);
+        return failedProbes.values().stream().allMatch(failures -> failures < UNHEALTHY_THRESHOLD);
     }
 
     @Override
     public String toString() {
-        return "questions missed " + misses;
+        return "questions missed " + failedProbes;
     }
 }
--- a/src/test/java/quartzspan/soak/SoakClient.java
+++ b/src/test/java/quartzspan/soak/SoakClient.java
@@ -17,53 +17,53 @@
 final class SoakClient implements Runnable {
     private static final AtomicLong NEXT_ATTEMPT = new AtomicLong();
     private static final int CONNECT_TIMEOUT_MS = 1_000;
-    private static final int PATIENCE_BEYOND_DEADLINE_MS = 2_000;
+    private static final int RESPONSE_TIMEOUT_MARGIN_MS = 2_000;
     private static final int LONG_DEADLINE_MS = 15_000;
     private static final int SHORT_DEADLINE_MS = 3_000;
-    private static final int MAX_REST_MS = 2_500;
-    private static final int RECONNECT_MS = 50;
+    private static final int MAX_PAUSE_MS = 2_500;
+    private static final int RECONNECT_DELAY_MS = 50;
 
     private final SoakClock clock;
     private final SoakRecord record;
     private final ReadinessMonitor readiness;
     private final int port;
-    private final Supplier<String> keys;
-    private final BooleanSupplier goesOn;
+    private final Supplier<String> apiKeys;
+    private final BooleanSupplier shouldContinue;
     private final SplittableRandom random;
     private String proxy;
-    private HttpExchange connection;
+    private HttpClientConnection connection;
 
     SoakClient(
             SoakClock clock,
             SoakRecord record,
             ReadinessMonitor readiness,
             int port,
-            Supplier<String> keys,
-            BooleanSupplier goesOn,
+            Supplier<String> apiKeys,
+            BooleanSupplier shouldContinue,
             SplittableRandom random) {
         this.clock = clock;
         this.record = record;
         this.readiness = readiness;
         this.port = port;
-        this.keys = keys;
-        this.goesOn = goesOn;
+        this.apiKeys = apiKeys;
+        this.shouldContinue = shouldContinue;
         this.random = random;
     }
 
     @Override
     public void run() {
-        while (goesOn.getAsBoolean()) {
+        while (shouldContinue.getAsBoolean()) {
             if (connection == null && !connect()) {
-                rest(RECONNECT_MS);
+                pause(RECONNECT_DELAY_MS);
                 continue;
             }
-            sendOne();
-            rest(random.nextInt(8) == 0 ? random.nextInt(MAX_REST_MS) : random.nextInt(40));
+            sendRequest();
+            pause(random.nextInt(8) == 0 ? random.nextInt(MAX_PAUSE_MS) : random.nextInt(40));
         }
         disconnect();
     }
 
-    private static void rest(long ms) {
+    private static void pause(long ms) {
         LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(ms));
     }
 
@@ -73,9 +73,9 @@
             return false;
         }
         try {
-            connection = new HttpExchange(proxy, port, CONNECT_TIMEOUT_MS);
+            connection = new HttpClientConnection(proxy, port, CONNECT_TIMEOUT_MS);
             return true;
-        } catch (IOException refused) {
+        } catch (IOException e) {
             return false;
         }
     }
@@ -87,40 +87,41 @@
         }
     }
 
-    private void sendOne() {
+    private void sendRequest() {
         boolean isLong = random.nextInt(3) == 0;
         int deadlineMs = isLong ? LONG_DEADLINE_MS : SHORT_DEADLINE_MS;
         String path = isLong ? "/long/" : "/short/";
         int events = isLong ? random.nextInt(4, 30) : 2;
-        int pauseMs = isLong ? random.nextInt(40, 220) : 15;
+        int eventIntervalMs = isLong ? random.nextInt(40, 220) : 15;
         String attemptId = "a" + NEXT_ATTEMPT.incrementAndGet();
-        String key = keys.get();
+        String key = apiKeys.get();
         String request = "POST " + path + "x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: " + attemptId
                 + "\r\nX-Deadline-Ms: " + deadlineMs + "\r\nAuthorization: Token " + key + "\r\nX-Model: "
                 + ModelServer.MODEL + "\r\nX-Token-Count: 30,4\r\nX-Prompt-Prefix: " + attemptId.substring(1)
-                + ":10\r\n" + ModelServer.EVENTS + ": " + events + "\r\n" + ModelServer.PAUSE_MS + ": " + pauseMs
+                + ":10\r\n" + ModelServer.EVENT_COUNT_HEADER + ": " + events + "\r\n"
+                + ModelServer.EVENT_INTERVAL_MS_HEADER + ": " + eventIntervalMs
                 + "\r\nContent-Length: 0\r\n\r\n";
         long sentAtMs = clock.nowMs();
-        SoakRecord.End end = SoakRecord.End.ANSWERED;
+        SoakRecord.Outcome outcome = SoakRecord.Outcome.COMPLETED;
         int status = 0;
         String body = "";
         try {
             connection.write(request);
             sentAtMs = clock.nowMs();
-            Message answer = connection.read(deadlineMs + PATIENCE_BEYOND_DEADLINE_MS);
+            Message answer = connection.read(deadlineMs + RESPONSE_TIMEOUT_MARGIN_MS);
             status = answer.status();
             body = answer.text();
             if ("close".equals(answer.header("connection"))) {
                 disconnect();
             }
-        } catch (SocketTimeoutException silence) {
-            end = SoakRecord.End.SILENT;
+        } catch (SocketTimeoutException timeout) {
+            outcome = SoakRecord.Outcome.TIMED_OUT;
             disconnect();
-        } catch (IOException | NumberFormatException broken) {
-            end = SoakRecord.End.CUT;
+        } catch (IOException | NumberFormatException e) {
+            outcome = SoakRecord.Outcome.DISCONNECTED;
             disconnect();
         }
         record.requests.add(new SoakRecord.ClientRequest(
-                attemptId, proxy, path, key, sentAtMs, clock.nowMs(), sentAtMs + deadlineMs, end, status, body));
+                attemptId, proxy, path, key, sentAtMs, clock.nowMs(), sentAtMs + deadlineMs, outcome, status, body));
     }
 }
--- a/src/test/java/quartzspan/soak/SoakFleet.java
+++ b/src/test/java/quartzspan/soak/SoakFleet.java
@@ -25,15 +25,15 @@
         List<String> coreHosts = hosts("127.1.0.", plan.cores());
         List<String> proxyHosts = hosts("127.2.0.", plan.proxies());
         for (String host : coreHosts) {
-            Path disk = Files.createDirectory(folder.resolve("disk-" + host));
+            Path dataDirectory = Files.createDirectory(folder.resolve("disk-" + host));
             String listen = "control_plane: \"" + host + ':' + controlPort + '"';
-            Path settings = write(host, listen, coreHosts, true, '"' + disk.toString() + '"');
+            Path settings = writeSettings(host, listen, coreHosts, true, '"' + dataDirectory.toString() + '"');
             cores.add(new FleetProcess("core-" + host, host, quartzspan.controlplane.Main.class, settings));
         }
         for (String host : proxyHosts) {
             String listen = "frontend: \"" + host + ':' + frontendPort + "\"\n  readiness: \"" + host + ':'
                     + readinessPort + '"';
-            Path settings = write(host, listen, coreHosts, false, "null");
+            Path settings = writeSettings(host, listen, coreHosts, false, "null");
             proxies.add(new FleetProcess("proxy-" + host, host, quartzspan.frontend.Main.class, settings));
         }
     }
@@ -54,19 +54,21 @@
         }
     }
 
-    private Path write(String host, String listen, List<String> seeds, boolean voter, String disk) throws IOException {
+    private Path writeSettings(
+            String host, String listen, List<String> seedNodes, boolean quorumMember, String dataDirectory)
+            throws IOException {
         StringBuilder text = new StringBuilder("node_name: \"" + host + "\"\nip_address: \"" + host + "\"\nzone: \""
                 + ZONE
                 + "\"\nzones:\n  " + ZONE + ": \"r\"\nlisten_addresses:\n  " + listen + "\ninternal_ports:\n  - "
                 + internalPort + "\n  - " + internalPort + "\nseed_nodes:\n");
-        seeds.forEach(seed -> text.append("  - \"")
+        seedNodes.forEach(seed -> text.append("  - \"")
                 .append(seed)
                 .append(':')
                 .append(controlPort)
                 .append("\"\n"));
-        text.append("bootstrap: true\nquorum_member: ").append(voter);
+        text.append("bootstrap: true\nquorum_member: ").append(quorumMember);
         text.append("\nlimits:\n  memory_mb: 256\n  file_descriptors: 2048\ndata_directory: ")
-                .append(disk);
+                .append(dataDirectory);
         text.append("\nheartbeat_ms: ").append(SoakPlan.HEARTBEAT_MS);
         text.append("\nfault_tolerance:\n  machines: 1\nbounds:\n  strict_revocation: true\n  grace_period_s: ");
         text.append(SoakPlan.GRACE_PERIOD_MS / 1_000)
--- a/src/test/java/quartzspan/soak/SoakOperator.java
+++ b/src/test/java/quartzspan/soak/SoakOperator.java
@@ -17,39 +17,41 @@
 
     private final SoakClock clock;
     private final SoakRecord record;
-    private final ControlClient control;
-    private final ScheduledExecutorService calls;
+    private final ControlPlaneClient control;
+    private final ScheduledExecutorService callExecutor;
     /** Keys that clients use: those in force, and some that were taken away. */
-    private final List<String> usedKeys = new CopyOnWriteArrayList<>(List.of(STABLE_KEY));
+    private final List<String> clientKeys = new CopyOnWriteArrayList<>(List.of(STABLE_KEY));
 
-    private final List<String> keysInForce = new ArrayList<>(List.of(STABLE_KEY));
-    private long version;
-    private long weights = 1;
-    private int keysGiven;
+    private final List<String> activeKeys = new ArrayList<>(List.of(STABLE_KEY));
+    private long configurationVersion;
+    private long targetVersion = 1;
+    private int lastKeyNumber;
 
-    /** @param calls a single thread: one order after the other */
-    SoakOperator(SoakClock clock, SoakRecord record, ControlClient control, ScheduledExecutorService calls) {
+    /** @param callExecutor a single thread: one order after the other */
+    SoakOperator(
+            SoakClock clock, SoakRecord record, ControlPlaneClient control, ScheduledExecutorService callExecutor) {
         this.clock = clock;
         this.record = record;
         this.control = control;
-        this.calls = calls;
+        this.callExecutor = callExecutor;
     }
 
-    List<String> usedKeys() {
-        return usedKeys;
+    List<String> clientKeys() {
+        return clientKeys;
     }
 
     /** The first configuration; {@code done} runs once it is acknowledged. */
-    void begin(Runnable done) {
+    void applyInitialConfiguration(Runnable done) {
         String routes = route("long", 15_000, 1_000) + ',' + route("short", 3_000, 400);
         String first = "{\"version\":1,\"routes\":[" + routes
                 + "],\"services\":[{\"name\":\"s\",\"max_connections\":400,"
                 + "\"engine\":{\"capacity\":16,\"models\":[{\"name\":\"" + ModelServer.MODEL + "\"}]}}],\"tenants\":["
                 + tenant() + "]}";
-        calls.execute(() -> sendUntilAnswered("Configuration.Replace", "X-Base-Version: 0\r\n", first, () -> {
-            version = 1;
-            done.run();
-        }));
+        callExecutor.execute(
+                () -> sendUntilAcknowledged("Configuration.Replace", "X-Base-Version: 0\r\n", first, () -> {
+                    configurationVersion = 1;
+                    done.run();
+                }));
     }
 
     private static String route(String name, int timeoutMs, int targetMs) {
@@ -59,36 +61,39 @@
     }
 
     private String tenant() {
-        return "{\"name\":\"" + TENANT + "\",\"api_keys\":[\"" + String.join("\",\"", keysInForce) + "\"]}";
+        return "{\"name\":\"" + TENANT + "\",\"api_keys\":[\"" + String.join("\",\"", activeKeys) + "\"]}";
     }
 
-    private void sendUntilAnswered(String operation, String headers, String body, Runnable acknowledged) {
+    private void sendUntilAcknowledged(String operation, String headers, String body, Runnable acknowledged) {
         Message answer = control.call("POST", "/quartzspan/" + operation, headers, body);
         if (answer != null && answer.status() == 200) {
             acknowledged.run();
         } else if (answer != null && answer.status() != 429 && answer.status() != 408) {
-            record.faults.add("CONFIG: a proper order was refused: " + operation + ' ' + headers.strip() + " -> "
+            record.violations.add("CONFIG: a proper order was refused: " + operation + ' ' + headers.strip() + " -> "
                     + answer.first() + ' ' + answer.text());
         } else {
-            calls.schedule(
-                    () -> sendUntilAnswered(operation, headers, body, acknowledged), RETRY_MS, TimeUnit.MILLISECONDS);
+            callExecutor.schedule(
+                    () -> sendUntilAcknowledged(operation, headers, body, acknowledged),
+                    RETRY_MS,
+                    TimeUnit.MILLISECONDS);
         }
     }
 
     /** Adds or replaces a route that nobody uses. */
-    void changeRoute() {
-        calls.execute(() -> update("{\"routes\":[" + route("extra" + version % 5, 1_000, 100) + "]}", () -> {}));
+    void upsertRoute() {
+        callExecutor.execute(
+                () -> update("{\"routes\":[" + route("extra" + configurationVersion % 5, 1_000, 100) + "]}", () -> {}));
     }
 
     /** Gives a new key. */
-    void giveKey() {
-        calls.execute(() -> {
-            String key = "k" + ++keysGiven;
-            keysInForce.add(key);
+    void addKey() {
+        callExecutor.execute(() -> {
+            String key = "k" + ++lastKeyNumber;
+            activeKeys.add(key);
             update("{\"tenants\":[" + tenant() + "]}", () -> {
-                usedKeys.add(key);
-                if (usedKeys.size() > MAX_KEYS) {
-                    usedKeys.remove(1);
+                clientKeys.add(key);
+                if (clientKeys.size() > MAX_KEYS) {
+                    clientKeys.remove(1);
                 }
             });
         });
@@ -96,9 +101,9 @@
 
     /** Takes the last key away; clients go on using it. */
     void revokeKey() {
-        calls.execute(() -> {
-            if (keysInForce.size() > 1) {
-                String key = keysInForce.remove(keysInForce.size() - 1);
+        callExecutor.execute(() -> {
+            if (activeKeys.size() > 1) {
+                String key = activeKeys.remove(activeKeys.size() - 1);
                 update(
                         "{\"tenants\":[" + tenant() + "]}",
                         () -> record.revocations.add(new SoakRecord.Revocation(key, clock.nowMs())));
@@ -107,33 +112,37 @@
     }
 
     private void update(String upsert, Runnable acknowledged) {
-        long base = version;
-        version += 3;
-        String body = "{\"version\":" + version + ",\"upsert\":" + upsert + '}';
-        sendUntilAnswered("Configuration.Update", "X-Base-Version: " + base + "\r\n", body, acknowledged);
+        long base = configurationVersion;
+        configurationVersion += 3;
+        String body = "{\"version\":" + configurationVersion + ",\"upsert\":" + upsert + '}';
+        sendUntilAcknowledged("Configuration.Update", "X-Base-Version: " + base + "\r\n", body, acknowledged);
     }
 
     /** Names new weights. */
-    void nameWeights() {
-        calls.execute(() -> {
-            long named = ++weights;
-            String body = "{\"model\":\"" + ModelServer.MODEL + "\",\"version\":" + named + '}';
-            sendUntilAnswered(
-                    "version-put", "", body, () -> record.namings.add(new SoakRecord.Naming(named, clock.nowMs())));
+    void setTargetVersion() {
+        callExecutor.execute(() -> {
+            long newVersion = ++targetVersion;
+            String body = "{\"model\":\"" + ModelServer.MODEL + "\",\"version\":" + newVersion + '}';
+            sendUntilAcknowledged(
+                    "version-put",
+                    "",
+                    body,
+                    () -> record.targetVersions.add(new SoakRecord.TargetVersion(newVersion, clock.nowMs())));
         });
     }
 
     /** Reads the configuration back; it must be the one that was acknowledged last. */
-    void readBack(Runnable done) {
-        calls.execute(() -> {
+    void verifyConfiguration(Runnable done) {
+        callExecutor.execute(() -> {
             Message answer = control.call("GET", "/quartzspan/Configuration.Describe", "", "");
             if (answer == null) {
-                calls.schedule(() -> readBack(done), RETRY_MS, TimeUnit.MILLISECONDS);
+                callExecutor.schedule(() -> verifyConfiguration(done), RETRY_MS, TimeUnit.MILLISECONDS);
                 return;
             }
             long read = JsonFields.wholeNumber(JsonFields.parse(answer.body()), "version", -1);
-            if (read != version) {
-                record.faults.add("CONFIG: version " + read + " was read back, " + version + " was acknowledged last");
+            if (read != configurationVersion) {
+                record.violations.add("CONFIG: version " + read + " was read back, " + configurationVersion
+                        + " was acknowledged last");
             }
             done.run();
         });
--- a/src/test/java/quartzspan/soak/SoakRecord.java
+++ b/src/test/java/quartzspan/soak/SoakRecord.java
@@ -8,13 +8,13 @@
 /** What was seen in a soak. Filled by many threads; read when all is over. */
 final class SoakRecord {
     /** How a client's request ended. */
-    enum End {
+    enum Outcome {
         /** With a complete answer. */
-        ANSWERED,
+        COMPLETED,
         /** With the end of the connection. */
-        CUT,
+        DISCONNECTED,
         /** The client gave up waiting. */
-        SILENT
+        TIMED_OUT
     }
 
     /**
@@ -31,7 +31,7 @@
             long sentAtMs,
             long endedAtMs,
             long deadlineMs,
-            End end,
+            Outcome outcome,
             int status,
             String body) {}
 
@@ -39,17 +39,18 @@
     record Arrival(String attemptId, String server, long atMs) {}
 
     /** A request that a server has run, until it was complete or broken off. */
-    record Run(String attemptId, String server, String tenant, long weights, long beganAtMs, long endedAtMs) {}
+    record Execution(
+            String attemptId, String server, String tenant, long weightsVersion, long startedAtMs, long endedAtMs) {}
 
     /** Something that was done to a process. {@code planned}: it is no trouble, and nothing may be lost by it. */
-    record Disturbance(String kind, String process, boolean core, boolean planned, long beganAtMs, long endedAtMs) {
+    record Disruption(String kind, String process, boolean core, boolean planned, long startedAtMs, long endedAtMs) {
         boolean overlaps(long fromMs, long toMs) {
-            return beganAtMs <= toMs && endedAtMs >= fromMs;
+            return startedAtMs <= toMs && endedAtMs >= fromMs;
         }
     }
 
     /** A naming of weights, as acknowledged. */
-    record Naming(long version, long acknowledgedAtMs) {}
+    record TargetVersion(long version, long acknowledgedAtMs) {}
 
     /** A key that was taken away, as acknowledged. */
     record Revocation(String key, long acknowledgedAtMs) {}
@@ -62,29 +63,28 @@
 
     final Queue<ClientRequest> requests = new ConcurrentLinkedQueue<>();
     final Queue<Arrival> arrivals = new ConcurrentLinkedQueue<>();
-    final Queue<Run> runs = new ConcurrentLinkedQueue<>();
-    final Queue<Disturbance> disturbances = new ConcurrentLinkedQueue<>();
-    final Queue<Naming> namings = new ConcurrentLinkedQueue<>();
+    final Queue<Execution> executions = new ConcurrentLinkedQueue<>();
+    final Queue<Disruption> disruptions = new ConcurrentLinkedQueue<>();
+    final Queue<TargetVersion> targetVersions = new ConcurrentLinkedQueue<>();
     final Queue<Revocation> revocations = new ConcurrentLinkedQueue<>();
     final Queue<Drain> drains = new ConcurrentLinkedQueue<>();
     final Queue<ServerOrder> orders = new ConcurrentLinkedQueue<>();
     /** What is wrong by itself, whatever else was seen. */
-    final Queue<String> faults = new ConcurrentLinkedQueue<>();
+    final Queue<String> violations = new ConcurrentLinkedQueue<>();
 
     /** Whether anything but planned work struck a process, or the core, in a span of time. */
-    boolean isTroubled(String process, long fromMs, long toMs) {
-        return disturbances.stream()
-                .filter(disturbance -> !disturbance.planned())
-                .filter(disturbance ->
-                        disturbance.core() || disturbance.process().equals(process))
-                .anyMatch(disturbance -> disturbance.overlaps(fromMs, toMs));
+    boolean hadUnplannedDisruption(String process, long fromMs, long toMs) {
+        return disruptions.stream()
+                .filter(disruption -> !disruption.planned())
+                .filter(disruption -> disruption.core() || disruption.process().equals(process))
+                .anyMatch(disruption -> disruption.overlaps(fromMs, toMs));
     }
 
     /** When the core was disturbed, planned or not, for the last time before a moment; 0 if never. */
-    long coreDisturbedUntilMs(long beforeMs) {
-        return disturbances.stream()
-                .filter(disturbance -> disturbance.core() && disturbance.beganAtMs() <= beforeMs)
-                .mapToLong(Disturbance::endedAtMs)
+    long coreDisruptedUntilMs(long beforeMs) {
+        return disruptions.stream()
+                .filter(disruption -> disruption.core() && disruption.startedAtMs() <= beforeMs)
+                .mapToLong(Disruption::endedAtMs)
                 .max()
                 .orElse(0);
     }
--- a/src/test/java/quartzspan/soak/SoakRules.java
+++ b/src/test/java/quartzspan/soak/SoakRules.java
@@ -9,107 +9,112 @@
 
 /** Holds what was seen in a soak against the rules of the fleet. */
 final class SoakRules {
-    private static final double LAST_PART_OF_GRACE = 5.0 / 6;
-    private static final Set<Integer> PROMISES = Set.of(408, 421, 429, 503);
+    private static final double GRACE_PERIOD_CUTOFF = 5.0 / 6;
+    private static final Set<Integer> NOT_EXECUTED_STATUSES = Set.of(408, 421, 429, 503);
 
     private final SoakRecord record;
-    private final List<String> broken = new ArrayList<>();
-    private final Map<String, List<SoakRecord.Run>> runs;
+    private final List<String> violations = new ArrayList<>();
+    private final Map<String, List<SoakRecord.Execution>> executions;
     private final Map<String, List<SoakRecord.Arrival>> arrivals;
 
     SoakRules(SoakRecord record) {
         this.record = record;
-        this.runs = record.runs.stream().collect(Collectors.groupingBy(SoakRecord.Run::attemptId));
+        this.executions = record.executions.stream().collect(Collectors.groupingBy(SoakRecord.Execution::attemptId));
         this.arrivals = record.arrivals.stream().collect(Collectors.groupingBy(SoakRecord.Arrival::attemptId));
     }
 
     /** All that breaks a rule. */
-    List<String> broken() {
-        broken.addAll(record.faults);
+    List<String> violations() {
+        violations.addAll(record.violations);
         record.requests.forEach(this::checkRequest);
-        record.runs.forEach(this::checkWeights);
-        runs.values().stream().filter(all -> all.size() > 1).forEach(all -> broken.add("TWICE: " + all));
+        record.executions.forEach(this::checkVersion);
+        executions.values().stream().filter(all -> all.size() > 1).forEach(all -> violations.add("TWICE: " + all));
         record.revocations.forEach(this::checkRevocation);
         record.drains.forEach(this::checkDrain);
-        checkOrders();
-        return broken;
+        checkFencingTokens();
+        return violations;
     }
 
     private void checkRequest(SoakRecord.ClientRequest request) {
-        List<SoakRecord.Run> its = runs.getOrDefault(request.attemptId(), List.of());
-        switch (request.end()) {
-            case CUT -> checkCut(request, its);
-            case SILENT -> {
-                if (!record.isTroubled(request.proxy(), request.sentAtMs(), request.endedAtMs())) {
-                    broken.add("GIVEN UP: no final answer in time: " + request);
+        List<SoakRecord.Execution> requestExecutions = executions.getOrDefault(request.attemptId(), List.of());
+        switch (request.outcome()) {
+            case DISCONNECTED -> checkDisconnect(request, requestExecutions);
+            case TIMED_OUT -> {
+                if (!record.hadUnplannedDisruption(request.proxy(), request.sentAtMs(), request.endedAtMs())) {
+                    violations.add("GIVEN UP: no final answer in time: " + request);
                 }
             }
-            default -> checkAnswer(request, its);
+            default -> checkResponse(request, requestExecutions);
         }
     }
 
-    private void checkAnswer(SoakRecord.ClientRequest request, List<SoakRecord.Run> its) {
+    private void checkResponse(SoakRecord.ClientRequest request, List<SoakRecord.Execution> requestExecutions) {
         if (request.status() == 200) {
             String event = "data: " + request.attemptId() + "\n\n";
-            boolean whole = !request.body().isEmpty()
+            boolean complete = !request.body().isEmpty()
                     && request.body().replace(event, "").isEmpty();
-            if (!whole || its.isEmpty()) {
-                broken.add("MIXED: " + request);
+            if (!complete || requestExecutions.isEmpty()) {
+                violations.add("MIXED: " + request);
             }
-        } else if (PROMISES.contains(request.status()) && !its.isEmpty()) {
-            broken.add("REFUSED: it has run: " + request + ' ' + its);
+        } else if (NOT_EXECUTED_STATUSES.contains(request.status()) && !requestExecutions.isEmpty()) {
+            violations.add("REFUSED: it has run: " + request + ' ' + requestExecutions);
         } else if (request.status() < 500
-                && !PROMISES.contains(request.status())
+                && !NOT_EXECUTED_STATUSES.contains(request.status())
                 && request.key().equals(SoakOperator.STABLE_KEY)) {
-            broken.add("DENIED: " + request);
+            violations.add("DENIED: " + request);
         }
     }
 
     /** A connection that ends without a complete answer, around the planned end of its proxy. */
-    private void checkCut(SoakRecord.ClientRequest request, List<SoakRecord.Run> its) {
-        record.disturbances.stream()
-                .filter(disturbance ->
-                        disturbance.planned() && disturbance.process().equals(request.proxy()))
-                .filter(end -> end.overlaps(request.sentAtMs(), request.endedAtMs()))
-                .filter(end -> !record.isTroubled(
-                        request.proxy(), request.sentAtMs() - SoakPlan.CONTACT_MS, request.endedAtMs()))
-                .filter(end -> isLost(request, its, end))
-                .forEach(end -> broken.add("LOST: " + request + ' ' + its + ' ' + end));
+    private void checkDisconnect(SoakRecord.ClientRequest request, List<SoakRecord.Execution> requestExecutions) {
+        record.disruptions.stream()
+                .filter(disruption ->
+                        disruption.planned() && disruption.process().equals(request.proxy()))
+                .filter(disruption -> disruption.overlaps(request.sentAtMs(), request.endedAtMs()))
+                .filter(disruption -> !record.hadUnplannedDisruption(
+                        request.proxy(), request.sentAtMs() - SoakPlan.RECOVERY_MS, request.endedAtMs()))
+                .filter(disruption -> isLost(request, requestExecutions, disruption))
+                .forEach(disruption -> violations.add("LOST: " + request + ' ' + requestExecutions + ' ' + disruption));
     }
 
-    private boolean isLost(SoakRecord.ClientRequest request, List<SoakRecord.Run> its, SoakRecord.Disturbance end) {
+    private boolean isLost(
+            SoakRecord.ClientRequest request,
+            List<SoakRecord.Execution> requestExecutions,
+            SoakRecord.Disruption disruption) {
         boolean forwarded = arrivals.containsKey(request.attemptId());
         if (!forwarded) {
-            return request.endedAtMs() - request.sentAtMs() > SoakPlan.LOSS_SLACK_MS + SoakPlan.CLOCK_SLACK_MS;
+            return request.endedAtMs() - request.sentAtMs() > SoakPlan.CLOSE_RACE_MS + SoakPlan.CLOCK_TOLERANCE_MS;
         }
-        boolean deadlineReached = request.endedAtMs() >= request.deadlineMs() - SoakPlan.CLOCK_SLACK_MS;
-        long lastPartMs = end.beganAtMs() + (long) (SoakPlan.GRACE_PERIOD_MS * LAST_PART_OF_GRACE);
-        boolean worksInLastPart = its.stream().anyMatch(run -> run.endedAtMs() >= lastPartMs);
-        boolean early = request.sentAtMs() <= end.beganAtMs() + SoakPlan.LAST_REQUEST_MS;
-        boolean serverCrashed = its.isEmpty();
-        return !deadlineReached && !serverCrashed && !(early && worksInLastPart);
+        boolean deadlineReached = request.endedAtMs() >= request.deadlineMs() - SoakPlan.CLOCK_TOLERANCE_MS;
+        long cutoffMs = disruption.startedAtMs() + (long) (SoakPlan.GRACE_PERIOD_MS * GRACE_PERIOD_CUTOFF);
+        boolean runsPastCutoff = requestExecutions.stream().anyMatch(execution -> execution.endedAtMs() >= cutoffMs);
+        boolean early = request.sentAtMs() <= disruption.startedAtMs() + SoakPlan.SHUTDOWN_ACCEPT_MS;
+        boolean serverCrashed = requestExecutions.isEmpty();
+        return !deadlineReached && !serverCrashed && !(early && runsPastCutoff);
     }
 
     /** A run on weights whose successor was acknowledged too long before, with a core that was calm all the while. */
-    private void checkWeights(SoakRecord.Run run) {
-        record.namings.stream()
-                .filter(naming -> naming.version() > run.weights())
-                .filter(naming -> run.beganAtMs() - Math.max(naming.acknowledgedAtMs(), calmSinceMs(run.beganAtMs()))
-                        > SoakPlan.VERSION_APPLY_MS + SoakPlan.CLOCK_SLACK_MS)
+    private void checkVersion(SoakRecord.Execution execution) {
+        record.targetVersions.stream()
+                .filter(target -> target.version() > execution.weightsVersion())
+                .filter(target -> execution.startedAtMs()
+                                - Math.max(target.acknowledgedAtMs(), coreStableSinceMs(execution.startedAtMs()))
+                        > SoakPlan.VERSION_APPLY_MS + SoakPlan.CLOCK_TOLERANCE_MS)
                 .findFirst()
-                .ifPresent(naming -> broken.add("VERSION: " + run + ' ' + naming));
+                .ifPresent(target -> violations.add("VERSION: " + execution + ' ' + target));
     }
 
-    private long calmSinceMs(long atMs) {
-        return record.coreDisturbedUntilMs(atMs) + SoakPlan.CONTACT_MS;
+    private long coreStableSinceMs(long atMs) {
+        return record.coreDisruptedUntilMs(atMs) + SoakPlan.RECOVERY_MS;
     }
 
     private void checkRevocation(SoakRecord.Revocation revocation) {
         record.requests.stream()
                 .filter(request -> request.key().equals(revocation.key()))
                 .filter(request -> request.sentAtMs() > revocation.acknowledgedAtMs() + SoakPlan.REVOCATION_MS)
-                .filter(request -> runs.containsKey(request.attemptId()))
-                .forEach(request -> broken.add("CONFIG: it ran on a key that was taken away: " + request + revocation));
+                .filter(request -> executions.containsKey(request.attemptId()))
+                .forEach(request ->
+                        violations.add("CONFIG: it ran on a key that was taken away: " + request + revocation));
     }
 
     private void checkDrain(SoakRecord.Drain drain) {
@@ -117,23 +122,23 @@
                 .collect(Collectors.toMap(SoakRecord.ClientRequest::attemptId, request -> request));
         record.arrivals.stream()
                 .filter(arrival -> arrival.server().equals(drain.server()))
-                .filter(arrival ->
-                        arrival.atMs() > drain.acknowledgedAtMs() + SoakPlan.DRAIN_TIMEOUT_MS + SoakPlan.CLOCK_SLACK_MS)
+                .filter(arrival -> arrival.atMs()
+                        > drain.acknowledgedAtMs() + SoakPlan.DRAIN_TIMEOUT_MS + SoakPlan.CLOCK_TOLERANCE_MS)
                 .filter(arrival -> requests.containsKey(arrival.attemptId()))
-                .filter(arrival -> !record.isTroubled(
+                .filter(arrival -> !record.hadUnplannedDisruption(
                         requests.get(arrival.attemptId()).proxy(), drain.acknowledgedAtMs(), arrival.atMs()))
-                .forEach(arrival -> broken.add("DRAIN: " + arrival + ' ' + drain));
+                .forEach(arrival -> violations.add("DRAIN: " + arrival + ' ' + drain));
     }
 
     /** No token has two holders, and at one server none falls. */
-    private void checkOrders() {
+    private void checkFencingTokens() {
         Map<Long, String> holders = new HashMap<>();
-        Map<String, Long> highest = new HashMap<>();
+        Map<String, Long> highestTokens = new HashMap<>();
         for (SoakRecord.ServerOrder order : record.orders) {
             String holder = holders.computeIfAbsent(order.fencingToken(), token -> order.holder());
-            long before = highest.merge(order.server(), order.fencingToken(), Math::max);
+            long before = highestTokens.merge(order.server(), order.fencingToken(), Math::max);
             if (!holder.equals(order.holder()) || before > order.fencingToken()) {
-                broken.add("ONE: " + order + ", the token's holder is " + holder + ", the highest token " + before);
+                violations.add("ONE: " + order + ", the token's holder is " + holder + ", the highest token " + before);
             }
         }
     }
--- a/src/test/java/quartzspan/soak/SoakRun.java
+++ b/src/test/java/quartzspan/soak/SoakRun.java
@@ -20,8 +20,8 @@
 
 /** One soak: starts everything, lets clients send while things happen, lets all come to rest, and ends everything. */
 final class SoakRun implements AutoCloseable {
-    private static final long START_PATIENCE_S = 60;
-    private static final long END_PATIENCE_S = 60;
+    private static final long START_TIMEOUT_S = 60;
+    private static final long SETTLE_TIMEOUT_S = 60;
     private static final long POLL_MS = 100;
 
     private final SoakPlan plan;
@@ -30,7 +30,7 @@
     private final SoakRecord record = new SoakRecord();
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     private final List<ScheduledExecutorService> executors = new ArrayList<>();
-    private final AtomicBoolean clientsGoOn = new AtomicBoolean(true);
+    private final AtomicBoolean clientsRunning = new AtomicBoolean(true);
     private final SoakFleet fleet;
 
     SoakRun(SoakPlan plan, Path folder) throws IOException {
@@ -45,41 +45,41 @@
         return executor;
     }
 
-    private ControlClient control() {
-        return new ControlClient(fleet.coreHosts(), fleet.controlPort(), random.split());
+    private ControlPlaneClient control() {
+        return new ControlPlaneClient(fleet.coreHosts(), fleet.controlPort(), random.split());
     }
 
     /** Plays the soak; what broke a rule. */
-    List<String> play() throws Exception {
+    List<String> run() throws Exception {
         fleet.start();
         ReadinessMonitor readiness = monitorReadiness();
         SoakOperator operator = new SoakOperator(clock, record, control(), executor("operator"));
-        List<ServerLife> servers = startServers();
+        List<ServerSupervisor> servers = startServers();
         CountDownLatch configured = new CountDownLatch(1);
-        operator.begin(configured::countDown);
+        operator.applyInitialConfiguration(configured::countDown);
         await(
                 () -> configured.getCount() == 0 && readiness.allReady(),
-                START_PATIENCE_S,
+                START_TIMEOUT_S,
                 () -> "a fleet that is ready: " + readiness);
         List<Thread> clients = startClients(readiness, operator);
-        SoakTroubles troubles =
-                new SoakTroubles(plan, random.split(), clock, record, fleet, servers, operator, executor("troubles"));
-        troubles.schedule();
+        SoakSchedule schedule =
+                new SoakSchedule(plan, random.split(), clock, record, fleet, servers, operator, executor("schedule"));
+        schedule.schedule();
         long endMs = clock.nowMs() + plan.durationMs();
         await(() -> clock.nowMs() >= endMs, plan.durationMs(), () -> "the end");
-        clientsGoOn.set(false);
+        clientsRunning.set(false);
         for (Thread client : clients) {
             client.join();
         }
-        await(troubles::isCalm, END_PATIENCE_S, () -> "the end of all troubles: " + troubles);
+        await(schedule::isIdle, SETTLE_TIMEOUT_S, () -> "the end of all disruptions: " + schedule);
         Stream.concat(fleet.cores().stream(), fleet.proxies().stream())
                 .filter(process -> !process.isAlive())
-                .forEach(process -> record.faults.add("FAULT: " + process.name() + " has ended by itself"));
-        await(readiness::allReady, END_PATIENCE_S, () -> "a fleet that is ready again: " + readiness);
+                .forEach(process -> record.violations.add("FAULT: " + process.name() + " has ended by itself"));
+        await(readiness::allReady, SETTLE_TIMEOUT_S, () -> "a fleet that is ready again: " + readiness);
         CountDownLatch read = new CountDownLatch(1);
-        operator.readBack(read::countDown);
-        await(() -> read.getCount() == 0, END_PATIENCE_S, () -> "the configuration");
-        return new SoakRules(record).broken();
+        operator.verifyConfiguration(read::countDown);
+        await(() -> read.getCount() == 0, SETTLE_TIMEOUT_S, () -> "the configuration");
+        return new SoakRules(record).violations();
     }
 
     private ReadinessMonitor monitorReadiness() {
@@ -88,16 +88,16 @@
         for (String host : hosts) {
             executor("readiness of " + host)
                     .scheduleAtFixedRate(
-                            () -> monitor.probe(host), 0, ReadinessMonitor.INTERVAL_MS, TimeUnit.MILLISECONDS);
+                            () -> monitor.probe(host), 0, ReadinessMonitor.PROBE_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
         return monitor;
     }
 
-    private List<ServerLife> startServers() {
-        List<ServerLife> servers = new ArrayList<>();
+    private List<ServerSupervisor> startServers() {
+        List<ServerSupervisor> servers = new ArrayList<>();
         for (int i = 0; i < plan.servers(); i++) {
             EventLoop loop = group.next();
-            ServerLife server = new ServerLife(loop, clock, record, control(), executor("server " + i));
+            ServerSupervisor server = new ServerSupervisor(loop, clock, record, control(), executor("server " + i));
             server.start(1);
             servers.add(server);
         }
@@ -107,16 +107,16 @@
     private List<Thread> startClients(ReadinessMonitor readiness, SoakOperator operator) {
         List<Thread> clients = new ArrayList<>();
         for (int i = 0; i < plan.clients(); i++) {
-            SplittableRandom own = random.split();
-            boolean stable = i % 3 > 0;
+            SplittableRandom clientRandom = random.split();
+            boolean usesStableKey = i % 3 > 0;
             SoakClient client = new SoakClient(
                     clock,
                     record,
                     readiness,
                     fleet.frontendPort(),
-                    () -> stable ? SoakOperator.STABLE_KEY : any(operator.usedKeys(), own),
-                    clientsGoOn::get,
-                    own);
+                    () -> usesStableKey ? SoakOperator.STABLE_KEY : pick(operator.clientKeys(), clientRandom),
+                    clientsRunning::get,
+                    clientRandom);
             Thread thread = new Thread(client, "client " + i);
             thread.start();
             clients.add(thread);
@@ -124,7 +124,7 @@
         return clients;
     }
 
-    private static String any(List<String> keys, SplittableRandom random) {
+    private static String pick(List<String> keys, SplittableRandom random) {
         List<String> now = List.copyOf(keys);
         return now.get(random.nextInt(now.size()));
     }
@@ -134,9 +134,9 @@
         boolean holds();
     }
 
-    private void await(Condition condition, long patienceS, Supplier<String> what)
+    private void await(Condition condition, long timeoutS, Supplier<String> what)
             throws InterruptedException, TimeoutException {
-        long endMs = clock.nowMs() + TimeUnit.SECONDS.toMillis(patienceS);
+        long endMs = clock.nowMs() + TimeUnit.SECONDS.toMillis(timeoutS);
         CountDownLatch never = new CountDownLatch(1);
         while (!condition.holds()) {
             if (clock.nowMs() > endMs) {
@@ -151,17 +151,18 @@
         long answered = record.requests.stream().filter(r -> r.status() == 200).count();
         long refused = record.requests.stream().filter(r -> r.status() == 503).count();
         long cut = record.requests.stream()
-                .filter(r -> r.end() == SoakRecord.End.CUT)
+                .filter(r -> r.outcome() == SoakRecord.Outcome.DISCONNECTED)
                 .count();
         return "seed " + plan.seed() + ": " + record.requests.size() + " requests, " + answered + " served, " + refused
-                + " refused, " + cut + " cut; " + record.disturbances.size() + " disturbances, "
-                + record.namings.size() + " namings, " + record.orders.size() + " orders, " + record.revocations.size()
+                + " refused, " + cut + " cut; " + record.disruptions.size() + " disruptions, "
+                + record.targetVersions.size() + " target versions, " + record.orders.size() + " orders, "
+                + record.revocations.size()
                 + " revocations, " + record.drains.size() + " drains";
     }
 
     @Override
     public void close() {
-        clientsGoOn.set(false);
+        clientsRunning.set(false);
         executors.forEach(ScheduledExecutorService::shutdownNow);
         fleet.close();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
--- a/src/test/java/quartzspan/soak/SoakTroubles.java
+++ b/src/test/java/quartzspan/soak/SoakSchedule.java
@@ -9,30 +9,30 @@
 import java.util.concurrent.TimeUnit;
 
 /** What happens in a soak, and when: drawn from its seed, in series that overlap. */
-final class SoakTroubles {
-    private static final long RESTART_MS = 200;
+final class SoakSchedule {
+    private static final long RESTART_DELAY_MS = 200;
     private static final long MIN_DOWN_MS = 500;
     private static final long MAX_DOWN_MS = 2_500;
     /** The part of a soak in which all that happens is planned. */
-    private static final double PLANNED_PART = 0.6;
+    private static final double PLANNED_FRACTION = 0.6;
 
     private final SoakPlan plan;
     private final SplittableRandom random;
     private final SoakClock clock;
     private final SoakRecord record;
     private final SoakFleet fleet;
-    private final List<ServerLife> servers;
+    private final List<ServerSupervisor> servers;
     private final SoakOperator operator;
     private final ScheduledExecutorService timeline;
-    private final Set<FleetProcess> struck = ConcurrentHashMap.newKeySet();
+    private final Set<FleetProcess> disrupted = ConcurrentHashMap.newKeySet();
 
-    SoakTroubles(
+    SoakSchedule(
             SoakPlan plan,
             SplittableRandom random,
             SoakClock clock,
             SoakRecord record,
             SoakFleet fleet,
-            List<ServerLife> servers,
+            List<ServerSupervisor> servers,
             SoakOperator operator,
             ScheduledExecutorService timeline) {
         this.plan = plan;
@@ -47,87 +47,87 @@
 
     /** Draws all that is to happen, from now on. */
     void schedule() {
-        long plannedUntilMs = (long) (PLANNED_PART * plan.durationMs());
+        long plannedUntilMs = (long) (PLANNED_FRACTION * plan.durationMs());
         for (long atMs = 500; atMs < plan.durationMs(); atMs += random.nextLong(800, 3_500)) {
             boolean planned = atMs < plannedUntilMs || random.nextInt(3) > 0;
-            at(atMs, planned ? drawPlanned() : drawTrouble());
+            runAfter(atMs, planned ? drawPlannedOperation() : drawFault());
         }
     }
 
-    private void at(long ms, Runnable what) {
-        timeline.schedule(what, ms, TimeUnit.MILLISECONDS);
+    private void runAfter(long delayMs, Runnable action) {
+        timeline.schedule(action, delayMs, TimeUnit.MILLISECONDS);
     }
 
-    private Runnable drawPlanned() {
+    private Runnable drawPlannedOperation() {
         return switch (random.nextInt(9)) {
-            case 0, 1 -> terminateInTurn(
+            case 0, 1 -> terminateInSeries(
                     fleet.proxies(), random.nextInt(1, 1 + fleet.proxies().size()));
-            case 2 -> terminateInTurn(fleet.cores(), 1);
-            case 3 -> this::hangUpAll;
-            case 4 -> operator::changeRoute;
-            case 5 -> operator::giveKey;
+            case 2 -> terminateInSeries(fleet.cores(), 1);
+            case 3 -> this::reloadAllProxies;
+            case 4 -> operator::upsertRoute;
+            case 5 -> operator::addKey;
             case 6 -> operator::revokeKey;
-            case 7 -> nameWeightsInTurn(random.nextInt(1, 4), random.nextLong(400, 4_000));
-            default -> any(servers)::release;
+            case 7 -> setTargetVersionsInSeries(random.nextInt(1, 4), random.nextLong(400, 4_000));
+            default -> pick(servers)::drainAndReplace;
         };
     }
 
-    private Runnable drawTrouble() {
+    private Runnable drawFault() {
         long downMs = random.nextLong(MIN_DOWN_MS, MAX_DOWN_MS);
         return switch (random.nextInt(5)) {
             case 0 -> {
-                FleetProcess proxy = any(fleet.proxies());
+                FleetProcess proxy = pick(fleet.proxies());
                 yield () -> kill(proxy, false, downMs);
             }
             case 1 -> {
-                FleetProcess core = any(fleet.cores());
+                FleetProcess core = pick(fleet.cores());
                 yield () -> kill(core, true, downMs);
             }
             case 2 -> {
-                FleetProcess proxy = any(fleet.proxies());
+                FleetProcess proxy = pick(fleet.proxies());
                 yield () -> freeze(proxy, false, downMs);
             }
             case 3 -> {
-                FleetProcess core = any(fleet.cores());
+                FleetProcess core = pick(fleet.cores());
                 yield () -> freeze(core, true, downMs);
             }
             default -> {
-                ServerLife server = any(servers);
+                ServerSupervisor server = pick(servers);
                 yield () -> server.crash(downMs);
             }
         };
     }
 
-    private <T> T any(List<T> of) {
-        return of.get(random.nextInt(of.size()));
+    private <T> T pick(List<T> candidates) {
+        return candidates.get(random.nextInt(candidates.size()));
     }
 
     private boolean isCore(FleetProcess process) {
         return fleet.cores().contains(process);
     }
 
-    private Runnable nameWeightsInTurn(int count, long gapMs) {
+    private Runnable setTargetVersionsInSeries(int count, long gapMs) {
         return () -> {
             for (int i = 0; i < count; i++) {
-                at(i * gapMs, operator::nameWeights);
+                runAfter(i * gapMs, operator::setTargetVersion);
             }
         };
     }
 
-    private Runnable terminateInTurn(List<FleetProcess> of, int count) {
-        int first = random.nextInt(of.size());
+    private Runnable terminateInSeries(List<FleetProcess> processes, int count) {
+        int first = random.nextInt(processes.size());
         long gapMs = random.nextLong(300, 2_500);
         return () -> {
             for (int i = 0; i < count; i++) {
-                FleetProcess process = of.get((first + i) % of.size());
-                at(i * gapMs, () -> terminate(process));
+                FleetProcess process = processes.get((first + i) % processes.size());
+                runAfter(i * gapMs, () -> terminate(process));
             }
         };
     }
 
-    private void hangUpAll() {
+    private void reloadAllProxies() {
         // A process that has just been started knows no SIGHUP yet, and would end by it.
-        fleet.proxies().stream().filter(proxy -> !struck.contains(proxy)).forEach(proxy -> signal(proxy, "HUP"));
+        fleet.proxies().stream().filter(proxy -> !disrupted.contains(proxy)).forEach(proxy -> signal(proxy, "HUP"));
     }
 
     private void signal(FleetProcess process, String signal) {
@@ -136,89 +136,89 @@
                 process.signal(signal);
             }
         } catch (IOException e) {
-            record.faults.add("the soak itself: no signal to " + process.name() + ": " + e);
+            record.violations.add("the soak itself: no signal to " + process.name() + ": " + e);
         }
     }
 
     /** SIGTERM, SIGKILL after the grace period, and a start after that; nothing if it is not running. */
     private void terminate(FleetProcess process) {
-        if (!claim(process)) {
+        if (!tryClaim(process)) {
             return;
         }
-        long beganAtMs = clock.nowMs();
+        long startedAtMs = clock.nowMs();
         signal(process, "TERM");
-        new Thread(() -> finishTermination(process, beganAtMs), "end of " + process.name()).start();
+        new Thread(() -> awaitTermination(process, startedAtMs), "end of " + process.name()).start();
     }
 
-    private void finishTermination(FleetProcess process, long beganAtMs) {
+    private void awaitTermination(FleetProcess process, long startedAtMs) {
         try {
-            if (!process.awaitEnd(SoakPlan.GRACE_PERIOD_MS)) {
+            if (!process.awaitExit(SoakPlan.GRACE_PERIOD_MS)) {
                 process.kill();
             }
             long endedAtMs = clock.nowMs();
-            record.disturbances.add(
-                    new SoakRecord.Disturbance("SIGTERM", process.host(), isCore(process), true, beganAtMs, endedAtMs));
-            at(RESTART_MS, () -> restart(process));
+            record.disruptions.add(new SoakRecord.Disruption(
+                    "SIGTERM", process.host(), isCore(process), true, startedAtMs, endedAtMs));
+            runAfter(RESTART_DELAY_MS, () -> restart(process));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     private void kill(FleetProcess process, boolean core, long downMs) {
-        if (!claim(process)) {
+        if (!tryClaim(process)) {
             return;
         }
-        long beganAtMs = clock.nowMs();
+        long startedAtMs = clock.nowMs();
         try {
             process.kill();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        record.disturbances.add(new SoakRecord.Disturbance(
-                "SIGKILL", process.host(), core, false, beganAtMs, beganAtMs + downMs + SoakPlan.CONTACT_MS));
-        at(downMs, () -> restart(process));
+        record.disruptions.add(new SoakRecord.Disruption(
+                "SIGKILL", process.host(), core, false, startedAtMs, startedAtMs + downMs + SoakPlan.RECOVERY_MS));
+        runAfter(downMs, () -> restart(process));
     }
 
     private void freeze(FleetProcess process, boolean core, long frozenMs) {
-        if (!claim(process)) {
+        if (!tryClaim(process)) {
             return;
         }
-        long beganAtMs = clock.nowMs();
+        long startedAtMs = clock.nowMs();
         signal(process, "STOP");
-        record.disturbances.add(new SoakRecord.Disturbance(
-                "SIGSTOP", process.host(), core, false, beganAtMs, beganAtMs + frozenMs + SoakPlan.CONTACT_MS));
-        at(frozenMs, () -> {
+        record.disruptions.add(new SoakRecord.Disruption(
+                "SIGSTOP", process.host(), core, false, startedAtMs, startedAtMs + frozenMs + SoakPlan.RECOVERY_MS));
+        runAfter(frozenMs, () -> {
             signal(process, "CONT");
             release(process);
         });
     }
 
-    /** Of the core one machine at most is struck at a time, and no process twice at once. */
-    private synchronized boolean claim(FleetProcess process) {
-        boolean coreIsStruck = struck.stream().anyMatch(this::isCore);
-        return process.isAlive() && !(isCore(process) && coreIsStruck) && struck.add(process);
+    /** Of the core one machine at most is disrupted at a time, and no process twice at once. */
+    private synchronized boolean tryClaim(FleetProcess process) {
+        boolean coreDisrupted = disrupted.stream().anyMatch(this::isCore);
+        return process.isAlive() && !(isCore(process) && coreDisrupted) && disrupted.add(process);
     }
 
     private synchronized void release(FleetProcess process) {
-        struck.remove(process);
+        disrupted.remove(process);
     }
 
     private void restart(FleetProcess process) {
         try {
             process.start();
         } catch (IOException e) {
-            record.faults.add("the soak itself: " + process.name() + " does not start: " + e);
+            record.violations.add("the soak itself: " + process.name() + " does not start: " + e);
         }
-        at(SoakPlan.CONTACT_MS, () -> release(process));
+        runAfter(SoakPlan.RECOVERY_MS, () -> release(process));
     }
 
-    /** Whether nothing is struck at present. */
-    boolean isCalm() {
-        return struck.isEmpty();
+    /** Whether nothing is disrupted at present. */
+    boolean isIdle() {
+        return disrupted.isEmpty();
     }
 
     @Override
     public String toString() {
-        return struck.stream().map(FleetProcess::name).toList().toString();
+        return disrupted.stream().map(FleetProcess::name).toList().toString();
     }
 }
--- a/src/test/java/quartzspan/soak/SoakTest.java
+++ b/src/test/java/quartzspan/soak/SoakTest.java
@@ -14,7 +14,7 @@
     private static final String DEFAULT_SEEDS = "1-1";
 
     /** Settings, disks and logs of the processes stay there until the next run. */
-    private static final Path FOLDER = Path.of("target", "soak");
+    private static final Path OUTPUT_DIRECTORY = Path.of("target", "soak");
 
     static LongStream seeds() {
         String[] range = System.getProperty("soak.seeds", DEFAULT_SEEDS).split("-");
@@ -23,13 +23,13 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void noRuleIsBroken(long seed) throws Exception {
-        SoakPlan plan = SoakPlan.ofSystemProperties(seed);
-        Path folder = FOLDER.resolve("seed-" + seed + '-' + System.nanoTime());
-        try (SoakRun run = new SoakRun(plan, Files.createDirectories(folder).toAbsolutePath())) {
-            List<String> broken = run.play();
+    void fleetViolatesNoRuleUnderOverlappingDisruptions(long seed) throws Exception {
+        SoakPlan plan = SoakPlan.fromSystemProperties(seed);
+        Path directory = OUTPUT_DIRECTORY.resolve("seed-" + seed + '-' + System.nanoTime());
+        try (SoakRun run = new SoakRun(plan, Files.createDirectories(directory).toAbsolutePath())) {
+            List<String> violations = run.run();
             System.out.println(run.summary());
-            assertEquals("", String.join("\n", broken), "seed " + seed + ", logs in " + folder);
+            assertEquals("", String.join("\n", violations), "seed " + seed + ", logs in " + directory);
         }
     }
 }
