--- a/src/test/java/quartzspan/soak/FleetProcess.java
+++ b/src/test/java/quartzspan/soak/FleetProcess.java
@@ -16,7 +16,7 @@
     private final String host;
     private final Class<?> mainClass;
     private final Path settings;
-    private final Path log;
+    private final Path logFile;
     private Process process;
 
     FleetProcess(String name, String host, Class<?> mainClass, Path settings) {
@@ -24,7 +24,7 @@
         this.host = host;
         this.mainClass = mainClass;
         this.settings = settings;
-        this.log = settings.resolveSibling(name + ".log");
+        this.logFile = settings.resolveSibling(name + ".log");
     }
 
     String name() {
@@ -46,7 +46,7 @@
         builder.command().addAll(List.of("-cp", System.getProperty("java.class.path"), mainClass.getName()));
         builder.environment().put("QUARTZSPAN_CONFIG", settings.toString());
         builder.redirectErrorStream(true);
-        builder.redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
+        builder.redirectOutput(ProcessBuilder.Redirect.appendTo(logFile.toFile()));
         process = builder.start();
     }
 
@@ -76,7 +76,7 @@
 
     /** The standard output and error of all runs of the process. */
     String log() throws IOException {
-        return Files.readString(log);
+        return Files.readString(logFile);
     }
 
     @Override
--- a/src/test/java/quartzspan/soak/ModelServer.java
+++ b/src/test/java/quartzspan/soak/ModelServer.java
@@ -38,7 +38,7 @@
     private static final int CAPACITY = 16;
     private static final int MAX_QUEUED = 48;
     private static final long LOAD_DURATION_MS = 500;
-    private static final long KV_EVENTS_POLL_MS = 900;
+    private static final long KV_EVENTS_POLL_TIMEOUT_MS = 900;
     private static final HttpServer.ConnectionLimits LIMITS =
             new HttpServer.ConnectionLimits(2_000, 32 * 1024, 64 * 1024, 20_000, 20_000);
 
@@ -122,15 +122,15 @@
         String path = in.uri().split("\\?", 2)[0];
         switch (path) {
             case "/quartzspan/order" -> onOrder(client, in, JsonFields.parse(body));
-            case "/quartzspan/report" -> answer(client, HttpResponseStatus.OK, report());
+            case "/quartzspan/report" -> respond(client, HttpResponseStatus.OK, report());
             case "/quartzspan/kv-events" -> loop.schedule(
-                    () -> answer(
+                    () -> respond(
                             client,
                             HttpResponseStatus.OK,
                             "{\"epoch\":1,\"next_token\":0,\"lost\":false,\"events\":[]}"),
-                    KV_EVENTS_POLL_MS,
+                    KV_EVENTS_POLL_TIMEOUT_MS,
                     TimeUnit.MILLISECONDS);
-            case "/quartzspan/kv-list" -> answer(
+            case "/quartzspan/kv-list" -> respond(
                     client, HttpResponseStatus.OK, "{\"epoch\":1,\"next_token\":0,\"held\":[]}");
             default -> onClientRequest(client, in);
         }
@@ -144,7 +144,7 @@
                 + "}";
     }
 
-    private static void answer(HttpServer.ClientConnection client, HttpResponseStatus status, String json) {
+    private static void respond(HttpServer.ClientConnection client, HttpResponseStatus status, String json) {
         client.answer(
                 status,
                 new ConnectionPool.Response(json.getBytes(StandardCharsets.UTF_8), "application/json", null),
@@ -153,18 +153,18 @@
 
     private void onOrder(HttpServer.ClientConnection client, HttpRequest in, JsonObject order) {
         if (isMisdirected(in)) {
-            answer(client, HttpResponseStatus.MISDIRECTED_REQUEST, "{}");
+            respond(client, HttpResponseStatus.MISDIRECTED_REQUEST, "{}");
             return;
         }
         long version = JsonFields.wholeNumber(order, "version", 0);
         record.orders.add(new SoakRecord.ServerOrder(
                 id, order.getString("holder"), JsonFields.wholeNumber(order, "fencing_token", -1), clock.nowMs()));
         if (loadingVersion == 0 && weightsVersion == version) {
-            answer(client, HttpResponseStatus.OK, "{}");
+            respond(client, HttpResponseStatus.OK, "{}");
         } else if (loadingVersion != 0 && loadingVersion != version) {
-            answer(client, HttpResponseStatus.CONFLICT, "{}");
+            respond(client, HttpResponseStatus.CONFLICT, "{}");
         } else {
-            answer(client, HttpResponseStatus.ACCEPTED, "{}");
+            respond(client, HttpResponseStatus.ACCEPTED, "{}");
             startLoading(version);
         }
     }
@@ -200,12 +200,12 @@
         InferenceRequest request = new InferenceRequest(client, in.headers());
         String expected = in.headers().get("Expect-Version", "");
         if (isMisdirected(in)) {
-            answer(client, HttpResponseStatus.MISDIRECTED_REQUEST, "{}");
+            respond(client, HttpResponseStatus.MISDIRECTED_REQUEST, "{}");
             return;
         }
         record.arrivals.add(new SoakRecord.Arrival(request.attemptId, id, clock.nowMs()));
         if (!expected.isEmpty() && Long.parseLong(expected) != weightsVersion) {
-            request.answer(HttpResponseStatus.MISDIRECTED_REQUEST);
+            request.rejectWith(HttpResponseStatus.MISDIRECTED_REQUEST);
         } else if (loadingVersion > 0 || queued.size() >= MAX_QUEUED) {
             request.reject();
         } else {
@@ -251,7 +251,7 @@
             return new DefaultHttpHeaders().set("X-Attempt-Id", attemptId).set("X-Instance-Id", id);
         }
 
-        void answer(HttpResponseStatus status) {
+        void rejectWith(HttpResponseStatus status) {
             client.answer(
                     status,
                     new ConnectionPool.Response(
@@ -260,7 +260,7 @@
         }
 
         void reject() {
-            answer(HttpResponseStatus.SERVICE_UNAVAILABLE);
+            rejectWith(HttpResponseStatus.SERVICE_UNAVAILABLE);
         }
 
         void start() {
--- a/src/test/java/quartzspan/soak/ReadinessMonitor.java
+++ b/src/test/java/quartzspan/soak/ReadinessMonitor.java
@@ -7,7 +7,10 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** The health checks of a platform's load balancer: probes each proxy every second and picks a proxy for a new connection. */
+/**
+ * The health checks of a platform's load balancer: probes each proxy every second and picks a proxy for a new
+ * connection.
+ */
 final class ReadinessMonitor {
     static final long PROBE_INTERVAL_MS = 1_000;
     private static final int PROBE_TIMEOUT_MS = 500;
@@ -15,22 +18,22 @@
 
     private final int port;
     /** Consecutive probes without status 200, by proxy host. */
-    private final Map<String, Integer> failedProbes = new ConcurrentHashMap<>();
+    private final Map<String, Integer> consecutiveFailures = new ConcurrentHashMap<>();
 
     ReadinessMonitor(List<String> hosts, int port) {
         this.port = port;
-        hosts.forEach(host -> failedProbes.put(host, UNHEALTHY_THRESHOLD));
+        hosts.forEach(host -> consecutiveFailures.put(host, UNHEALTHY_THRESHOLD));
     }
 
     void probe(String host) {
         boolean ready = isReady(host);
-        failedProbes.merge(host, 1, (before, one) -> ready ? 0 : before + one);
+        consecutiveFailures.merge(host, 1, (before, one) -> ready ? 0 : before + one);
     }
 
     private boolean isReady(String host) {
-        try (HttpClientConnection exchange = new HttpClientConnection(host, port, PROBE_TIMEOUT_MS)) {
-            exchange.write("GET /quartzspan/readiness HTTP/1.1\r\nHost: r\r\nConnection: close\r\n\r\n");
-            return exchange.read(PROBE_TIMEOUT_MS).status() == 200;
+        try (HttpClientConnection connection = new HttpClientConnection(host, port, PROBE_TIMEOUT_MS)) {
+            connection.write("GET /quartzspan/readiness HTTP/1.1\r\nHost: r\r\nConnection: close\r\n\r\n");
+            return connection.read(PROBE_TIMEOUT_MS).status() == 200;
         } catch (IOException e) {
             return false;
         }
@@ -39,23 +42,23 @@
     /** A random healthy proxy; any proxy if fewer than half of them are healthy. */
     String pick(SplittableRandom random) {
         List<String> healthy = new ArrayList<>();
-        failedProbes.forEach((host, failures) -> {
+        consecutiveFailures.forEach((host, failures) -> {
             if (failures < UNHEALTHY_THRESHOLD) {
                 healthy.add(host);
             }
         });
         List<String> candidates =
-                2 * healthy.size() < failedProbes.size() ? List.copyOf(failedProbes.keySet()) : healthy;
+                2 * healthy.size() < consecutiveFailures.size() ? List.copyOf(consecutiveFailures.keySet()) : healthy;
         return candidates.get(random.nextInt(candidates.size()));
     }
 
     /** Whether all proxies are healthy. */
     boolean allReady() {
-        return failedProbes.values().stream().allMatch(failures -> failures < UNHEALTHY_THRESHOLD);
+        return consecutiveFailures.values().stream().allMatch(failures -> failures < UNHEALTHY_THRESHOLD);
     }
 
     @Override
     public String toString() {
-        return "consecutive failed probes " + failedProbes;
+        return "consecutive failed probes " + consecutiveFailures;
     }
 }
--- a/src/test/java/quartzspan/soak/ServerSupervisor.java
+++ b/src/test/java/quartzspan/soak/ServerSupervisor.java
@@ -50,9 +50,9 @@
     }
 
     private boolean call(String operation, ModelServer target, String state) {
-        Message answer =
+        Message response =
                 control.call("POST", "/quartzspan/" + operation + '/' + target.id(), "", target.heartbeat(state));
-        return answer != null && answer.status() == 200;
+        return response != null && response.status() == 200;
     }
 
     /** Stops the server without notice and starts another with the same weights after {@code downMs}. */
@@ -65,7 +65,10 @@
         });
     }
 
-    /** Announces the drain, serves until after the drain timeout, deregisters, shuts down and starts another server with the same weights. */
+    /**
+     * Announces the drain, serves until after the drain timeout, deregisters, shuts down and starts another server
+     * with the same weights.
+     */
     void drainAndReplace() {
         callExecutor.execute(() -> {
             draining = true;
--- a/src/test/java/quartzspan/soak/SoakClient.java
+++ b/src/test/java/quartzspan/soak/SoakClient.java
@@ -108,10 +108,10 @@
         try {
             connection.write(request);
             sentAtMs = clock.nowMs();
-            Message answer = connection.read(deadlineMs + RESPONSE_TIMEOUT_MARGIN_MS);
-            status = answer.status();
-            body = answer.text();
-            if ("close".equals(answer.header("connection"))) {
+            Message response = connection.read(deadlineMs + RESPONSE_TIMEOUT_MARGIN_MS);
+            status = response.status();
+            body = response.text();
+            if ("close".equals(response.header("connection"))) {
                 disconnect();
             }
         } catch (SocketTimeoutException timeout) {
--- a/src/test/java/quartzspan/soak/SoakFleet.java
+++ b/src/test/java/quartzspan/soak/SoakFleet.java
@@ -8,7 +8,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The core machines and proxies of a soak run. Each process has its own loopback address; the ports are the same on all. */
+/**
+ * The core machines and proxies of a soak run. Each process has its own loopback address; the ports are the same on
+ * all.
+ */
 final class SoakFleet implements AutoCloseable {
     private static final String ZONE = "z";
 
--- a/src/test/java/quartzspan/soak/SoakOperator.java
+++ b/src/test/java/quartzspan/soak/SoakOperator.java
@@ -8,7 +8,10 @@
 import quartzspan.configuration.JsonFields;
 import quartzspan.http.LoopbackPeers.Message;
 
-/** A simulated operator: changes the configuration, adds and revokes keys and sets target versions of weights. Retries each call until it is acknowledged or rejected. */
+/**
+ * A simulated operator: changes the configuration, adds and revokes keys and sets target versions of weights. Retries
+ * each call until it is acknowledged or rejected.
+ */
 final class SoakOperator {
     static final String STABLE_KEY = "stable";
     private static final String TENANT = "t";
@@ -65,12 +68,12 @@
     }
 
     private void sendUntilAcknowledged(String operation, String headers, String body, Runnable acknowledged) {
-        Message answer = control.call("POST", "/quartzspan/" + operation, headers, body);
-        if (answer != null && answer.status() == 200) {
+        Message response = control.call("POST", "/quartzspan/" + operation, headers, body);
+        if (response != null && response.status() == 200) {
             acknowledged.run();
-        } else if (answer != null && answer.status() != 429 && answer.status() != 408) {
+        } else if (response != null && response.status() != 429 && response.status() != 408) {
             record.violations.add("CONFIG: a valid call was rejected: " + operation + ' ' + headers.strip() + " -> "
-                    + answer.first() + ' ' + answer.text());
+                    + response.first() + ' ' + response.text());
         } else {
             callExecutor.schedule(
                     () -> sendUntilAcknowledged(operation, headers, body, acknowledged),
@@ -134,15 +137,15 @@
     /** Reads the configuration and records a violation if it is not the version acknowledged last. */
     void verifyConfiguration(Runnable done) {
         callExecutor.execute(() -> {
-            Message answer = control.call("GET", "/quartzspan/Configuration.Describe", "", "");
-            if (answer == null) {
+            Message response = control.call("GET", "/quartzspan/Configuration.Describe", "", "");
+            if (response == null) {
                 callExecutor.schedule(() -> verifyConfiguration(done), RETRY_MS, TimeUnit.MILLISECONDS);
                 return;
             }
-            long read = JsonFields.wholeNumber(JsonFields.parse(answer.body()), "version", -1);
-            if (read != configurationVersion) {
-                record.violations.add(
-                        "CONFIG: version " + read + " was read, " + configurationVersion + " was acknowledged last");
+            long readVersion = JsonFields.wholeNumber(JsonFields.parse(response.body()), "version", -1);
+            if (readVersion != configurationVersion) {
+                record.violations.add("CONFIG: version " + readVersion + " was read, " + configurationVersion
+                        + " was acknowledged last");
             }
             done.run();
         });
--- a/src/test/java/quartzspan/soak/SoakPlan.java
+++ b/src/test/java/quartzspan/soak/SoakPlan.java
@@ -9,7 +9,10 @@
     static final long GRACE_PERIOD_MS = 8_000;
     /** Time after a disruption until the processes have reconnected; the rules allow for it. */
     static final long RECOVERY_MS = 3_000;
-    /** A request that the proxy did not forward may be lost if its connection closes within this time after it was sent. */
+    /**
+     * A request that the proxy did not forward may be lost if its connection closes within this time after it was
+     * sent.
+     */
     static final long CLOSE_RACE_MS = 200;
 
     static final long DRAIN_TIMEOUT_MS = 2_000;
--- a/src/test/java/quartzspan/soak/SoakRules.java
+++ b/src/test/java/quartzspan/soak/SoakRules.java
@@ -10,7 +10,7 @@
 /** Checks the record of a soak run against the guarantees of the fleet. */
 final class SoakRules {
     /** The part of the grace period after which a request that still runs may be cut off. */
-    private static final double GRACE_PERIOD_CUTOFF = 5.0 / 6;
+    private static final double GRACE_PERIOD_CUTOFF_FRACTION = 5.0 / 6;
     /** Statuses that promise that the request was not executed. */
     private static final Set<Integer> NOT_EXECUTED_STATUSES = Set.of(408, 421, 429, 503);
 
@@ -87,19 +87,22 @@
             SoakRecord.ClientRequest request,
             List<SoakRecord.Execution> requestExecutions,
             SoakRecord.Disruption disruption) {
-        boolean forwarded = arrivals.containsKey(request.attemptId());
-        if (!forwarded) {
+        boolean reachedServer = arrivals.containsKey(request.attemptId());
+        if (!reachedServer) {
             return request.endedAtMs() - request.sentAtMs() > SoakPlan.CLOSE_RACE_MS + SoakPlan.CLOCK_TOLERANCE_MS;
         }
         boolean deadlineReached = request.endedAtMs() >= request.deadlineMs() - SoakPlan.CLOCK_TOLERANCE_MS;
-        long cutoffMs = disruption.startedAtMs() + (long) (SoakPlan.GRACE_PERIOD_MS * GRACE_PERIOD_CUTOFF);
+        long cutoffMs = disruption.startedAtMs() + (long) (SoakPlan.GRACE_PERIOD_MS * GRACE_PERIOD_CUTOFF_FRACTION);
         boolean runsPastCutoff = requestExecutions.stream().anyMatch(execution -> execution.endedAtMs() >= cutoffMs);
         boolean early = request.sentAtMs() <= disruption.startedAtMs() + SoakPlan.SHUTDOWN_ACCEPT_MS;
         boolean serverCrashed = requestExecutions.isEmpty();
         return !deadlineReached && !serverCrashed && !(early && runsPastCutoff);
     }
 
-    /** Checks that an execution does not use weights replaced by a target version that was acknowledged too long ago, with no core disruption since. */
+    /**
+     * Checks that an execution does not use weights replaced by a target version that was acknowledged too long ago,
+     * with no core disruption since.
+     */
     private void checkVersion(SoakRecord.Execution execution) {
         record.targetVersions.stream()
                 .filter(target -> target.version() > execution.weightsVersion())
--- a/src/test/java/quartzspan/soak/SoakRun.java
+++ b/src/test/java/quartzspan/soak/SoakRun.java
@@ -18,7 +18,10 @@
 import java.util.function.Supplier;
 import java.util.stream.Stream;
 
-/** One soak run: starts the fleet, the servers and the clients, runs the schedule of disruptions, waits for the fleet to recover and checks the rules. */
+/**
+ * One soak run: starts the fleet, the servers and the clients, runs the schedule of disruptions, waits for the fleet
+ * to recover and checks the rules.
+ */
 final class SoakRun implements AutoCloseable {
     private static final long START_TIMEOUT_S = 60;
     private static final long SETTLE_TIMEOUT_S = 60;
@@ -125,35 +128,35 @@
     }
 
     private static String pick(List<String> keys, SplittableRandom random) {
-        List<String> now = List.copyOf(keys);
-        return now.get(random.nextInt(now.size()));
+        List<String> snapshot = List.copyOf(keys);
+        return snapshot.get(random.nextInt(snapshot.size()));
     }
 
     private interface Condition {
         boolean holds();
     }
 
-    private void await(Condition condition, long timeoutS, Supplier<String> what)
+    private void await(Condition condition, long timeoutS, Supplier<String> description)
             throws InterruptedException, TimeoutException {
         long endMs = clock.nowMs() + TimeUnit.SECONDS.toMillis(timeoutS);
-        CountDownLatch never = new CountDownLatch(1);
+        CountDownLatch timer = new CountDownLatch(1);
         while (!condition.holds()) {
             if (clock.nowMs() > endMs) {
-                throw new TimeoutException("timed out waiting for: " + what.get());
+                throw new TimeoutException("timed out waiting for: " + description.get());
             }
-            never.await(POLL_MS, TimeUnit.MILLISECONDS);
+            timer.await(POLL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     /** Counts of the observations, for the log. */
     String summary() {
-        long answered = record.requests.stream().filter(r -> r.status() == 200).count();
-        long refused = record.requests.stream().filter(r -> r.status() == 503).count();
-        long cut = record.requests.stream()
+        long served = record.requests.stream().filter(r -> r.status() == 200).count();
+        long rejected = record.requests.stream().filter(r -> r.status() == 503).count();
+        long disconnected = record.requests.stream()
                 .filter(r -> r.outcome() == SoakRecord.Outcome.DISCONNECTED)
                 .count();
-        return "seed " + plan.seed() + ": " + record.requests.size() + " requests, " + answered + " served, " + refused
-                + " rejected, " + cut + " disconnected; " + record.disruptions.size() + " disruptions, "
+        return "seed " + plan.seed() + ": " + record.requests.size() + " requests, " + served + " served, " + rejected
+                + " rejected, " + disconnected + " disconnected; " + record.disruptions.size() + " disruptions, "
                 + record.targetVersions.size() + " target versions, " + record.orders.size() + " orders, "
                 + record.revocations.size()
                 + " revocations, " + record.drains.size() + " drains";
--- a/src/test/java/quartzspan/soak/SoakSchedule.java
+++ b/src/test/java/quartzspan/soak/SoakSchedule.java
@@ -140,7 +140,10 @@
         }
     }
 
-    /** Sends SIGTERM, then SIGKILL after the grace period, and restarts the process. Does nothing if it is not running or is already disrupted. */
+    /**
+     * Sends SIGTERM, then SIGKILL after the grace period, and restarts the process. Does nothing if it is not running
+     * or is already disrupted.
+     */
     private void terminate(FleetProcess process) {
         if (!tryClaim(process)) {
             return;
