--- a/src/main/java/quartzspan/cli/Main.java
+++ b/src/main/java/quartzspan/cli/Main.java
@@ -35,9 +35,10 @@
             "  quartzspanctl status --core 127.0.0.1:8169 --json",
             "exit status: 0 done, 2 wrong usage, 6 invalid, 7 built on another version, 8 no primary or no answer");
 
-    private static final int OK = 200;
+    private static final int HTTP_OK = 200;
     private static final int WRONG_USAGE = 2;
-    private static final int NO_ANSWER = 8;
+    private static final int NO_RESPONSE = 8;
+    private static final int MAX_REDIRECTS = 2;
 
     private final PrintStream out;
     private final HttpClient http = HttpClient.newBuilder()
@@ -60,33 +61,36 @@
                 .addOption(Option.builder().longOpt("base").hasArg().get())
                 .addOption(Option.builder().longOpt("json").get());
         try {
-            CommandLine line = new DefaultParser().parse(options, args);
-            String verb = line.getArgList().isEmpty() ? "" : line.getArgList().get(0);
-            String file =
-                    line.getArgList().size() < 2 ? null : line.getArgList().get(1);
+            CommandLine commandLine = new DefaultParser().parse(options, args);
+            String verb = commandLine.getArgList().isEmpty()
+                    ? ""
+                    : commandLine.getArgList().get(0);
+            String file = commandLine.getArgList().size() < 2
+                    ? null
+                    : commandLine.getArgList().get(1);
             return switch (verb) {
-                case "status" -> status(line);
-                case "get" -> print(call(line, "GET", "Configuration.Describe", null, null));
+                case "status" -> status(commandLine);
+                case "get" -> print(call(commandLine, "GET", "Configuration.Describe", null, null));
                 case "check" -> check(file);
-                case "apply" -> apply(line, file);
+                case "apply" -> apply(commandLine, file);
                 default -> wrongUsage("unknown verb " + verb);
             };
         } catch (ParseException e) {
             return wrongUsage(e.getMessage());
-        } catch (FleetException refusal) {
-            out.println(refusal);
-            return refusal.code().exit();
+        } catch (FleetException e) {
+            out.println(e);
+            return e.code().exit();
         } catch (IOException | IllegalArgumentException e) {
             out.println("no answer: " + e + "; name a core machine that runs with --core");
-            return NO_ANSWER;
+            return NO_RESPONSE;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return NO_ANSWER;
+            return NO_RESPONSE;
         }
     }
 
-    private int wrongUsage(String why) {
-        out.println(why);
+    private int wrongUsage(String message) {
+        out.println(message);
         out.println(USAGE);
         return WRONG_USAGE;
     }
@@ -100,47 +104,49 @@
     }
 
     private int check(String file) throws IOException {
-        Configuration m = Configuration.read(read(file));
-        out.println("valid: version " + m.version() + ", " + m.routes().size() + " routes, "
-                + m.services().size() + " services");
+        Configuration configuration = Configuration.read(read(file));
+        out.println("valid: version " + configuration.version() + ", "
+                + configuration.routes().size() + " routes, "
+                + configuration.services().size() + " services");
         return 0;
     }
 
-    private int apply(CommandLine line, String file) throws IOException, InterruptedException {
+    private int apply(CommandLine commandLine, String file) throws IOException, InterruptedException {
         byte[] body = read(file);
-        Configuration m = Configuration.read(body);
-        String base = line.getOptionValue("base");
-        if (base == null) {
-            base = String.valueOf(Configuration.read(call(line, "GET", "Configuration.Describe", null, null)
-                            .body())
-                    .version());
+        Configuration configuration = Configuration.read(body);
+        String baseVersion = commandLine.getOptionValue("base");
+        if (baseVersion == null) {
+            baseVersion =
+                    String.valueOf(Configuration.read(call(commandLine, "GET", "Configuration.Describe", null, null)
+                                    .body())
+                            .version());
         }
-        HttpResponse<byte[]> answer = call(line, "POST", "Configuration.Replace", base, body);
-        if (answer.statusCode() != OK) {
-            return print(answer);
+        HttpResponse<byte[]> response = call(commandLine, "POST", "Configuration.Replace", baseVersion, body);
+        if (response.statusCode() != HTTP_OK) {
+            return print(response);
         }
-        out.println("version " + m.version() + " is in effect");
+        out.println("version " + configuration.version() + " is in effect");
         return 0;
     }
 
-    private int status(CommandLine line) throws IOException, InterruptedException {
-        HttpResponse<byte[]> answer = call(line, "GET", "status", null, null);
-        if (line.hasOption("json") || answer.statusCode() != OK) {
-            return print(answer);
+    private int status(CommandLine commandLine) throws IOException, InterruptedException {
+        HttpResponse<byte[]> response = call(commandLine, "GET", "status", null, null);
+        if (commandLine.hasOption("json") || response.statusCode() != HTTP_OK) {
+            return print(response);
         }
-        JsonObject o = JsonFields.parse(answer.body());
-        for (String name : o.keySet()) {
-            if (o.get(name) instanceof jakarta.json.JsonArray list) {
+        JsonObject status = JsonFields.parse(response.body());
+        for (String name : status.keySet()) {
+            if (status.get(name) instanceof jakarta.json.JsonArray list) {
                 out.println(name + ":");
-                for (JsonValue v : list) {
-                    JsonObject f = v.asJsonObject();
-                    out.println("  " + f.getString("key") + "  " + f.getString("state") + "  "
-                            + f.getString("text").replace('\t', ' '));
+                for (JsonValue value : list) {
+                    JsonObject entry = value.asJsonObject();
+                    out.println("  " + entry.getString("key") + "  " + entry.getString("state") + "  "
+                            + entry.getString("text").replace('\t', ' '));
                 }
             } else if (name.equals("view")) {
-                printMembership(o.getString(name));
+                printMembership(status.getString(name));
             } else {
-                out.println(name + ": " + o.get(name));
+                out.println(name + ": " + status.get(name));
             }
         }
         return 0;
@@ -162,38 +168,40 @@
         }
     }
 
-    private int print(HttpResponse<byte[]> answer) {
-        out.println(new String(answer.body(), java.nio.charset.StandardCharsets.UTF_8));
-        return switch (answer.statusCode()) {
+    private int print(HttpResponse<byte[]> response) {
+        out.println(new String(response.body(), java.nio.charset.StandardCharsets.UTF_8));
+        return switch (response.statusCode()) {
             case 200 -> 0;
             case 400 -> FleetException.Code.CONFIG_INVALID.exit();
             case 412 -> FleetException.Code.CONFIG_STALE.exit();
-            default -> NO_ANSWER;
+            default -> NO_RESPONSE;
         };
     }
 
     /** One request; follows two redirects at the most. */
-    private HttpResponse<byte[]> call(CommandLine line, String method, String name, String base, byte[] body)
+    private HttpResponse<byte[]> call(
+            CommandLine commandLine, String method, String operation, String baseVersion, byte[] body)
             throws IOException, InterruptedException {
-        URI to = URI.create("http://" + line.getOptionValue("core", "127.0.0.1:8169") + "/quartzspan/" + name);
-        HttpResponse<byte[]> answer = null;
-        for (int i = 0; i < 3; i++) {
-            HttpRequest.Builder request = HttpRequest.newBuilder(to)
+        URI uri = URI.create(
+                "http://" + commandLine.getOptionValue("core", "127.0.0.1:8169") + "/quartzspan/" + operation);
+        HttpResponse<byte[]> response = null;
+        for (int redirects = 0; redirects <= MAX_REDIRECTS; redirects++) {
+            HttpRequest.Builder request = HttpRequest.newBuilder(uri)
                     .timeout(Duration.ofSeconds(5))
                     .method(
                             method,
                             body == null
                                     ? HttpRequest.BodyPublishers.noBody()
                                     : HttpRequest.BodyPublishers.ofByteArray(body));
-            if (base != null) {
-                request.header("X-Base-Version", base);
+            if (baseVersion != null) {
+                request.header("X-Base-Version", baseVersion);
             }
-            answer = http.send(request.build(), HttpResponse.BodyHandlers.ofByteArray());
-            if (answer.statusCode() != 307) {
+            response = http.send(request.build(), HttpResponse.BodyHandlers.ofByteArray());
+            if (response.statusCode() != 307) {
                 break;
             }
-            to = URI.create(answer.headers().firstValue("Location").orElse(to.toString()));
+            uri = URI.create(response.headers().firstValue("Location").orElse(uri.toString()));
         }
-        return answer;
+        return response;
     }
 }
--- a/src/main/java/quartzspan/localrun/Main.java
+++ b/src/main/java/quartzspan/localrun/Main.java
@@ -31,8 +31,10 @@
  * ends. Meanwhile the JVM notes which classes a start needs, so that the deployed programs have them at hand.
  */
 public final class Main {
-    private static final String BODY = "data: done\n\n";
-    private static final int REQUESTS = 20;
+    private static final String RESPONSE_BODY = "data: done\n\n";
+    private static final int REQUEST_COUNT = 20;
+    private static final int MAX_ATTEMPTS = 200;
+    private static final int RETRY_INTERVAL_MS = 30;
     private static final String CONFIGURATION = "{\"version\":2,\"routes\":[{\"name\":\"r\",\"hostname\":\"h.example\","
             + "\"path_prefix\":\"/a/\",\"route_type\":\"streaming\",\"timeout_ms\":3000,\"target_latency_ms\":400,"
             + "\"priority\":0,\"service\":\"s\",\"max_attempts\":2,\"session_affinity\":true,\"resumable\":true}],"
@@ -50,8 +52,8 @@
         int status = 0;
         try {
             run(args);
-        } catch (Exception why) {
-            why.printStackTrace();
+        } catch (Exception e) {
+            e.printStackTrace();
             status = 1;
         }
         // The programs' threads would keep the process; their shutdown hooks run here, so the archive holds an end as
@@ -61,19 +63,19 @@
 
     private static void run(String[] args) throws Exception {
         if (args.length == 0) {
-            runWithMadeUpSettings();
+            runWithGeneratedSettings();
             return;
         }
-        Path from = Path.of(args[0]);
-        carryRequests(
-                Settings.parse(Files.readString(from.resolve("core.yaml"))),
-                Settings.parse(Files.readString(from.resolve("proxy.yaml"))),
-                Files.readString(from.resolve("configuration.json")));
+        Path directory = Path.of(args[0]);
+        sendRequests(
+                Settings.parse(Files.readString(directory.resolve("core.yaml"))),
+                Settings.parse(Files.readString(directory.resolve("proxy.yaml"))),
+                Files.readString(directory.resolve("configuration.json")));
     }
 
-    private static void runWithMadeUpSettings() throws Exception {
+    private static void runWithGeneratedSettings() throws Exception {
         Path folder = Files.createTempDirectory("local-run");
-        int[] ports = ports(4);
+        int[] ports = freePorts(4);
         String coreSettings = settings(
                 "core",
                 "127.0.0.1",
@@ -89,7 +91,7 @@
                 ports[0],
                 "null");
         try {
-            carryRequests(Settings.parse(coreSettings), Settings.parse(proxySettings), CONFIGURATION);
+            sendRequests(Settings.parse(coreSettings), Settings.parse(proxySettings), CONFIGURATION);
         } finally {
             deleteAtExit(folder);
         }
@@ -97,49 +99,54 @@
 
     /** Files are deleted in the opposite order, after the shutdown hooks that stop their writer. */
     private static void deleteAtExit(Path folder) throws IOException {
-        try (Stream<Path> all = Files.walk(folder)) {
-            all.sorted().forEach(file -> file.toFile().deleteOnExit());
+        try (Stream<Path> files = Files.walk(folder)) {
+            files.sorted().forEach(file -> file.toFile().deleteOnExit());
         }
     }
 
-    private static void carryRequests(Settings core, Settings proxy, String config) throws Exception {
-        InetSocketAddress control = core.listens("control_plane");
-        InetSocketAddress front = proxy.listens("frontend");
+    private static void sendRequests(Settings core, Settings proxy, String config) throws Exception {
+        InetSocketAddress controlAddress = core.listens("control_plane");
+        InetSocketAddress frontendAddress = proxy.listens("frontend");
         quartzspan.controlplane.Main.run(core);
         quartzspan.frontend.Main.run(proxy);
-        int server = server();
-        long base = Configuration.read(
-                        body(until(() -> call(control, "GET /quartzspan/Configuration.Describe", "", ""), " 200 ")))
+        int serverPort = startServer();
+        long baseVersion = Configuration.read(bodyOf(retryUntil(
+                        () -> call(controlAddress, "GET /quartzspan/Configuration.Describe", "", ""), " 200 ")))
                 .version();
-        if (base == 0) {
-            until(
-                    () -> call(control, "POST /quartzspan/Configuration.Replace", "X-Base-Version: 0\r\n", config),
+        if (baseVersion == 0) {
+            retryUntil(
+                    () -> call(
+                            controlAddress, "POST /quartzspan/Configuration.Replace", "X-Base-Version: 0\r\n", config),
                     " 200 ");
         }
-        String beat = "{\"service\":\"s\",\"address\":\"127.0.0.1:" + server + "\",\"zone\":\"z\",\"capacity\":8,"
-                + "\"state\":\"ready\",\"models\":[{\"name\":\"m\",\"version\":1}],\"call_count\":1}";
-        until(() -> call(control, "POST /quartzspan/Instances.Heartbeat/i-" + server, "", beat), " 200 ");
-        until(() -> call(proxy.listens("readiness"), "GET /quartzspan/readiness", "", ""), " 200 ");
-        for (int i = 0; i < REQUESTS; i++) {
-            until(
+        String heartbeat =
+                "{\"service\":\"s\",\"address\":\"127.0.0.1:" + serverPort + "\",\"zone\":\"z\",\"capacity\":8,"
+                        + "\"state\":\"ready\",\"models\":[{\"name\":\"m\",\"version\":1}],\"call_count\":1}";
+        retryUntil(
+                () -> call(controlAddress, "POST /quartzspan/Instances.Heartbeat/i-" + serverPort, "", heartbeat),
+                " 200 ");
+        retryUntil(() -> call(proxy.listens("readiness"), "GET /quartzspan/readiness", "", ""), " 200 ");
+        for (int i = 0; i < REQUEST_COUNT; i++) {
+            retryUntil(
                     () -> call(
-                            front,
+                            frontendAddress,
                             "POST /a/b",
                             "Host: h.example\r\nX-Attempt-Id: 1\r\nX-Deadline-Ms: 2000\r\n"
                                     + "X-Model: m\r\nX-Token-Count: 30,4\r\nX-Prompt-Prefix: 1a:10,2b:10,3c:10\r\n"
                                     + "Authorization: Token k\r\n",
                             "ask"),
-                    BODY);
+                    RESPONSE_BODY);
         }
-        System.out.println(REQUESTS + " requests carried by " + proxy.nodeName() + " to i-" + server + ", version "
-                + Math.max(
-                        base,
-                        Configuration.read(config.getBytes(StandardCharsets.UTF_8))
-                                .version()) + " in force");
+        System.out.println(
+                REQUEST_COUNT + " requests carried by " + proxy.nodeName() + " to i-" + serverPort + ", version "
+                        + Math.max(
+                                baseVersion,
+                                Configuration.read(config.getBytes(StandardCharsets.UTF_8))
+                                        .version()) + " in force");
     }
 
-    private static byte[] body(String answer) {
-        return answer.substring(answer.indexOf("\r\n\r\n") + 4).getBytes(StandardCharsets.UTF_8);
+    private static byte[] bodyOf(String response) {
+        return response.substring(response.indexOf("\r\n\r\n") + 4).getBytes(StandardCharsets.UTF_8);
     }
 
     private static String settings(String name, String address, String listen, int internal, int seed, String folder) {
@@ -151,24 +158,24 @@
                 + "\nheartbeat_ms: 1200\nbounds:\n  strict_revocation: true\n  grace_period_s: 1\n";
     }
 
-    private static int[] ports(int count) throws IOException {
-        List<ServerSocket> held = new ArrayList<>();
+    private static int[] freePorts(int count) throws IOException {
+        List<ServerSocket> sockets = new ArrayList<>();
         int[] ports = new int[count];
         for (int i = 0; i < count; i++) {
-            ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-            held.add(s);
-            ports[i] = s.getLocalPort();
+            ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+            sockets.add(socket);
+            ports[i] = socket.getLocalPort();
         }
-        for (ServerSocket s : held) {
-            s.close();
+        for (ServerSocket socket : sockets) {
+            socket.close();
         }
         return ports;
     }
 
-    private static int server() throws Exception {
+    private static int startServer() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
-        HttpServer frontend = loop.submit(() -> new HttpServer(
+        HttpServer server = loop.submit(() -> new HttpServer(
                         new HttpServer.RequestHandler() {
                             @Override
                             public long now() {
@@ -178,13 +185,15 @@
                             @Override
                             public void onRequest(
                                     HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
-                                HttpHeaders marks = new DefaultHttpHeaders()
+                                HttpHeaders headers = new DefaultHttpHeaders()
                                         .set("X-Attempt-Id", in.headers().get("X-Attempt-Id", ""))
                                         .set("X-Server-Seal", "local");
                                 client.answer(
                                         HttpResponseStatus.OK,
                                         new ConnectionPool.Response(
-                                                BODY.getBytes(StandardCharsets.UTF_8), "text/event-stream", marks),
+                                                RESPONSE_BODY.getBytes(StandardCharsets.UTF_8),
+                                                "text/event-stream",
+                                                headers),
                                         0);
                             }
 
@@ -195,44 +204,45 @@
                         },
                         loop))
                 .get();
-        loop.submit(() -> frontend.listen(new InetSocketAddress("127.0.0.1", 0)))
+        loop.submit(() -> server.listen(new InetSocketAddress("127.0.0.1", 0)))
                 .get()
                 .await();
-        return frontend.port();
+        return server.port();
     }
 
-    private interface Try {
+    private interface Call {
         String run() throws IOException;
     }
 
-    private static String until(Try call, String holds) throws Exception {
-        String last = "";
-        for (int i = 0; i < 200; i++) {
+    private static String retryUntil(Call call, String expectedText) throws Exception {
+        String lastResult = "";
+        for (int i = 0; i < MAX_ATTEMPTS; i++) {
             try {
-                last = call.run();
-                if (last.contains(holds)) {
-                    return last;
+                lastResult = call.run();
+                if (lastResult.contains(expectedText)) {
+                    return lastResult;
                 }
             } catch (IOException e) {
-                last = e.toString();
+                lastResult = e.toString();
             }
-            Thread.sleep(30);
+            Thread.sleep(RETRY_INTERVAL_MS);
         }
-        throw new IllegalStateException("the local run got: " + last);
+        throw new IllegalStateException("the local run got: " + lastResult);
     }
 
-    private static String call(InetSocketAddress to, String line, String headers, String body) throws IOException {
-        try (Socket s = new Socket(to.getAddress(), to.getPort())) {
-            s.setSoTimeout(5_000);
-            s.getOutputStream()
-                    .write((line + " HTTP/1.1\r\n" + (headers.contains("Host:") ? "" : "Host: c\r\n") + headers
+    private static String call(InetSocketAddress address, String requestLine, String headers, String body)
+            throws IOException {
+        try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
+            socket.setSoTimeout(5_000);
+            socket.getOutputStream()
+                    .write((requestLine + " HTTP/1.1\r\n" + (headers.contains("Host:") ? "" : "Host: c\r\n") + headers
                                     + "Content-Length: " + body.length() + "\r\nConnection: close\r\n\r\n" + body)
                             .getBytes(StandardCharsets.UTF_8));
-            ByteArrayOutputStream all = new ByteArrayOutputStream();
-            try (InputStream in = s.getInputStream()) {
-                in.transferTo(all);
+            ByteArrayOutputStream response = new ByteArrayOutputStream();
+            try (InputStream in = socket.getInputStream()) {
+                in.transferTo(response);
             }
-            return all.toString(StandardCharsets.UTF_8);
+            return response.toString(StandardCharsets.UTF_8);
         }
     }
 }
--- a/src/test/java/quartzspan/cli/CommandLineTest.java
+++ b/src/test/java/quartzspan/cli/CommandLineTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void checkWorksOffline() throws Exception {
+    void checkValidatesOfflineAndGetFailsWithoutACore() throws Exception {
         Path good = Files.writeString(folder.resolve("good.json"), "{\"version\":3,\"routes\":[],\"services\":[]}");
         Path bad = Files.writeString(folder.resolve("bad.json"), "{\"version\":3,\"routes\":[{\"name\":\"a\"}]}");
         assertEquals(0, run("check", good.toString()));
