--- a/src/test/java/quartzspan/soak/SoakRules.java
+++ b/src/test/java/quartzspan/soak/SoakRules.java
@@ -100,8 +100,8 @@
     }
 
     /**
-     * Checks that an execution does not use weights replaced by a target version that was acknowledged too long ago,
-     * with no core disruption since.
+     * Checks that no execution starts on outdated weights later than the bound after the acknowledgement of a newer
+     * target version. If the core was disrupted, the bound counts from its recovery.
      */
     private void checkVersion(SoakRecord.Execution execution) {
         record.targetVersions.stream()
