--- a/src/main/java/quartzspan/cli/Main.java
+++ b/src/main/java/quartzspan/cli/Main.java
@@ -21,7 +21,7 @@
 import quartzspan.configuration.JsonFields;
 import quartzspan.replication.Membership;
 
-/** The operators' command line: {@code quartzspanctl VERB [FILE] --core IP:PORT}. */
+/** The command line client for operators: {@code quartzspanctl VERB [FILE] --core IP:PORT}. */
 public final class Main {
     static final String USAGE = String.join(
             "\n",
@@ -81,7 +81,7 @@
             out.println(e);
             return e.code().exit();
         } catch (IOException | IllegalArgumentException e) {
-            out.println("no answer: " + e + "; name a core machine that runs with --core");
+            out.println("no answer: " + e + "; use --core to give the address of a running core machine");
             return NO_RESPONSE;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -98,7 +98,9 @@
     private byte[] read(String file) throws IOException {
         if (file == null) {
             throw new FleetException(
-                    FleetException.Code.CONFIG_UNREADABLE, "no file is named", "name the configuration's file");
+                    FleetException.Code.CONFIG_UNREADABLE,
+                    "no configuration file given",
+                    "give the path of the configuration file");
         }
         return Files.readAllBytes(Path.of(file));
     }
@@ -178,7 +180,7 @@
         };
     }
 
-    /** One request; follows two redirects at the most. */
+    /** Sends a request to the core and follows at most two redirects. */
     private HttpResponse<byte[]> call(
             CommandLine commandLine, String method, String operation, String baseVersion, byte[] body)
             throws IOException, InterruptedException {
--- a/src/main/java/quartzspan/cli/package-info.java
+++ b/src/main/java/quartzspan/cli/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The operators' command line client of the control plane's API.
+ * Command line client for operators, which calls the API of the control plane.
  *
  * <p>Owns no state. May import {@code common}, {@code configuration} and {@code replication}.
  */
--- a/src/main/java/quartzspan/localrun/Main.java
+++ b/src/main/java/quartzspan/localrun/Main.java
@@ -27,8 +27,9 @@
 import quartzspan.http.HttpServer;
 
 /**
- * For the build: starts a core machine, a proxy and a stand-in server on loopback in one process, carries a few requests and
- * ends. Meanwhile the JVM notes which classes a start needs, so that the deployed programs have them at hand.
+ * Starts a core machine, a proxy and a simulated server on loopback in one process, sends a few requests through the proxy and
+ * exits. The build uses it as the training run of the class-data archive: the JVM records the loaded classes, so that the
+ * deployed programs load them from the archive when they start.
  */
 public final class Main {
     private static final String RESPONSE_BODY = "data: done\n\n";
@@ -44,9 +45,9 @@
     private Main() {}
 
     /**
-     * Without arguments all is made up; with one, a folder, settings are read from its {@code core.yaml} and
-     * {@code proxy.yaml} and the configuration from {@code configuration.json}. Ends with a status above 0 if the fleet does
-     * not carry its requests.
+     * Without arguments, settings and configuration are generated. With a directory as the argument, settings are read from its
+     * {@code core.yaml} and {@code proxy.yaml} and the configuration from its {@code configuration.json}. Exits with status 1 if
+     * the requests fail.
      */
     public static void main(String[] args) {
         int status = 0;
@@ -56,8 +57,8 @@
             e.printStackTrace();
             status = 1;
         }
-        // The programs' threads would keep the process; their shutdown hooks run here, so the archive holds an end as
-        // well.
+        // Exits explicitly because the threads of the programs would keep the process running. Their shutdown hooks run
+        // on exit, so the archive also contains the classes that a shutdown loads.
         System.exit(status);
     }
 
@@ -97,7 +98,7 @@
         }
     }
 
-    /** Files are deleted in the opposite order, after the shutdown hooks that stop their writer. */
+    /** Registers the files in sorted order: the JVM deletes them in reverse, after the shutdown hooks that stop their writer. */
     private static void deleteAtExit(Path folder) throws IOException {
         try (Stream<Path> files = Files.walk(folder)) {
             files.sorted().forEach(file -> file.toFile().deleteOnExit());
@@ -138,11 +139,11 @@
                     RESPONSE_BODY);
         }
         System.out.println(
-                REQUEST_COUNT + " requests carried by " + proxy.nodeName() + " to i-" + serverPort + ", version "
+                REQUEST_COUNT + " requests sent through " + proxy.nodeName() + " to i-" + serverPort + ", version "
                         + Math.max(
                                 baseVersion,
                                 Configuration.read(config.getBytes(StandardCharsets.UTF_8))
-                                        .version()) + " in force");
+                                        .version()) + " in effect");
     }
 
     private static byte[] bodyOf(String response) {
@@ -227,7 +228,8 @@
             }
             Thread.sleep(RETRY_INTERVAL_MS);
         }
-        throw new IllegalStateException("the local run got: " + lastResult);
+        throw new IllegalStateException("no response with \"" + expectedText.strip() + "\" after " + MAX_ATTEMPTS
+                + " attempts, the last result was: " + lastResult);
     }
 
     private static String call(InetSocketAddress address, String requestLine, String headers, String body)
--- a/src/main/java/quartzspan/localrun/package-info.java
+++ b/src/main/java/quartzspan/localrun/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A fleet on one machine, for the class-data archive of the build and for a first look.
+ * Runs a fleet in one process on loopback: the training run of the build's class-data archive, and a demonstration.
  *
  * <p>Owns no state. May import everything.
  */
--- a/src/test/java/quartzspan/cli/CommandLineTest.java
+++ b/src/test/java/quartzspan/cli/CommandLineTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the command line says and how it ends. */
+/** Tests the output and the exit status of the command line client. */
 class CommandLineTest {
     @TempDir
     Path folder;
