--- a/src/main/java/quartzspan/clientproxy/ClientProxy.java
+++ b/src/main/java/quartzspan/clientproxy/ClientProxy.java
@@ -44,35 +44,35 @@
  */
 public final class ClientProxy implements LoadBalancer.Actions, HttpServer.RequestHandler {
     /** We are done this long before the client's time is up: the way back and a busy core take time. */
-    private static final long MARGIN_US = 25_000;
+    private static final long RESPONSE_MARGIN_US = 25_000;
     /** What the module is told ends this much earlier still, so that its own last word comes first. */
-    private static final long LAST_WORD_US = 10_000;
+    private static final long BALANCER_MARGIN_US = 10_000;
     /**
      * Descriptors that the process needs for itself: some 20 for the JVM, selector, listener and watch, and
      * as many that have been accepted or closed but not counted yet. Of the rest clients have one half and
      * connections to hosts, of which a client's request has one at most, the other.
      */
-    private static final int OWN_SOCKETS = 48;
+    private static final int RESERVED_SOCKETS = 48;
     /** SIGKILL comes this long after the longest deadline (3 s where that is longer), and no sooner. */
-    private static final long KILL_MS = 700;
+    private static final long KILL_DELAY_MS = 700;
 
-    private static final long MOST_DEADLINE_MS = 3_000;
+    private static final long MAX_DRAIN_DEADLINE_MS = 3_000;
     /** Whatever is open is answered this long before SIGKILL may come. */
     private static final long KILL_MARGIN_US = 100_000;
 
     /** How often a bind is tried again while the address is still in use, and the wait between. */
-    private static final int BIND_AGAIN = 40;
+    private static final int MAX_BIND_RETRIES = 40;
 
-    private static final long BIND_AGAIN_MS = 50;
+    private static final long BIND_RETRY_DELAY_MS = 50;
     /** The agent that pushes lists answers at once and at no cost, unlike discovery that is asked. */
-    private static final long AGENT_AGAIN_MS = 500;
+    private static final long AGENT_RETRY_DELAY_MS = 500;
     /**
      * A connection without an open request ends after this long: the protocol allows it after 2 s, and a
      * client that says nothing or never gets to the end of a request is owed an end within 3 s.
      */
-    private static final long QUIET_MS = 2_300;
+    private static final long CLIENT_TIMEOUT_MS = 2_300;
     /** What the agent has counts as told from our first moment: so long its list is waited for at a start. */
-    private static final long AGENT_FIRST_MS = 1_000;
+    private static final long AGENT_FIRST_LIST_TIMEOUT_MS = 1_000;
 
     private final ClientProxyConfig config;
     private final EventLoopGroup group;
@@ -81,58 +81,62 @@
     private final ConnectionPool upstream;
     private final Discovery discovery;
     private final HttpServer.ConnectionLimits connectionLimits;
-    private final HttpServer frontend;
-    private final Map<String, Integer> classes = new HashMap<>();
-    private final Map<String, Exchange> open = new HashMap<>();
-    /** Events for the module and its actions, in order; see {@link #run}. */
-    private final ArrayDeque<Runnable> work = new ArrayDeque<>();
+    private final HttpServer httpServer;
+    private final Map<String, Integer> classIndexes = new HashMap<>();
+    private final Map<String, Exchange> openRequests = new HashMap<>();
+    /** Events for the module and its actions, in order; see {@link #execute}. */
+    private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
 
-    private boolean working;
+    private boolean runningTasks;
     private boolean warmingUp;
-    private final AtomicBoolean told = new AtomicBoolean();
+    private final AtomicBoolean drainStarted = new AtomicBoolean();
     /** Done when a list has come from discovery. */
-    private final CountDownLatch heard = new CountDownLatch(1);
+    private final CountDownLatch listReceived = new CountDownLatch(1);
 
-    private long killAt = Long.MAX_VALUE;
-    private final Maker maker;
+    private long killAtUs = Long.MAX_VALUE;
+    private final BalancerFactory balancerFactory;
     private LoadBalancer balancer;
-    private ScheduledFuture<?> wake;
+    private ScheduledFuture<?> balancerTimer;
 
     /** Makes the module; a test's own can do what the real one never would. */
-    interface Maker {
+    interface BalancerFactory {
         LoadBalancer create(LoadBalancer.Settings settings, long seed, long now, LoadBalancer.Actions actions);
     }
 
-    private ClientProxy(ClientProxyConfig config, Maker maker, EventLoopGroup group) {
+    private ClientProxy(ClientProxyConfig config, BalancerFactory balancerFactory, EventLoopGroup group) {
         this.config = config;
-        this.maker = maker;
+        this.balancerFactory = balancerFactory;
         this.group = group;
         this.loop = group.next();
-        int half = Math.max(1, (config.sockets() - OWN_SOCKETS) / 2);
+        int maxConnections = Math.max(1, (config.maxSockets() - RESERVED_SOCKETS) / 2);
         this.upstream = new ConnectionPool(
-                loop, config.dialTimeoutUs(), config.settings().limits().connIdleUs(), half);
+                loop, config.dialTimeoutUs(), config.settings().limits().connIdleUs(), maxConnections);
         this.discovery = new Discovery(config, loop, upstream, new Discovery.Listener() {
             @Override
-            public void listed(Source source, List<Endpoint> endpoints) {
-                run(() -> {
+            public void onList(Source source, List<Endpoint> endpoints) {
+                execute(() -> {
                     balancer.onEndpoints(now(), source, endpoints);
                     if (source != Source.CACHED) {
-                        heard.countDown();
+                        listReceived.countDown();
                     }
                 });
             }
 
             @Override
-            public void failed() {
-                watchFailed();
+            public void onWatchFailed() {
+                handleWatchFailure();
             }
         });
         this.connectionLimits = new HttpServer.ConnectionLimits(
-                half, HttpFraming.MAX_HEADER_BYTES, HttpFraming.MAX_BODY_BYTES, QUIET_MS, QUIET_MS);
-        this.frontend = new HttpServer(this, loop);
-        List<RequestClass> all = config.settings().classes();
-        for (int i = 0; i < all.size(); i++) {
-            classes.put(all.get(i).name(), i);
+                maxConnections,
+                HttpFraming.MAX_HEADER_BYTES,
+                HttpFraming.MAX_BODY_BYTES,
+                CLIENT_TIMEOUT_MS,
+                CLIENT_TIMEOUT_MS);
+        this.httpServer = new HttpServer(this, loop);
+        List<RequestClass> requestClasses = config.settings().classes();
+        for (int i = 0; i < requestClasses.size(); i++) {
+            classIndexes.put(requestClasses.get(i).name(), i);
         }
     }
 
@@ -140,42 +144,42 @@
     static final class Exchange {
         private final HttpServer.ClientConnection client;
         private final Request request;
-        private final RequestClass type;
-        private final OutgoingRequest call;
-        private final long endAt;
+        private final RequestClass requestClass;
+        private final OutgoingRequest outgoing;
+        private final long budgetEndUs;
         /** When it is answered whatever the module does. */
-        private long guardAt = Long.MAX_VALUE;
+        private long timeoutAtUs = Long.MAX_VALUE;
 
-        private ScheduledFuture<?> guard;
-        private ConnectionPool.Attempt out;
-        private int outNumber;
-        private int attempts;
+        private ScheduledFuture<?> timeout;
+        private ConnectionPool.Attempt attempt;
+        private int attemptNumber;
+        private int attemptCount;
         private boolean mayHaveRun;
         private boolean answered;
 
         Exchange(
                 HttpServer.ClientConnection client,
                 Request request,
-                RequestClass type,
-                OutgoingRequest call,
-                long endAt) {
+                RequestClass requestClass,
+                OutgoingRequest outgoing,
+                long budgetEndUs) {
             this.client = client;
             this.request = request;
-            this.type = type;
-            this.call = call;
-            this.endAt = endAt;
+            this.requestClass = requestClass;
+            this.outgoing = outgoing;
+            this.budgetEndUs = budgetEndUs;
         }
     }
 
     /**
      * Starts to serve; returns once it listens.
      *
-     * @param listening told of the client proxy before it listens: from then on an end must be a drain
+     * @param beforeListening told of the client proxy before it listens: from then on an end must be a drain
      */
-    public static ClientProxy start(ClientProxyConfig config, Consumer<ClientProxy> listening) throws Exception {
-        WarmUp.decide(config.settings());
+    public static ClientProxy start(ClientProxyConfig config, Consumer<ClientProxy> beforeListening) throws Exception {
+        WarmUp.warmUpBalancer(config.settings());
         warmUp(config);
-        return start(config, LoadBalancer::create, listening);
+        return start(config, LoadBalancer::create, beforeListening);
     }
 
     /** Is its own host for a moment, and not ready; ends before the real one begins. */
@@ -184,17 +188,18 @@
         try {
             ClientProxy proxy = new ClientProxy(config, null, group);
             proxy.warmingUp = true;
-            proxy.balancer = WarmUp.module(proxy);
+            proxy.balancer = WarmUp.forwardingBalancer(proxy);
             proxy.listen();
             proxy.loop
                     .submit(() -> {
-                        proxy.discovery.take(WarmUp.self(config.listen().getAddress(), proxy.port()), Source.FULL);
-                        return new WarmUp.Rounds(
+                        proxy.discovery.applyList(
+                                WarmUp.listOfSelf(config.listen().getAddress(), proxy.port()), Source.FULL);
+                        return new WarmUp.SocketWarmUp(
                                         proxy.loop,
                                         proxy.upstream,
-                                        proxy.discovery.host(WarmUp.SELF),
+                                        proxy.discovery.endpoint(WarmUp.SELF_ID),
                                         config.settings().classes().get(0))
-                                .next();
+                                .sendNext();
                     })
                     .get()
                     .await();
@@ -203,49 +208,52 @@
         }
     }
 
-    static ClientProxy start(ClientProxyConfig config, Maker maker, Consumer<ClientProxy> listening) throws Exception {
+    static ClientProxy start(
+            ClientProxyConfig config, BalancerFactory balancerFactory, Consumer<ClientProxy> beforeListening)
+            throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        ClientProxy proxy = new ClientProxy(config, maker, group);
+        ClientProxy proxy = new ClientProxy(config, balancerFactory, group);
         try {
-            proxy.loop.submit(proxy::begin).get();
+            proxy.loop.submit(proxy::initialize).get();
             if (!config.settings().subscribe()) {
-                proxy.heard.await(AGENT_FIRST_MS, TimeUnit.MILLISECONDS);
+                proxy.listReceived.await(AGENT_FIRST_LIST_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             }
-            listening.accept(proxy);
+            beforeListening.accept(proxy);
             proxy.listen();
             System.err.println("quartzspan: listening on " + NetUtil.toSocketAddressString(config.listen()));
             return proxy;
         } catch (Exception e) {
-            proxy.told.set(true);
+            proxy.drainStarted.set(true);
             group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
             throw e;
         }
     }
 
     private void listen() throws Exception {
-        ChannelFuture bound =
-                loop.submit(() -> frontend.listen(config.listen())).get().await();
+        ChannelFuture bindResult =
+                loop.submit(() -> httpServer.listen(config.listen())).get().await();
         // The address is ours alone, but what held it last may be a moment in going.
-        for (int i = 0; i < BIND_AGAIN && bound.cause() instanceof BindException; i++) {
-            Thread.sleep(BIND_AGAIN_MS);
-            bound = loop.submit(() -> frontend.bind(config.listen())).get().await();
+        for (int i = 0; i < MAX_BIND_RETRIES && bindResult.cause() instanceof BindException; i++) {
+            Thread.sleep(BIND_RETRY_DELAY_MS);
+            bindResult =
+                    loop.submit(() -> httpServer.bind(config.listen())).get().await();
         }
-        if (!bound.isSuccess()) {
+        if (!bindResult.isSuccess()) {
             throw new IOException("can't listen on " + NetUtil.toSocketAddressString(config.listen()) + ": "
-                    + bound.cause().getMessage());
+                    + bindResult.cause().getMessage());
         }
     }
 
-    private void begin() {
+    private void initialize() {
         upstream.begin();
-        balancer = maker.create(config.settings(), config.seed(), now(), this);
-        if (config.known() != null) {
-            discovery.take(config.known(), Source.CACHED);
+        balancer = balancerFactory.create(config.settings(), config.seed(), now(), this);
+        if (config.cachedList() != null) {
+            discovery.applyList(config.cachedList(), Source.CACHED);
         }
         if (!config.settings().subscribe()) {
             discovery.watch();
         }
-        perform();
+        runTasks();
     }
 
     /**
@@ -253,7 +261,7 @@
      * all has ended.
      */
     public Future<?> drain() {
-        if (!told.compareAndSet(false, true)) {
+        if (!drainStarted.compareAndSet(false, true)) {
             return group.terminationFuture();
         }
         System.err.println("quartzspan: told to end; finishing what is open");
@@ -262,12 +270,12 @@
                         .max()
                         .orElse(0)
                 / 1000;
-        long leftMs = Math.min(longestMs, MOST_DEADLINE_MS) + KILL_MS;
+        long leftMs = Math.min(longestMs, MAX_DRAIN_DEADLINE_MS) + KILL_DELAY_MS;
         loop.execute(() -> {
-            killAt = now() + leftMs * 1000;
+            killAtUs = now() + leftMs * 1000;
             // What is open may have longer than that, and SIGKILL would find it unanswered.
-            open.values().forEach(x -> guard(x, killAt - KILL_MARGIN_US));
-            frontend.drain(leftMs, () -> {
+            openRequests.values().forEach(exchange -> setResponseTimeout(exchange, killAtUs - KILL_MARGIN_US));
+            httpServer.drain(leftMs, () -> {
                 discovery.stop();
                 group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
             });
@@ -280,12 +288,12 @@
      * start to end.
      */
     public void reload(ClientProxyConfig changed) {
-        loop.execute(() -> run(() -> discovery.move(changed.discovery())));
+        loop.execute(() -> execute(() -> discovery.changeAddress(changed.discovery())));
     }
 
     /** The port it listens on. */
     public int port() {
-        return frontend.port();
+        return httpServer.port();
     }
 
     @Override
@@ -298,8 +306,8 @@
         return connectionLimits;
     }
 
-    boolean ready() {
-        return discovery.holdsList() && !warmingUp;
+    boolean isReady() {
+        return discovery.hasEndpoints() && !warmingUp;
     }
 
     /**
@@ -307,26 +315,26 @@
      * inside an event call, and a socket may have news inside an action: neither may re-enter the module.
      * A failure ends the one task; the request it was about still has its guard.
      */
-    private void run(Runnable task) {
-        work.add(task);
-        perform();
+    private void execute(Runnable task) {
+        tasks.add(task);
+        runTasks();
     }
 
-    private void perform() {
-        if (working) {
+    private void runTasks() {
+        if (runningTasks) {
             return;
         }
-        working = true;
+        runningTasks = true;
         try {
-            for (Runnable next; (next = work.poll()) != null; ) {
-                perform(next);
+            for (Runnable next; (next = tasks.poll()) != null; ) {
+                runTask(next);
             }
         } finally {
-            working = false;
+            runningTasks = false;
         }
     }
 
-    private static void perform(Runnable task) {
+    private static void runTask(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException | LinkageError e) {
@@ -347,58 +355,61 @@
         String path = in.uri().split("\\?", 2)[0];
         if (path.equals("/-/ready")) {
             client.answer(
-                    ready() && !frontend.draining() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE);
+                    isReady() && !httpServer.draining()
+                            ? HttpResponseStatus.OK
+                            : HttpResponseStatus.SERVICE_UNAVAILABLE);
         } else if (!path.equals("/api") && !path.startsWith("/api/")) {
             client.answer(HttpResponseStatus.NOT_FOUND);
         } else {
-            call(client, in, body, at);
+            handleRequest(client, in, body, at);
         }
     }
 
-    private void call(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
-        HttpHeaders h = in.headers();
-        String id = single(h, "X-Request-Id");
-        Integer classIndex = classes.get(single(h, "X-Class"));
-        long deadlineMs = HttpFraming.number(single(h, OutgoingRequest.DEADLINE));
-        String tenantName = single(h, "X-Tenant");
+    private void handleRequest(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
+        HttpHeaders headers = in.headers();
+        String id = singleValue(headers, "X-Request-Id");
+        Integer classIndex = classIndexes.get(singleValue(headers, "X-Class"));
+        long deadlineMs = HttpFraming.number(singleValue(headers, OutgoingRequest.DEADLINE));
+        String tenantName = singleValue(headers, "X-Tenant");
         int tenant = config.tenants().indexOf(tenantName);
-        boolean known = !h.contains("X-Tenant") || config.tenants().isEmpty() || tenant >= 0;
-        boolean fresh = id != null && !id.isEmpty() && !open.containsKey(id);
-        if (!fresh
+        boolean knownTenant = !headers.contains("X-Tenant") || config.tenants().isEmpty() || tenant >= 0;
+        boolean validId = id != null && !id.isEmpty() && !openRequests.containsKey(id);
+        if (!validId
                 || classIndex == null
                 || deadlineMs < 1
-                || !known
-                || config.settings().classes().get(classIndex).effect() != shown(in, body)) {
+                || !knownTenant
+                || config.settings().classes().get(classIndex).effect() != declaredEffect(in, body)) {
             client.answer(HttpResponseStatus.BAD_REQUEST);
             return;
         }
-        RequestClass type = config.settings().classes().get(classIndex);
+        RequestClass requestClass = config.settings().classes().get(classIndex);
         // Nobody waits longer than the class's own patience, so neither does a drain.
-        long deadlineUs = Math.min(deadlineMs, type.deadlineUs() / 1000 + 1) * 1000;
-        long patience = Math.min(deadlineUs - Math.min(MARGIN_US, deadlineUs / 4), killAt - KILL_MARGIN_US - at);
-        long budget = patience - Math.min(LAST_WORD_US, deadlineUs / 8) - (now() - at);
-        if (budget <= 0) {
-            client.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, ConnectionPool.Response.EMPTY, comeBackUs());
+        long deadlineUs = Math.min(deadlineMs, requestClass.deadlineUs() / 1000 + 1) * 1000;
+        long responseTimeoutUs =
+                Math.min(deadlineUs - Math.min(RESPONSE_MARGIN_US, deadlineUs / 4), killAtUs - KILL_MARGIN_US - at);
+        long budgetUs = responseTimeoutUs - Math.min(BALANCER_MARGIN_US, deadlineUs / 8) - (now() - at);
+        if (budgetUs <= 0) {
+            client.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, ConnectionPool.Response.EMPTY, maxRetryAfterUs());
             return;
         }
-        String key = h.contains("X-Key") ? String.join(",", h.getAll("X-Key")) : null;
+        String key = headers.contains("X-Key") ? String.join(",", headers.getAll("X-Key")) : null;
         Request request = new Request(
                 id,
                 classIndex,
                 key,
-                budget,
-                Math.max(0, HttpFraming.number(h.get("X-Cost-Hint"))),
+                budgetUs,
+                Math.max(0, HttpFraming.number(headers.get("X-Cost-Hint"))),
                 tenant,
-                "1".equals(h.get("X-Retry")));
-        Exchange x = new Exchange(client, request, type, OutgoingRequest.of(in, body), now() + budget);
-        open.put(id, x);
-        guard(x, at + patience);
-        client.onDisconnect(() -> gone(x));
-        run(() -> balancer.onRequest(now(), x.request));
+                "1".equals(headers.get("X-Retry")));
+        Exchange exchange = new Exchange(client, request, requestClass, OutgoingRequest.of(in, body), now() + budgetUs);
+        openRequests.put(id, exchange);
+        setResponseTimeout(exchange, at + responseTimeoutUs);
+        client.onDisconnect(() -> onClientDisconnect(exchange));
+        execute(() -> balancer.onRequest(now(), exchange.request));
     }
 
     /** What the method and its headers say of a repeat; null if they say nothing that the protocol knows. */
-    private static Effect shown(HttpRequest in, byte[] body) {
+    private static Effect declaredEffect(HttpRequest in, byte[] body) {
         int keys = in.headers().getAll("Idempotency-Key").size();
         boolean printable = in.uri().chars().allMatch(c -> c > ' ' && c < 0x7f);
         if (!printable || keys > 1) {
@@ -412,158 +423,159 @@
     }
 
     /** The value of a header that comes once; null if it is missing or repeated: no reader is to choose. */
-    private static String single(HttpHeaders headers, CharSequence name) {
+    private static String singleValue(HttpHeaders headers, CharSequence name) {
         List<String> values = headers.getAll(name);
         return values.size() == 1 ? values.get(0) : null;
     }
 
-    private long comeBackUs() {
+    private long maxRetryAfterUs() {
         return config.settings().limits().maxRetryAfterUs();
     }
 
     /** The client closed its connection. */
-    void gone(Exchange x) {
-        over(x);
-        tellGone(x);
+    void onClientDisconnect(Exchange exchange) {
+        markAnswered(exchange);
+        reportClientGone(exchange);
     }
 
     /** Sets the time at which a request is answered whatever the module does, unless that is sooner already. */
-    private void guard(Exchange x, long atUs) {
-        if (!x.answered && atUs < x.guardAt) {
-            if (x.guard != null) {
-                x.guard.cancel(false);
+    private void setResponseTimeout(Exchange exchange, long atUs) {
+        if (!exchange.answered && atUs < exchange.timeoutAtUs) {
+            if (exchange.timeout != null) {
+                exchange.timeout.cancel(false);
             }
-            x.guardAt = atUs;
-            x.guard = loop.schedule(() -> timeUp(x), atUs - now(), TimeUnit.MICROSECONDS);
+            exchange.timeoutAtUs = atUs;
+            exchange.timeout = loop.schedule(() -> onResponseTimeout(exchange), atUs - now(), TimeUnit.MICROSECONDS);
         }
     }
 
     /** Whatever the module does, the client has an answer in time, and a refusal only if that is true. */
-    private void timeUp(Exchange x) {
-        if (!x.answered) {
-            over(x);
-            boolean harmless = x.type.effect() == Effect.RETRYABLE
-                    || !x.mayHaveRun && x.out == null
-                    || x.type.effect() == Effect.DEDUP && x.type.scope() == DedupScope.ALL;
-            x.client.answer(
-                    harmless ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.GATEWAY_TIMEOUT,
+    private void onResponseTimeout(Exchange exchange) {
+        if (!exchange.answered) {
+            markAnswered(exchange);
+            boolean safeToRetry = exchange.requestClass.effect() == Effect.RETRYABLE
+                    || !exchange.mayHaveRun && exchange.attempt == null
+                    || exchange.requestClass.effect() == Effect.DEDUP
+                            && exchange.requestClass.scope() == DedupScope.ALL;
+            exchange.client.answer(
+                    safeToRetry ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.GATEWAY_TIMEOUT,
                     ConnectionPool.Response.EMPTY,
-                    harmless ? comeBackUs() : 0);
-            tellGone(x);
+                    safeToRetry ? maxRetryAfterUs() : 0);
+            reportClientGone(exchange);
         }
     }
 
-    private void over(Exchange x) {
-        x.answered = true;
-        x.guard.cancel(false);
+    private void markAnswered(Exchange exchange) {
+        exchange.answered = true;
+        exchange.timeout.cancel(false);
     }
 
-    private void tellGone(Exchange x) {
-        run(() -> {
+    private void reportClientGone(Exchange exchange) {
+        execute(() -> {
             try {
-                balancer.onRequestGone(now(), x.request.id());
+                balancer.onRequestGone(now(), exchange.request.id());
             } finally {
-                forget(x);
+                removeLater(exchange);
             }
         });
     }
 
     /** After the actions already decided: they may still name the request. */
-    private void forget(Exchange x) {
-        work.add(() -> open.remove(x.request.id(), x));
+    private void removeLater(Exchange exchange) {
+        tasks.add(() -> openRequests.remove(exchange.request.id(), exchange));
     }
 
     // ---- the module's decisions ----------------------------------------------------------------------
 
     @Override
     public void send(String requestId, String endpointId, long timeoutUs) {
-        work.add(() -> {
-            Exchange x = open.get(requestId);
-            if (x != null) {
-                attempt(x, discovery.host(endpointId), timeoutUs);
+        tasks.add(() -> {
+            Exchange exchange = openRequests.get(requestId);
+            if (exchange != null) {
+                startAttempt(exchange, discovery.endpoint(endpointId), timeoutUs);
             }
         });
     }
 
-    private void attempt(Exchange x, ConnectionPool.Endpoint host, long timeoutUs) {
-        int number = x.attempts++;
+    private void startAttempt(Exchange exchange, ConnectionPool.Endpoint endpoint, long timeoutUs) {
+        int number = exchange.attemptCount++;
         long sentAt = now();
-        long left = x.endAt - sentAt;
-        boolean vain = x.answered
-                || left <= 0
+        long remainingUs = exchange.budgetEndUs - sentAt;
+        boolean ignored = exchange.answered
+                || remainingUs <= 0
                 || timeoutUs < 0
-                || x.out != null
-                || host == null
+                || exchange.attempt != null
+                || endpoint == null
                 || number >= config.settings().limits().maxAttempts();
-        if (vain) {
-            ended(x, number, sentAt, Outcome.IGNORED);
+        if (ignored) {
+            reportAttemptEnd(exchange, number, sentAt, Outcome.IGNORED);
             return;
         }
-        x.outNumber = number;
-        x.out = upstream.attempt(
-                host,
-                x.call,
-                timeoutUs == 0 ? left : Math.min(left, timeoutUs),
-                () -> !x.answered,
+        exchange.attemptNumber = number;
+        exchange.attempt = upstream.attempt(
+                endpoint,
+                exchange.outgoing,
+                timeoutUs == 0 ? remainingUs : Math.min(remainingUs, timeoutUs),
+                () -> !exchange.answered,
                 (outcome, answer) -> {
-                    x.out = null;
-                    x.mayHaveRun |= !outcome.neverRan();
-                    if (outcome == Outcome.OK && !x.answered) {
-                        over(x);
-                        x.client.answer(HttpResponseStatus.OK, answer, 0);
-                        run(() -> forget(x));
+                    exchange.attempt = null;
+                    exchange.mayHaveRun |= !outcome.neverRan();
+                    if (outcome == Outcome.OK && !exchange.answered) {
+                        markAnswered(exchange);
+                        exchange.client.answer(HttpResponseStatus.OK, answer, 0);
+                        execute(() -> removeLater(exchange));
                     }
-                    ended(x, number, sentAt, outcome);
+                    reportAttemptEnd(exchange, number, sentAt, outcome);
                 });
-        x.out.start();
+        exchange.attempt.start();
     }
 
-    private void ended(Exchange x, int number, long sentAt, Outcome outcome) {
-        boolean done = x.answered;
-        run(() ->
-                balancer.onAttemptEnded(now(), new AttemptEnd(x.request.id(), number, outcome, done, now() - sentAt)));
+    private void reportAttemptEnd(Exchange exchange, int number, long sentAt, Outcome outcome) {
+        boolean done = exchange.answered;
+        execute(() -> balancer.onAttemptEnded(
+                now(), new AttemptEnd(exchange.request.id(), number, outcome, done, now() - sentAt)));
     }
 
     @Override
     public void cancel(String requestId, int number) {
-        work.add(() -> {
-            Exchange x = open.get(requestId);
-            if (x != null && x.out != null && number == x.outNumber) {
-                x.out.cancel();
+        tasks.add(() -> {
+            Exchange exchange = openRequests.get(requestId);
+            if (exchange != null && exchange.attempt != null && number == exchange.attemptNumber) {
+                exchange.attempt.cancel();
             }
         });
     }
 
     @Override
     public void refuse(String requestId, long retryAfterUs) {
-        work.add(() -> conclude(requestId, HttpResponseStatus.SERVICE_UNAVAILABLE, retryAfterUs));
+        tasks.add(() -> respond(requestId, HttpResponseStatus.SERVICE_UNAVAILABLE, retryAfterUs));
     }
 
     @Override
     public void fail(String requestId) {
-        work.add(() -> conclude(requestId, HttpResponseStatus.BAD_GATEWAY, 0));
+        tasks.add(() -> respond(requestId, HttpResponseStatus.BAD_GATEWAY, 0));
     }
 
-    private void conclude(String requestId, HttpResponseStatus status, long retryAfterUs) {
-        Exchange x = open.get(requestId);
-        if (x != null && !x.answered) {
-            over(x);
-            x.client.answer(status, ConnectionPool.Response.EMPTY, retryAfterUs);
-            forget(x);
+    private void respond(String requestId, HttpResponseStatus status, long retryAfterUs) {
+        Exchange exchange = openRequests.get(requestId);
+        if (exchange != null && !exchange.answered) {
+            markAnswered(exchange);
+            exchange.client.answer(status, ConnectionPool.Response.EMPTY, retryAfterUs);
+            removeLater(exchange);
         }
     }
 
     @Override
     public void probe(String endpointId) {
-        work.add(() -> {
+        tasks.add(() -> {
             long sentAt = now();
-            ConnectionPool.Endpoint host = discovery.host(endpointId);
-            ConnectionPool.CompletionListener end =
-                    (outcome, answer) -> run(() -> balancer.onProbeEnded(now(), endpointId, outcome, now() - sentAt));
-            if (host == null) {
+            ConnectionPool.Endpoint endpoint = discovery.endpoint(endpointId);
+            ConnectionPool.CompletionListener end = (outcome, answer) ->
+                    execute(() -> balancer.onProbeEnded(now(), endpointId, outcome, now() - sentAt));
+            if (endpoint == null) {
                 end.ended(Outcome.IGNORED, null);
             } else {
-                upstream.attempt(host, OutgoingRequest.health(), config.dialTimeoutUs(), () -> true, end)
+                upstream.attempt(endpoint, OutgoingRequest.health(), config.dialTimeoutUs(), () -> true, end)
                         .start();
             }
         });
@@ -571,22 +583,23 @@
 
     @Override
     public void subscribe() {
-        work.add(discovery::watch);
+        tasks.add(discovery::watch);
     }
 
-    private void watchFailed() {
+    private void handleWatchFailure() {
         if (config.settings().subscribe()) {
-            run(() -> balancer.onDiscoveryFailed(now()));
+            execute(() -> balancer.onDiscoveryFailed(now()));
         } else {
-            loop.schedule(discovery::watch, AGENT_AGAIN_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(discovery::watch, AGENT_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     @Override
     public void wakeAt(long atUs) {
-        if (wake != null) {
-            wake.cancel(false);
+        if (balancerTimer != null) {
+            balancerTimer.cancel(false);
         }
-        wake = loop.schedule(() -> run(() -> balancer.onTimer(now())), atUs - now(), TimeUnit.MICROSECONDS);
+        balancerTimer =
+                loop.schedule(() -> execute(() -> balancer.onTimer(now())), atUs - now(), TimeUnit.MICROSECONDS);
     }
 }
--- a/src/main/java/quartzspan/clientproxy/ClientProxyConfig.java
+++ b/src/main/java/quartzspan/clientproxy/ClientProxyConfig.java
@@ -20,9 +20,9 @@
  * @param zones names of the zones, by number
  * @param kinds names of the kinds of machine, by number
  * @param tenants names of the tenants, by number
- * @param sockets descriptors that the process may hold
+ * @param maxSockets descriptors that the process may hold
  * @param dialTimeoutUs time within which a connection must have come up
- * @param known the list of hosts as last held, perhaps old; null if there is none
+ * @param cachedList the list of hosts as last held, perhaps old; null if there is none
  */
 public record ClientProxyConfig(
         InetSocketAddress listen,
@@ -32,12 +32,12 @@
         List<String> zones,
         List<String> kinds,
         List<String> tenants,
-        int sockets,
+        int maxSockets,
         long dialTimeoutUs,
-        EndpointList known) {
+        EndpointList cachedList) {
 
     /** What the program is sized for; a lower limit is kept, a higher one not used. */
-    private static final int MOST_SOCKETS = 1024;
+    private static final int SUPPORTED_SOCKETS = 1024;
 
     /**
      * Reads the file that {@code NODE_CONFIG} names.
@@ -63,10 +63,10 @@
         InetSocketAddress listen = null;
         InetSocketAddress discovery = null;
         String seed = null;
-        EndpointList known = null;
-        int sockets = MOST_SOCKETS;
+        EndpointList cachedList = null;
+        int maxSockets = SUPPORTED_SOCKETS;
         SettingsReader settings = null;
-        try (JsonParser in = EndpointList.JSON.createParser(json)) {
+        try (JsonParser in = EndpointList.JSON_FACTORY.createParser(json)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
                 throw new IOException("configuration: must be an object");
             }
@@ -76,51 +76,51 @@
                     continue;
                 }
                 switch (name) {
-                    case "listen" -> listen = EndpointList.address(in.getText());
-                    case "discovery" -> discovery = EndpointList.address(in.getText());
+                    case "listen" -> listen = EndpointList.parseAddress(in.getText());
+                    case "discovery" -> discovery = EndpointList.parseAddress(in.getText());
                     case "seed" -> seed = in.getText();
-                    case "limits" -> sockets = sockets(in);
-                    case "known" -> known = EndpointList.read(in);
+                    case "limits" -> maxSockets = readMaxSockets(in);
+                    case "known" -> cachedList = EndpointList.read(in);
                     case "settings" -> settings = SettingsReader.read(in);
                     default -> in.skipChildren();
                 }
             }
         }
-        need(listen, "listen");
-        need(discovery, "discovery");
-        need(settings, "settings");
-        need(seed, "seed");
+        require(listen, "listen");
+        require(discovery, "discovery");
+        require(settings, "settings");
+        require(seed, "seed");
         return new ClientProxyConfig(
                 listen,
                 discovery,
-                seed(seed),
+                parseSeed(seed),
                 settings.toSettings(),
                 settings.names("azs"),
                 settings.names("kinds"),
                 settings.tenants(),
-                sockets,
+                maxSockets,
                 settings.dialTimeoutUs(),
-                known);
+                cachedList);
     }
 
-    private static int sockets(JsonParser in) throws IOException {
+    private static int readMaxSockets(JsonParser in) throws IOException {
         if (in.currentToken() != JsonToken.START_OBJECT) {
             throw new IOException("configuration: limits must be an object");
         }
-        int sockets = MOST_SOCKETS;
+        int maxSockets = SUPPORTED_SOCKETS;
         while (in.nextToken() == JsonToken.FIELD_NAME) {
-            boolean named = in.currentName().equals("sockets");
+            boolean isSockets = in.currentName().equals("sockets");
             in.nextToken();
-            if (named) {
-                sockets = Math.min(sockets, in.getIntValue());
+            if (isSockets) {
+                maxSockets = Math.min(maxSockets, in.getIntValue());
             } else {
                 in.skipChildren();
             }
         }
-        return sockets;
+        return maxSockets;
     }
 
-    private static long seed(String hex) throws IOException {
+    private static long parseSeed(String hex) throws IOException {
         try {
             return Long.parseUnsignedLong(hex, 16);
         } catch (NumberFormatException e) {
@@ -128,7 +128,7 @@
         }
     }
 
-    private static void need(Object value, String name) throws IOException {
+    private static void require(Object value, String name) throws IOException {
         if (value == null) {
             throw new IOException("configuration: " + name + " is missing");
         }
--- a/src/main/java/quartzspan/clientproxy/Discovery.java
+++ b/src/main/java/quartzspan/clientproxy/Discovery.java
@@ -43,25 +43,25 @@
      * A heartbeat comes every 2 s: two missed ones and a little more are silence. What discovery has to tell
      * counts as told after 6 s even if it never came, so by then the next call must have been answered.
      */
-    private static final long SILENCE_MS = 4_500;
+    private static final long READ_TIMEOUT_MS = 4_500;
     /** News counts as told 4 s after a move: within that time a silent new address is asked again. */
-    private static final long MOVED_SILENCE_MS = 1_800;
+    private static final long FIRST_READ_TIMEOUT_AFTER_MOVE_MS = 1_800;
 
-    private static final int CONNECT_MS = 1_000;
-    private static final int LONGEST_LIST = 4 * 1024 * 1024;
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
+    private static final int MAX_LIST_BYTES = 4 * 1024 * 1024;
 
     /** Told of lists and of watches that failed. */
     interface Listener {
-        void listed(Source source, List<Endpoint> endpoints);
+        void onList(Source source, List<Endpoint> listedEndpoints);
 
-        void failed();
+        void onWatchFailed();
     }
 
     private InetSocketAddress address;
     private final Bootstrap bootstrap;
     private final ConnectionPool upstream;
     private final Listener listener;
-    private final Map<String, ConnectionPool.Endpoint> hosts = new HashMap<>();
+    private final Map<String, ConnectionPool.Endpoint> endpoints = new HashMap<>();
     /** Numbers by name. A name that the settings lack gets a number of its own: zones must not merge. */
     private final Map<String, Integer> zones = new HashMap<>();
 
@@ -79,22 +79,22 @@
         this.bootstrap = new Bootstrap()
                 .group(loop)
                 .option(ChannelOption.ALLOCATOR, ConnectionPool.BUFFERS)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS);
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS);
     }
 
     /** The host of this id, or null if it is not listed. */
-    ConnectionPool.Endpoint host(String id) {
-        return hosts.get(id);
+    ConnectionPool.Endpoint endpoint(String id) {
+        return endpoints.get(id);
     }
 
-    boolean holdsList() {
-        return !hosts.isEmpty();
+    boolean hasEndpoints() {
+        return !endpoints.isEmpty();
     }
 
     /** Asks for what changed and for all changes to come, unless that is asked for already. */
     void watch() {
         if (watch == null && !stopped) {
-            ask(SILENCE_MS);
+            startWatch(READ_TIMEOUT_MS);
         }
     }
 
@@ -102,33 +102,33 @@
      * Takes up another discovery at once. It may count its versions in its own way, so the whole list is
      * asked for; until it has come the old one holds. The old watch was given up, not failed.
      */
-    void move(InetSocketAddress to) {
-        if (!to.equals(address) && !stopped) {
-            giveUp();
-            address = to;
+    void changeAddress(InetSocketAddress newAddress) {
+        if (!newAddress.equals(address) && !stopped) {
+            closeWatch();
+            address = newAddress;
             version = -1;
-            ask(MOVED_SILENCE_MS);
+            startWatch(FIRST_READ_TIMEOUT_AFTER_MOVE_MS);
         }
     }
 
-    private void ask(long patienceMs) {
-        Watch asked;
+    private void startWatch(long firstReadTimeoutMs) {
+        Watch started;
         try {
-            asked = new Watch(patienceMs);
-        } catch (ChannelException noDescriptor) {
+            started = new Watch(firstReadTimeoutMs);
+        } catch (ChannelException outOfDescriptors) {
             // Made by the bootstrap, it would tell of this on a thread that is not the loop's.
-            listener.failed();
+            listener.onWatchFailed();
             return;
         }
-        watch = asked;
+        watch = started;
         bootstrap
                 .clone()
-                .channelFactory(() -> asked.channel)
-                .handler(asked.pipeline())
+                .channelFactory(() -> started.channel)
+                .handler(started.pipeline())
                 .connect(address)
                 .addListener(f -> {
                     if (!f.isSuccess()) {
-                        asked.fail(f.cause());
+                        started.fail(f.cause());
                     }
                 });
     }
@@ -136,68 +136,70 @@
     /** Ends the watch for good: nothing asks again. */
     void stop() {
         stopped = true;
-        giveUp();
+        closeWatch();
     }
 
-    private void giveUp() {
+    private void closeWatch() {
         if (watch != null) {
-            Watch old = watch;
+            Watch previous = watch;
             watch = null;
-            old.channel.close();
+            previous.channel.close();
         }
     }
 
     /** Takes over a list, first for the sockets and then for the module. */
-    void take(EndpointList listing, Source source) {
-        version = listing.version();
-        List<Endpoint> endpoints = new ArrayList<>();
-        Map<String, ConnectionPool.Endpoint> left = source == Source.DELTA ? new HashMap<>() : new HashMap<>(hosts);
-        for (EndpointList.Entry e : listing.entries()) {
-            left.remove(e.id());
-            endpoints.add(new Endpoint(
-                    e.id(),
-                    number(zones, e.zone()),
-                    e.cell(),
-                    number(kinds, e.kind()),
-                    e.availability(),
-                    e.weight(),
-                    e.startedMs() * 1000));
-            if (e.availability() == Availability.GONE) {
-                drop(hosts.get(e.id()));
+    void applyList(EndpointList list, Source source) {
+        version = list.version();
+        List<Endpoint> listedEndpoints = new ArrayList<>();
+        Map<String, ConnectionPool.Endpoint> unlisted =
+                source == Source.DELTA ? new HashMap<>() : new HashMap<>(endpoints);
+        for (EndpointList.Entry entry : list.entries()) {
+            unlisted.remove(entry.id());
+            listedEndpoints.add(new Endpoint(
+                    entry.id(),
+                    numberOf(zones, entry.zone()),
+                    entry.cell(),
+                    numberOf(kinds, entry.kind()),
+                    entry.availability(),
+                    entry.weight(),
+                    entry.startedMs() * 1000));
+            if (entry.availability() == Availability.GONE) {
+                remove(endpoints.get(entry.id()));
                 continue;
             }
-            ConnectionPool.Endpoint host = hosts.computeIfAbsent(e.id(), ConnectionPool.Endpoint::new);
-            boolean moved = host.address() != null && !host.address().equals(e.address());
-            boolean ready = e.availability() == Availability.READY;
-            host.listed(e.address(), ready, ConnectionPool.Endpoint.UNBOUNDED);
-            if (moved || !ready) {
-                upstream.closeIdle(host);
+            ConnectionPool.Endpoint endpoint = endpoints.computeIfAbsent(entry.id(), ConnectionPool.Endpoint::new);
+            boolean addressChanged =
+                    endpoint.address() != null && !endpoint.address().equals(entry.address());
+            boolean ready = entry.availability() == Availability.READY;
+            endpoint.listed(entry.address(), ready, ConnectionPool.Endpoint.UNBOUNDED);
+            if (addressChanged || !ready) {
+                upstream.closeIdle(endpoint);
             }
         }
-        left.values().forEach(this::drop);
-        listener.listed(source, endpoints);
+        unlisted.values().forEach(this::remove);
+        listener.onList(source, listedEndpoints);
     }
 
-    private void drop(ConnectionPool.Endpoint host) {
-        if (host != null) {
-            host.drain();
-            hosts.remove(host.id());
-            upstream.closeIdle(host);
+    private void remove(ConnectionPool.Endpoint endpoint) {
+        if (endpoint != null) {
+            endpoint.drain();
+            endpoints.remove(endpoint.id());
+            upstream.closeIdle(endpoint);
         }
     }
 
-    private static int number(Map<String, Integer> numbers, String name) {
+    private static int numberOf(Map<String, Integer> numbers, String name) {
         return numbers.computeIfAbsent(name, n -> numbers.size());
     }
 
     /** One call. It fails once, however it ends, unless it was given up for another. */
     private final class Watch extends SimpleChannelInboundHandler<ByteBuf> {
-        private final long patienceMs;
+        private final long firstReadTimeoutMs;
         private final NioSocketChannel channel = new NioSocketChannel();
-        private boolean heard;
+        private boolean listReceived;
 
-        Watch(long patienceMs) {
-            this.patienceMs = patienceMs;
+        Watch(long firstReadTimeoutMs) {
+            this.firstReadTimeoutMs = firstReadTimeoutMs;
         }
 
         ChannelInitializer<SocketChannel> pipeline() {
@@ -207,9 +209,9 @@
                     ch.pipeline()
                             .addLast(
                                     new HttpResponseDecoder(),
-                                    new Body(),
-                                    new Lists(),
-                                    new ReadTimeoutHandler(patienceMs, TimeUnit.MILLISECONDS),
+                                    new BodyDecoder(),
+                                    new ListDecoder(),
+                                    new ReadTimeoutHandler(firstReadTimeoutMs, TimeUnit.MILLISECONDS),
                                     Watch.this);
                 }
             };
@@ -224,18 +226,18 @@
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, ByteBuf list) throws IOException {
-            if (watch == this && list.isReadable()) {
-                EndpointList listing = EndpointList.parse(ByteBufUtil.getBytes(list));
-                if (!heard) {
-                    heard = true;
+        protected void channelRead0(ChannelHandlerContext ctx, ByteBuf json) throws IOException {
+            if (watch == this && json.isReadable()) {
+                EndpointList list = EndpointList.parse(ByteBufUtil.getBytes(json));
+                if (!listReceived) {
+                    listReceived = true;
                     ctx.pipeline()
                             .replace(
                                     ReadTimeoutHandler.class,
                                     null,
-                                    new ReadTimeoutHandler(SILENCE_MS, TimeUnit.MILLISECONDS));
+                                    new ReadTimeoutHandler(READ_TIMEOUT_MS, TimeUnit.MILLISECONDS));
                 }
-                take(listing, listing.full() ? Source.FULL : Source.DELTA);
+                applyList(list, list.full() ? Source.FULL : Source.DELTA);
             }
         }
 
@@ -255,11 +257,11 @@
         void fail(Throwable cause) {
             if (watch == this) {
                 watch = null;
-                if (heard) {
+                if (listReceived) {
                     System.err.println(
                             "quartzspan: the watch of " + NetUtil.toSocketAddressString(address) + " failed: " + cause);
                 }
-                listener.failed();
+                listener.onWatchFailed();
             }
         }
     }
@@ -269,9 +271,9 @@
      * empty buffer whenever no list is half read, which is what an empty line is for; a list that comes a
      * little at a time and does not get to its end is silence like any other.
      */
-    private static final class Lists extends JsonObjectDecoder {
-        Lists() {
-            super(LONGEST_LIST);
+    private static final class ListDecoder extends JsonObjectDecoder {
+        ListDecoder() {
+            super(MAX_LIST_BYTES);
         }
 
         @Override
@@ -284,8 +286,8 @@
     }
 
     /** Hands on what a watch's answer holds; any answer but 200, or its end, is the end of the watch. */
-    private static final class Body extends MessageToMessageDecoder<HttpObject> {
-        Body() {
+    private static final class BodyDecoder extends MessageToMessageDecoder<HttpObject> {
+        BodyDecoder() {
             super(HttpObject.class);
         }
 
--- a/src/main/java/quartzspan/clientproxy/EndpointList.java
+++ b/src/main/java/quartzspan/clientproxy/EndpointList.java
@@ -13,7 +13,7 @@
 
 /** A list of hosts in discovery's form: the whole one or, with {@code full} false, what has changed. */
 record EndpointList(long version, boolean full, List<Entry> entries) {
-    static final JsonFactory JSON = new JsonFactory();
+    static final JsonFactory JSON_FACTORY = new JsonFactory();
 
     /** One host, its zone and kind by name. */
     record Entry(
@@ -28,17 +28,17 @@
 
     /** Reads a line of a watch; anything but one well-formed list is an {@link IOException}. */
     static EndpointList parse(byte[] line) throws IOException {
-        try (JsonParser in = JSON.createParser(line)) {
+        try (JsonParser in = JSON_FACTORY.createParser(line)) {
             in.nextToken();
-            EndpointList listing = read(in);
-            need(in.nextToken() == null, "text after the list");
-            return listing;
+            EndpointList list = read(in);
+            require(in.nextToken() == null, "text after the list");
+            return list;
         }
     }
 
     /** Reads the object at the parser's place. */
     static EndpointList read(JsonParser in) throws IOException {
-        need(in.currentToken() == JsonToken.START_OBJECT, "a list must be an object");
+        require(in.currentToken() == JsonToken.START_OBJECT, "a list must be an object");
         long version = -1;
         boolean full = false;
         List<Entry> entries = null;
@@ -48,27 +48,27 @@
             switch (name) {
                 case "version" -> version = in.getLongValue();
                 case "full" -> full = in.getBooleanValue();
-                case "servers" -> entries = entries(in);
+                case "servers" -> entries = readEntries(in);
                 default -> in.skipChildren();
             }
         }
-        need(in.currentToken() == JsonToken.END_OBJECT, "the list ends early");
-        need(version >= 0, "version is missing");
-        need(entries != null, "servers is missing");
+        require(in.currentToken() == JsonToken.END_OBJECT, "the list ends early");
+        require(version >= 0, "version is missing");
+        require(entries != null, "servers is missing");
         return new EndpointList(version, full, entries);
     }
 
-    private static List<Entry> entries(JsonParser in) throws IOException {
-        need(in.currentToken() == JsonToken.START_ARRAY, "servers must be an array");
+    private static List<Entry> readEntries(JsonParser in) throws IOException {
+        require(in.currentToken() == JsonToken.START_ARRAY, "servers must be an array");
         List<Entry> entries = new ArrayList<>();
         while (in.nextToken() == JsonToken.START_OBJECT) {
-            entries.add(entry(in));
+            entries.add(readEntry(in));
         }
-        need(in.currentToken() == JsonToken.END_ARRAY, "servers must hold objects");
+        require(in.currentToken() == JsonToken.END_ARRAY, "servers must hold objects");
         return entries;
     }
 
-    private static Entry entry(JsonParser in) throws IOException {
+    private static Entry readEntry(JsonParser in) throws IOException {
         String id = null;
         InetSocketAddress address = null;
         String zone = "";
@@ -82,34 +82,34 @@
             in.nextToken();
             switch (name) {
                 case "id" -> id = in.getText();
-                case "addr" -> address = address(in.getText());
+                case "addr" -> address = parseAddress(in.getText());
                 case "zone" -> zone = in.getText();
                 case "kind" -> kind = in.getText();
                 case "cell" -> cell = in.getIntValue();
-                case "state" -> availability = availability(in.getText());
+                case "state" -> availability = parseAvailability(in.getText());
                 case "weight" -> weight = in.getDoubleValue();
                 case "started_ms" -> startedMs = in.getLongValue();
                 default -> in.skipChildren();
             }
         }
-        need(id != null && address != null && availability != null, "a host without id, addr or state");
+        require(id != null && address != null && availability != null, "a host without id, addr or state");
         return new Entry(id, address, zone, kind, cell, availability, weight, startedMs);
     }
 
-    private static Availability availability(String word) throws IOException {
-        return switch (word) {
+    private static Availability parseAvailability(String text) throws IOException {
+        return switch (text) {
             case "in_service" -> Availability.READY;
             case "terminating" -> Availability.DRAINING;
             case "terminated" -> Availability.GONE;
-            default -> throw new IOException("unknown state " + word);
+            default -> throw new IOException("unknown state " + text);
         };
     }
 
     /** Takes a literal address and port only: there is no DNS, and a look-up would block the loop. */
-    static InetSocketAddress address(String text) throws IOException {
+    static InetSocketAddress parseAddress(String text) throws IOException {
         int colon = String.valueOf(text).lastIndexOf(':');
         byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
-        need(ip != null, "not an address and port: " + text);
+        require(ip != null, "not an address and port: " + text);
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
             return new InetSocketAddress(InetAddress.getByAddress(ip), port);
@@ -118,9 +118,9 @@
         }
     }
 
-    private static void need(boolean ok, String otherwise) throws IOException {
+    private static void require(boolean ok, String message) throws IOException {
         if (!ok) {
-            throw new IOException(otherwise);
+            throw new IOException(message);
         }
     }
 }
--- a/src/main/java/quartzspan/clientproxy/Main.java
+++ b/src/main/java/quartzspan/clientproxy/Main.java
@@ -51,10 +51,10 @@
      * before it listens; SIGHUP makes it read its configuration again, also one that comes before it is ready.
      */
     private static void serve() throws Exception {
-        logPlainly();
+        logToStandardError();
         String file = System.getenv("NODE_CONFIG");
         CompletableFuture<ClientProxy> started = new CompletableFuture<>();
-        Signal.handle(new Signal("HUP"), hup -> started.thenAccept(proxy -> reload(proxy, file)));
+        Signal.handle(new Signal("HUP"), signal -> started.thenAccept(proxy -> reload(proxy, file)));
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             ClientProxy proxy = started.getNow(null);
             if (proxy != null) {
@@ -69,9 +69,9 @@
      * lets the JVM note which classes a start needs, so that the deployed one has them at hand.
      */
     private static void warmUp() throws Exception {
-        logPlainly();
-        try (InputStream sample = Main.class.getResourceAsStream("/warmup.json")) {
-            ClientProxy proxy = ClientProxy.start(ClientProxyConfig.parse(sample.readAllBytes()), starting -> {});
+        logToStandardError();
+        try (InputStream example = Main.class.getResourceAsStream("/warmup.json")) {
+            ClientProxy proxy = ClientProxy.start(ClientProxyConfig.parse(example.readAllBytes()), starting -> {});
             try (Socket client = new Socket(InetAddress.getLoopbackAddress(), proxy.port())) {
                 client.getOutputStream()
                         .write(("GET /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: a\r\n"
@@ -96,14 +96,14 @@
      * What libraries have to say goes to standard error in plain lines. The platform's own form needs a file
      * for the time zone: a warning that descriptors have run out would end the thread that gives it.
      */
-    private static void logPlainly() {
+    private static void logToStandardError() {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         LogManager.getLogManager().reset();
         Logger.getLogger("").addHandler(new Handler() {
             @Override
-            public void publish(LogRecord line) {
-                System.err.println(
-                        "quartzspan: " + line.getMessage() + (line.getThrown() == null ? "" : ": " + line.getThrown()));
+            public void publish(LogRecord logRecord) {
+                System.err.println("quartzspan: " + logRecord.getMessage()
+                        + (logRecord.getThrown() == null ? "" : ": " + logRecord.getThrown()));
             }
 
             @Override
--- a/src/main/java/quartzspan/clientproxy/WarmUp.java
+++ b/src/main/java/quartzspan/clientproxy/WarmUp.java
@@ -34,60 +34,60 @@
  */
 final class WarmUp {
     /** The JVM compiles what has been called 200 times, and what that calls a little later. */
-    private static final int ROUNDS = 250;
+    private static final int ITERATIONS = 250;
 
-    private static final int HOSTS = 12;
-    private static final long MOST_SECONDS = 3;
-    static final String SELF = "self";
+    private static final int ENDPOINTS = 12;
+    private static final long MAX_WAIT_S = 3;
+    static final String SELF_ID = "self";
 
     private WarmUp() {}
 
     /** Requests and outcomes through a module. */
-    static void decide(LoadBalancer.Settings settings) {
-        ArrayDeque<AttemptEnd> ends = new ArrayDeque<>();
+    static void warmUpBalancer(LoadBalancer.Settings settings) {
+        ArrayDeque<AttemptEnd> pendingEnds = new ArrayDeque<>();
         long now = 1_000_000;
-        LoadBalancer module = LoadBalancer.create(settings, 1, now, new Silent() {
+        LoadBalancer balancer = LoadBalancer.create(settings, 1, now, new IgnoredActions() {
             @Override
             public void send(String requestId, String endpointId, long timeoutUs) {
-                ends.add(new AttemptEnd(requestId, 0, Outcome.OK, true, 20_000));
+                pendingEnds.add(new AttemptEnd(requestId, 0, Outcome.OK, true, 20_000));
             }
         });
-        List<Endpoint> hosts = new ArrayList<>();
-        for (int i = 0; i < HOSTS; i++) {
-            hosts.add(new Endpoint("host" + i, i % 3, 0, i % 2, Availability.READY, 1, 0));
+        List<Endpoint> endpoints = new ArrayList<>();
+        for (int i = 0; i < ENDPOINTS; i++) {
+            endpoints.add(new Endpoint("host" + i, i % 3, 0, i % 2, Availability.READY, 1, 0));
         }
-        module.onEndpoints(now, Source.FULL, hosts);
-        for (int i = 0; i < ROUNDS; i++) {
-            int type = i % settings.classes().size();
+        balancer.onEndpoints(now, Source.FULL, endpoints);
+        for (int i = 0; i < ITERATIONS; i++) {
+            int classIndex = i % settings.classes().size();
             now += 4_000;
-            module.onRequest(
+            balancer.onRequest(
                     now,
                     new Request(
                             "id" + i,
-                            type,
+                            classIndex,
                             "key" + i % 50,
-                            settings.classes().get(type).deadlineUs(),
+                            settings.classes().get(classIndex).deadlineUs(),
                             0,
                             0,
                             false));
-            for (AttemptEnd end; ends.size() > 4 && (end = ends.poll()) != null; ) {
-                module.onAttemptEnded(now, end);
+            for (AttemptEnd end; pendingEnds.size() > 4 && (end = pendingEnds.poll()) != null; ) {
+                balancer.onAttemptEnded(now, end);
             }
-            module.onTimer(now);
+            balancer.onTimer(now);
         }
     }
 
     /** A list whose one host is the client proxy itself. */
-    static EndpointList self(InetAddress address, int port) {
+    static EndpointList listOfSelf(InetAddress address, int port) {
         return new EndpointList(
                 0,
                 true,
                 List.of(new EndpointList.Entry(
-                        SELF, new InetSocketAddress(address, port), "", "", 0, Availability.READY, 1, 0)));
+                        SELF_ID, new InetSocketAddress(address, port), "", "", 0, Availability.READY, 1, 0)));
     }
 
     /** Sends each request on to itself, and fails it when that comes back refused. */
-    static LoadBalancer module(LoadBalancer.Actions actions) {
+    static LoadBalancer forwardingBalancer(LoadBalancer.Actions actions) {
         return new LoadBalancer() {
             @Override
             public void onEndpoints(long now, Source source, List<Endpoint> endpoints) {}
@@ -97,7 +97,7 @@
 
             @Override
             public void onRequest(long now, Request request) {
-                actions.send(request.id(), SELF, 0);
+                actions.send(request.id(), SELF_ID, 0);
             }
 
             @Override
@@ -120,35 +120,36 @@
     }
 
     /** Requests through the sockets, one after the other; on the event loop, all but the wait. */
-    static final class Rounds {
+    static final class SocketWarmUp {
         private final EventLoop loop;
         private final ConnectionPool upstream;
-        private final ConnectionPool.Endpoint self;
-        private final RequestClass type;
-        private final CountDownLatch left = new CountDownLatch(ROUNDS);
+        private final ConnectionPool.Endpoint endpoint;
+        private final RequestClass requestClass;
+        private final CountDownLatch remaining = new CountDownLatch(ITERATIONS);
 
-        Rounds(EventLoop loop, ConnectionPool upstream, ConnectionPool.Endpoint self, RequestClass type) {
+        SocketWarmUp(
+                EventLoop loop, ConnectionPool upstream, ConnectionPool.Endpoint endpoint, RequestClass requestClass) {
             this.loop = loop;
             this.upstream = upstream;
-            this.self = self;
-            this.type = type;
+            this.endpoint = endpoint;
+            this.requestClass = requestClass;
         }
 
-        Rounds next() {
+        SocketWarmUp sendNext() {
             HttpHeaders headers = new DefaultHttpHeaders()
                     .set("Host", "origin.svc")
-                    .set("X-Class", type.name())
-                    .set("X-Request-Id", "warmup" + left.getCount())
+                    .set("X-Class", requestClass.name())
+                    .set("X-Request-Id", "warmup" + remaining.getCount())
                     .set("X-Key", "key");
-            if (type.effect() == Effect.DEDUP) {
+            if (requestClass.effect() == Effect.DEDUP) {
                 headers.set("Idempotency-Key", "key");
             }
-            OutgoingRequest call = new OutgoingRequest(
-                    type.effect() == Effect.RETRYABLE ? "GET" : "POST", "/api", headers, new byte[0]);
-            upstream.attempt(self, call, type.deadlineUs(), () -> true, (outcome, answer) -> {
-                        left.countDown();
-                        if (left.getCount() > 0) {
-                            loop.execute(this::next);
+            OutgoingRequest outgoing = new OutgoingRequest(
+                    requestClass.effect() == Effect.RETRYABLE ? "GET" : "POST", "/api", headers, new byte[0]);
+            upstream.attempt(endpoint, outgoing, requestClass.deadlineUs(), () -> true, (outcome, answer) -> {
+                        remaining.countDown();
+                        if (remaining.getCount() > 0) {
+                            loop.execute(this::sendNext);
                         }
                     })
                     .start();
@@ -156,12 +157,12 @@
         }
 
         void await() throws InterruptedException {
-            left.await(MOST_SECONDS, TimeUnit.SECONDS);
+            remaining.await(MAX_WAIT_S, TimeUnit.SECONDS);
         }
     }
 
     /** Decisions that go nowhere. */
-    private static class Silent implements LoadBalancer.Actions {
+    private static class IgnoredActions implements LoadBalancer.Actions {
         @Override
         public void send(String requestId, String endpointId, long timeoutUs) {}
 
--- /dev/null
+++ b/src/test/java/quartzspan/clientproxy/ClientDisconnectTest.java
@@ -0,0 +1,181 @@
+package quartzspan.clientproxy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.net.ConnectException;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import quartzspan.http.LoopbackPeers;
+import quartzspan.http.LoopbackPeers.Client;
+import quartzspan.http.LoopbackPeers.Deaf;
+import quartzspan.http.LoopbackPeers.Discovery;
+import quartzspan.http.LoopbackPeers.Seen;
+import quartzspan.http.LoopbackPeers.Server;
+import quartzspan.loadbalancing.LoadBalancer.AttemptEnd;
+import quartzspan.loadbalancing.LoadBalancer.Outcome;
+
+/** Clients that leave while their request waits: it is not sent on, whatever it waits for. */
+class ClientDisconnectTest extends ClientProxyFixture {
+    private final BlockingQueue<String> heldRequests = new LinkedBlockingQueue<>();
+
+    /** A host that serves, and a module that sends each request to it but those whose id says to hold them. */
+    private Server startWithServer() throws Exception {
+        Server host = startServer(s -> s.served("x"));
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        balancer.onRequest = r -> {
+            if (r.id().startsWith("held")) {
+                heldRequests.add(r.id());
+            } else {
+                balancer.actions.send(r.id(), "s", 0);
+            }
+        };
+        return host;
+    }
+
+    private void assertOnlyNextRequestArrives(Server host) throws Exception {
+        assertEquals(200, connectClient().unsafe("last", 20_000).read().status());
+        assertEquals("last", LoopbackPeers.next(host.seen, "the last").message().header("x-request-id"));
+        assertTrue(host.seen.isEmpty());
+    }
+
+    @Test
+    void whileTheEventLoopIsBlocked() throws Exception {
+        // Each request and its client's leaving are both there when the loop comes to look.
+        Server host = startWithServer();
+        Client reused = connectClient();
+        Client reset = connectClient();
+        assertEquals(200, reused.unsafe("first", 20_000).read().status());
+        assertEquals(200, reset.unsafe("second", 20_000).read().status());
+        host.seen.clear();
+        Client blocking = connectClient();
+        CountDownLatch release =
+                blockEventLoop(blocking, () -> balancer.onRequest = next -> balancer.actions.send(next.id(), "s", 0));
+        reused.unsafe("on a kept connection", 20_000).close();
+        reset.unsafe("reset", 20_000).socket.setSoLinger(true, 0);
+        reset.close();
+        connectClient().unsafe("in the queue", 20_000).close();
+        connectClient().unsafe("one", 20_000).unsafe("behind another", 20_000).close();
+        release.countDown();
+        assertEquals(503, blocking.read().status());
+        assertOnlyNextRequestArrives(host);
+        assertTrue(balancer.disconnects.isEmpty(), "none was begun");
+    }
+
+    @Test
+    void whileTheBalancerHoldsTheRequest() throws Exception {
+        Server host = startWithServer();
+        Client client = connectClient().unsafe("held", 20_000);
+        LoopbackPeers.next(heldRequests, "the request");
+        client.close();
+        assertEquals("held", LoopbackPeers.next(balancer.disconnects, "the client's leaving"));
+        balancer.onRequest = r -> {
+            balancer.actions.send("held", "s", 0);
+            balancer.actions.send(r.id(), "s", 0);
+        };
+        assertOnlyNextRequestArrives(host);
+    }
+
+    @Test
+    void whileQueuedBehindAnotherRequest() throws Exception {
+        Server host = startWithServer();
+        Client client = connectClient().unsafe("held", 20_000).unsafe("behind", 20_000);
+        LoopbackPeers.next(heldRequests, "the first request");
+        client.close();
+        assertEquals("held", LoopbackPeers.next(balancer.disconnects, "the client's leaving"));
+        assertOnlyNextRequestArrives(host);
+    }
+
+    @Test
+    void whileTheServerConnectionIsBeingEstablished() throws Exception {
+        // Also where the settings forbid to cancel.
+        for (boolean cancelOnDisconnect : new boolean[] {true, false}) {
+            try (Deaf deaf = new Deaf()) {
+                balancer.cancelOnDisconnect = cancelOnDisconnect;
+                start("", LoopbackPeers.host("s", deaf.address(), "in_service"));
+                CountDownLatch sent = new CountDownLatch(1);
+                balancer.onRequest = r -> {
+                    balancer.actions.send(r.id(), "s", 0);
+                    sent.countDown();
+                };
+                Client client = connectClient().unsafe("late", 20_000);
+                assertTrue(sent.await(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
+                client.close();
+                assertEquals("late", LoopbackPeers.next(balancer.disconnects, "the client's leaving"));
+                if (cancelOnDisconnect) {
+                    assertEquals(
+                            Outcome.CANCELED,
+                            LoopbackPeers.next(balancer.attemptEnds, "the end").outcome());
+                } else {
+                    deaf.hear();
+                    assertTrue(deaf.silent(), "nothing was written");
+                    assertEquals(
+                            Outcome.IGNORED,
+                            LoopbackPeers.next(balancer.attemptEnds, "the end").outcome());
+                }
+                proxy.drain();
+            }
+        }
+    }
+
+    @Test
+    void betweenTwoAttempts() throws Exception {
+        Server host = startWithServer();
+        BlockingQueue<Seen> attempts = new LinkedBlockingQueue<>();
+        Server rejecting = startServer(attempts::add);
+        Seen watch = discovery.asked();
+        Discovery.push(
+                watch,
+                LoopbackPeers.list(
+                        2,
+                        true,
+                        LoopbackPeers.host("s", host.address(), "in_service"),
+                        LoopbackPeers.host("t", rejecting.address(), "in_service")));
+        LoopbackPeers.next(balancer.discoveryEvents, "the list");
+        balancer.onRequest = r -> balancer.actions.send(r.id(), "t", 0);
+        Client client = connectClient().unsafe("twice", 20_000);
+        LoopbackPeers.next(attempts, "the first attempt").notRun();
+        AttemptEnd end = LoopbackPeers.next(balancer.attemptEnds, "its end");
+        assertEquals(Outcome.QUEUE_FULL, end.outcome());
+        client.close();
+        assertEquals("twice", LoopbackPeers.next(balancer.disconnects, "the client's leaving"));
+        balancer.onRequest = r -> {
+            balancer.actions.send("twice", "s", 0);
+            balancer.actions.send(r.id(), "s", 0);
+        };
+        assertOnlyNextRequestArrives(host);
+    }
+
+    @Test
+    void afterIdleConnectionsAreClosedInADrain() throws Exception {
+        // A client that stays tells when the guards are due: the other's leaving is seen before.
+        startWithServer();
+        connectClient().unsafe("held a", 20_000);
+        Client leaving = connectClient().unsafe("held b", 20_000);
+        LoopbackPeers.next(heldRequests, "the first request");
+        LoopbackPeers.next(heldRequests, "the second request");
+        Client idle = connectClient();
+        assertEquals(200, idle.unsafe("idle", 20_000).read().status());
+        proxy.drain();
+        long drainStartedNs = System.nanoTime();
+        String ready = "GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n";
+        while (idle.write(ready).read().header("connection") == null) {
+            Thread.sleep(20);
+        }
+        assertTrue(idle.closed());
+        // Idle ones are closed at the last call, which comes after the first that is sent away.
+        try (Client lateClient = connectClient()) {
+            assertTrue(lateClient.closed());
+        } catch (ConnectException refused) {
+            // this machine is slow: the last call has been
+        }
+        leaving.close();
+        boolean inTime = System.nanoTime() - drainStartedNs < TimeUnit.MILLISECONDS.toNanos(3_400);
+        String disconnected = LoopbackPeers.next(balancer.disconnects, "the client's leaving");
+        // Only this machine's being slow excuses it: the guards were due by then.
+        assertEquals(inTime ? "held b" : disconnected, disconnected);
+    }
+}
--- a/src/test/java/quartzspan/clientproxy/ClientProxyFixture.java
+++ b/src/test/java/quartzspan/clientproxy/ClientProxyFixture.java
@@ -27,25 +27,25 @@
 
 /** The sockets under a module that does what the test says, so that each outcome can be seen by itself. */
 abstract class ClientProxyFixture {
-    final List<AutoCloseable> open = new ArrayList<>();
-    final Script module = new Script();
+    final List<AutoCloseable> resources = new ArrayList<>();
+    final ScriptedBalancer balancer = new ScriptedBalancer();
     ClientProxy proxy;
     Discovery discovery;
 
     /** A module that writes down events; a test sets what it does on a request and on an attempt's end. */
-    static final class Script implements LoadBalancer {
-        final BlockingQueue<AttemptEnd> ends = new LinkedBlockingQueue<>();
-        final BlockingQueue<String> lists = new LinkedBlockingQueue<>();
-        final BlockingQueue<String> gone = new LinkedBlockingQueue<>();
-        final BlockingQueue<Outcome> probes = new LinkedBlockingQueue<>();
+    static final class ScriptedBalancer implements LoadBalancer {
+        final BlockingQueue<AttemptEnd> attemptEnds = new LinkedBlockingQueue<>();
+        final BlockingQueue<String> discoveryEvents = new LinkedBlockingQueue<>();
+        final BlockingQueue<String> disconnects = new LinkedBlockingQueue<>();
+        final BlockingQueue<Outcome> probeOutcomes = new LinkedBlockingQueue<>();
         volatile Consumer<Request> onRequest = r -> {};
-        volatile Consumer<AttemptEnd> onEnd = e -> {};
-        volatile boolean cancels = true;
+        volatile Consumer<AttemptEnd> onAttemptEnd = e -> {};
+        volatile boolean cancelOnDisconnect = true;
         volatile Actions actions;
 
         @Override
         public void onEndpoints(long now, Source source, List<Endpoint> endpoints) {
-            lists.add(source + " "
+            discoveryEvents.add(source + " "
                     + endpoints.stream()
                             .map(e -> e.id() + " " + e.zone() + " " + e.availability())
                             .toList());
@@ -53,7 +53,7 @@
 
         @Override
         public void onDiscoveryFailed(long now) {
-            lists.add("failed");
+            discoveryEvents.add("failed");
         }
 
         @Override
@@ -63,8 +63,8 @@
 
         @Override
         public void onRequestGone(long now, String requestId) {
-            gone.add(requestId);
-            if (cancels) {
+            disconnects.add(requestId);
+            if (cancelOnDisconnect) {
                 actions.cancel(requestId, 0);
             }
         }
@@ -74,13 +74,13 @@
 
         @Override
         public void onAttemptEnded(long now, AttemptEnd end) {
-            ends.add(end);
-            onEnd.accept(end);
+            attemptEnds.add(end);
+            onAttemptEnd.accept(end);
         }
 
         @Override
         public void onProbeEnded(long now, String endpointId, Outcome outcome, long lagUs) {
-            probes.add(outcome);
+            probeOutcomes.add(outcome);
         }
 
         @Override
@@ -91,8 +91,8 @@
         start(starting -> {}, limits, hosts);
     }
 
-    void start(Consumer<ClientProxy> listening, String limits, String... hosts) throws Exception {
-        discovery = keep(new Discovery());
+    void start(Consumer<ClientProxy> beforeListening, String limits, String... hosts) throws Exception {
+        discovery = closeAfterTest(new Discovery());
         String known = LoopbackPeers.list(1, true, hosts);
         ClientProxyConfig config =
                 ClientProxyConfig.parse(LoopbackPeers.config(0, discovery.server.address(), limits, known)
@@ -100,31 +100,32 @@
         proxy = ClientProxy.start(
                 config,
                 (settings, seed, now, actions) -> {
-                    module.actions = actions;
+                    balancer.actions = actions;
                     actions.subscribe();
-                    return module;
+                    return balancer;
                 },
-                listening);
-        assertTrue(LoopbackPeers.next(module.lists, "the list known").startsWith("CACHED"));
+                beforeListening);
+        assertTrue(
+                LoopbackPeers.next(balancer.discoveryEvents, "the list known").startsWith("CACHED"));
     }
 
-    Server host(Consumer<Seen> script) throws Exception {
-        return keep(new Server(script));
+    Server startServer(Consumer<Seen> script) throws Exception {
+        return closeAfterTest(new Server(script));
     }
 
-    Client client() throws Exception {
-        return keep(new Client(proxy.port()));
+    Client connectClient() throws Exception {
+        return closeAfterTest(new Client(proxy.port()));
     }
 
-    <T extends AutoCloseable> T keep(T one) {
-        open.add(one);
-        return one;
+    <T extends AutoCloseable> T closeAfterTest(T resource) {
+        resources.add(resource);
+        return resource;
     }
 
     @AfterEach
-    void closeAll() throws Exception {
-        for (AutoCloseable one : open) {
-            one.close();
+    void closeResources() throws Exception {
+        for (AutoCloseable resource : resources) {
+            resource.close();
         }
         if (proxy != null) {
             proxy.drain();
@@ -132,32 +133,32 @@
     }
 
     /** Makes the loop stand still at a request of this client, until the latch is opened; then does this. */
-    CountDownLatch stand(Client client, Runnable then) throws Exception {
-        CountDownLatch stands = new CountDownLatch(1);
-        CountDownLatch goOn = new CountDownLatch(1);
-        module.onRequest = r -> {
-            stands.countDown();
+    CountDownLatch blockEventLoop(Client client, Runnable afterRelease) throws Exception {
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
+        balancer.onRequest = r -> {
+            blocked.countDown();
             try {
-                assertTrue(goOn.await(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
+                assertTrue(release.await(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
             } catch (InterruptedException e) {
                 throw new AssertionError(e);
             }
-            then.run();
-            module.actions.refuse(r.id(), 0);
+            afterRelease.run();
+            balancer.actions.refuse(r.id(), 0);
         };
         client.unsafe("stand", 20_000);
-        assertTrue(stands.await(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
-        return goOn;
+        assertTrue(blocked.await(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
+        return release;
     }
 
     /** One request sent once to a host with this script; returns how the attempt ended. */
-    AttemptEnd outcome(Consumer<Seen> script, long timeoutUs) throws Exception {
-        Server host = host(script);
+    AttemptEnd attemptOnce(Consumer<Seen> script, long timeoutUs) throws Exception {
+        Server host = startServer(script);
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
-        module.onRequest = r -> module.actions.send(r.id(), "s", timeoutUs);
-        module.onEnd = e -> module.actions.fail(e.requestId());
-        Client client = client().unsafe("id1", 20_000);
-        AttemptEnd end = LoopbackPeers.next(module.ends, "the attempt's end");
+        balancer.onRequest = r -> balancer.actions.send(r.id(), "s", timeoutUs);
+        balancer.onAttemptEnd = e -> balancer.actions.fail(e.requestId());
+        Client client = connectClient().unsafe("id1", 20_000);
+        AttemptEnd end = LoopbackPeers.next(balancer.attemptEnds, "the attempt's end");
         int status = client.read().status();
         assertEquals(end.outcome() == Outcome.OK ? 200 : 502, status);
         assertEquals(end.outcome() == Outcome.OK, end.requestDone());
--- a/src/test/java/quartzspan/clientproxy/ClientProxyProcessTest.java
+++ b/src/test/java/quartzspan/clientproxy/ClientProxyProcessTest.java
@@ -33,18 +33,18 @@
     @TempDir
     Path folder;
 
-    private final List<AutoCloseable> open = new ArrayList<>();
+    private final List<AutoCloseable> resources = new ArrayList<>();
     private Process process;
     private Discovery discovery;
 
     private int start(Server... hosts) throws Exception {
-        discovery = keep(new Discovery());
+        discovery = closeAfterTest(new Discovery());
         List<String> known = new ArrayList<>();
         for (Server host : hosts) {
             known.add(LoopbackPeers.host("s" + known.size(), host.address(), "in_service"));
         }
         int port = freePort();
-        launch(
+        startProcess(
                 LoopbackPeers.config(
                         port,
                         discovery.server.address(),
@@ -81,7 +81,7 @@
         }
     }
 
-    private void launch(String config, ProcessBuilder.Redirect errors) throws IOException {
+    private void startProcess(String config, ProcessBuilder.Redirect errors) throws IOException {
         Path file = folder.resolve("config.json");
         Files.writeString(file, config);
         ProcessBuilder builder = new ProcessBuilder(
@@ -96,19 +96,19 @@
         process = builder.start();
     }
 
-    private Server host(Consumer<Seen> script) throws Exception {
-        return keep(new Server(script));
+    private Server startServer(Consumer<Seen> script) throws Exception {
+        return closeAfterTest(new Server(script));
     }
 
-    private <T extends AutoCloseable> T keep(T one) {
-        open.add(one);
-        return one;
+    private <T extends AutoCloseable> T closeAfterTest(T resource) {
+        resources.add(resource);
+        return resource;
     }
 
     @AfterEach
-    void closeAll() throws Exception {
-        for (AutoCloseable one : open) {
-            one.close();
+    void closeResources() throws Exception {
+        for (AutoCloseable resource : resources) {
+            resource.close();
         }
         if (process != null) {
             process.destroyForcibly().waitFor();
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void anUnsafeRequestIsTriedAgainOnlyWhenItSurelyDidNotRun() throws Exception {
+    void unsafeRequestIsRetriedOnlyWhenItIsKnownNotToHaveRun() throws Exception {
         AtomicInteger attempts = new AtomicInteger();
         Consumer<Seen> script = s -> {
             boolean first = attempts.getAndIncrement() == 0;
@@ -132,7 +132,7 @@
                 default -> s.reset();
             }
         };
-        int port = start(host(script), host(script), host(script));
+        int port = start(startServer(script), startServer(script), startServer(script));
         try (Client client = new Client(port)) {
             assertEquals(200, client.unsafe("not-run", 20_000).read().status());
             assertEquals(2, attempts.getAndSet(0), "tried again after it was turned away");
@@ -148,65 +148,65 @@
     }
 
     @Test
-    void afterSigtermAllThatComesIsServedAndThenItEnds() throws Exception {
-        Server host = host(s -> {
+    void afterSigtermRequestsAreServedUntilTheProcessExits() throws Exception {
+        Server host = startServer(s -> {
             if (!s.message().header("x-request-id").equals("out")) {
                 s.served("x");
             }
         });
         int port = start(host);
-        try (Client kept = new Client(port);
-                Client out = new Client(port);
+        try (Client reused = new Client(port);
+                Client pending = new Client(port);
                 Client idle = new Client(port)) {
             // Enough of them for the module to know that an answer takes less than the time until SIGKILL.
             for (int i = 0; i < 200; i++) {
-                assertEquals(200, kept.unsafe("before" + i, 20_000).read().status());
+                assertEquals(200, reused.unsafe("before" + i, 20_000).read().status());
                 LoopbackPeers.next(host.seen, "a request before");
             }
-            out.unsafe("out", 20_000);
+            pending.unsafe("out", 20_000);
             Seen waiting = LoopbackPeers.next(host.seen, "the request that is out");
-            long told = System.nanoTime();
+            long signalledNs = System.nanoTime();
             process.destroy();
             try {
                 // The signal takes a moment; readiness tells that it was heard, and that the end is near.
                 String ready = "GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n";
                 Message last;
                 do {
-                    last = kept.write(ready).read();
+                    last = reused.write(ready).read();
                 } while (last.status() == 200);
-                assertEquals(200, kept.unsafe("after", 20_000).read().status());
-                try (Client fresh = new Client(port)) {
-                    assertEquals(200, fresh.unsafe("fresh", 20_000).read().status(), "new ones are served");
+                assertEquals(200, reused.unsafe("after", 20_000).read().status());
+                try (Client newClient = new Client(port)) {
+                    assertEquals(200, newClient.unsafe("fresh", 20_000).read().status(), "new ones are served");
                 }
                 while (last.header("connection") == null) {
-                    last = kept.write(ready).read();
+                    last = reused.write(ready).read();
                 }
                 assertEquals("close", last.header("connection"));
-                assertTrue(kept.closed());
+                assertTrue(reused.closed());
             } catch (IOException e) {
                 // Only this machine's being slow excuses it: the time in which requests still come was over.
-                assertTrue(System.nanoTime() - told > TimeUnit.MILLISECONDS.toNanos(500), e.toString());
+                assertTrue(System.nanoTime() - signalledNs > TimeUnit.MILLISECONDS.toNanos(500), e.toString());
             }
             assertTrue(idle.closed(), "idle connections close in the end");
             assertTrue(process.isAlive(), "one request is out");
             waiting.served("late");
-            assertEquals("late", out.read().text());
+            assertEquals("late", pending.read().text());
             assertTrue(process.waitFor(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
         }
     }
 
     @Test
-    void sighupMovesTheWatchAndABadFileChangesNothing() throws Exception {
-        Server host = host(s -> s.served("x"));
+    void sighupChangesTheDiscoveryAddressAndAnInvalidFileIsIgnored() throws Exception {
+        Server host = startServer(s -> s.served("x"));
         int port = start(host);
-        Discovery other = keep(new Discovery());
+        Discovery other = closeAfterTest(new Discovery());
         Path file = folder.resolve("config.json");
         String good = Files.readString(file);
         Files.writeString(file, "{");
-        hangUp();
+        sendSighup();
         Files.writeString(file, good.replace(discovery.server.address(), other.server.address()));
-        hangUp();
-        hangUp();
+        sendSighup();
+        sendSighup();
         Discovery.push(
                 other.asked(), LoopbackPeers.list(1, true, LoopbackPeers.host("s0", host.address(), "in_service")));
         try (Client client = new Client(port)) {
@@ -215,7 +215,7 @@
         assertEquals(0, other.server.seen.size(), "one watch for two signals with the same file");
     }
 
-    private void hangUp() throws Exception {
+    private void sendSighup() throws Exception {
         assertEquals(
                 0,
                 new ProcessBuilder("kill", "-HUP", "" + process.pid()).start().waitFor());
@@ -224,7 +224,7 @@
     }
 
     @Test
-    void aBadConfigurationIsOnePlainLine() throws Exception {
+    void invalidConfigurationIsReportedInOneLine() throws Exception {
         String good = LoopbackPeers.config(1, "127.0.0.1:1", "", "null");
         for (String config : List.of(
                 "{",
@@ -239,18 +239,19 @@
             assertThrows(Exception.class, () -> ClientProxyConfig.parse(bytes), config);
         }
         File errors = folder.resolve("errors").toFile();
-        launch(good.replace("\"effect\":\"retryable\"", "\"effect\":\"odd\""), ProcessBuilder.Redirect.to(errors));
+        startProcess(
+                good.replace("\"effect\":\"retryable\"", "\"effect\":\"odd\""), ProcessBuilder.Redirect.to(errors));
         assertTrue(process.waitFor(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
         assertEquals(1, process.exitValue());
         assertEquals("quartzspan: settings: safe: unknown effect odd\n", Files.readString(errors.toPath()));
     }
 
     @Test
-    void aPortInUseIsOnePlainLine() throws Exception {
-        try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+    void portInUseIsReportedInOneLine() throws Exception {
+        try (ServerSocket occupied = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             File errors = folder.resolve("errors").toFile();
-            launch(
-                    LoopbackPeers.config(taken.getLocalPort(), "127.0.0.1:1", "", "null"),
+            startProcess(
+                    LoopbackPeers.config(occupied.getLocalPort(), "127.0.0.1:1", "", "null"),
                     ProcessBuilder.Redirect.to(errors));
             assertTrue(process.waitFor(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
             assertFalse(process.exitValue() == 0);
--- a/src/test/java/quartzspan/clientproxy/DiscoveryTest.java
+++ b/src/test/java/quartzspan/clientproxy/DiscoveryTest.java
@@ -26,51 +26,55 @@
 /** Lists of hosts, watches that fail, and a move to another discovery. */
 class DiscoveryTest extends ClientProxyFixture {
     @Test
-    void listsReplaceOrAmendAndABrokenWatchIsAFailedCall() throws Exception {
+    void fullAndDeltaListsAreAppliedAndABrokenWatchIsReportedOnce() throws Exception {
         start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
         assertEquals(
                 200,
-                client().write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+                connectClient()
+                        .write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
                         .read()
                         .status());
         Seen watch = discovery.asked();
-        String asked = watch.message().first();
-        assertTrue(asked.startsWith("GET /api/targets?watch=1&after=1 "), asked);
+        String requestLine = watch.message().first();
+        assertTrue(requestLine.startsWith("GET /api/targets?watch=1&after=1 "), requestLine);
         Discovery.push(watch, LoopbackPeers.list(2, true, LoopbackPeers.host("t", "127.0.0.1:2", "in_service")));
-        assertEquals("FULL [t 1 READY]", LoopbackPeers.next(module.lists, "the whole list"));
+        assertEquals("FULL [t 1 READY]", LoopbackPeers.next(balancer.discoveryEvents, "the whole list"));
         Discovery.push(watch, "");
         Discovery.push(watch, LoopbackPeers.list(3, false, LoopbackPeers.host("t", "127.0.0.1:2", "terminated")));
-        assertEquals("DELTA [t 1 GONE]", LoopbackPeers.next(module.lists, "a change"));
+        assertEquals("DELTA [t 1 GONE]", LoopbackPeers.next(balancer.discoveryEvents, "a change"));
         assertEquals(
                 503,
-                client().write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+                connectClient()
+                        .write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
                         .read()
                         .status());
         Discovery.push(watch, "{\"version\":4,\"servers\":[{\"id\":7");
-        assertEquals("failed", LoopbackPeers.next(module.lists, "the bad line's failure"));
+        assertEquals("failed", LoopbackPeers.next(balancer.discoveryEvents, "the bad line's failure"));
         watch.awaitEnd();
         assertEquals(0, discovery.server.seen.size(), "asked again only when the module says so");
-        module.onRequest = r -> {
-            module.actions.subscribe();
-            module.actions.fail(r.id());
+        balancer.onRequest = r -> {
+            balancer.actions.subscribe();
+            balancer.actions.fail(r.id());
         };
-        client().unsafe("id1", 20_000).read();
-        Seen again = discovery.asked();
-        assertTrue(again.message().first().contains("after=3 "), again.message().first());
-        again.reset();
-        assertEquals("failed", LoopbackPeers.next(module.lists, "the break"));
-        assertTrue(module.lists.isEmpty(), "each failure is told once");
+        connectClient().unsafe("id1", 20_000).read();
+        Seen secondWatch = discovery.asked();
+        assertTrue(
+                secondWatch.message().first().contains("after=3 "),
+                secondWatch.message().first());
+        secondWatch.reset();
+        assertEquals("failed", LoopbackPeers.next(balancer.discoveryEvents, "the break"));
+        assertTrue(balancer.discoveryEvents.isEmpty(), "each failure is told once");
     }
 
     @Test
-    void pushedListsAreWatchedUnasked() throws Exception {
+    void automaticModeStartsAndRetriesTheWatchItself() throws Exception {
         // Guards deployments whose lists are pushed: there the module never asks, and is told of no failure.
-        discovery = keep(new Discovery());
+        discovery = closeAfterTest(new Discovery());
         String config =
                 LoopbackPeers.config(0, discovery.server.address(), "", "null").replace("subscribe", "automatic");
         proxy = ClientProxy.start(
                 ClientProxyConfig.parse(config.getBytes(StandardCharsets.UTF_8)),
-                (settings, seed, now, actions) -> module,
+                (settings, seed, now, actions) -> balancer,
                 starting -> {});
         Seen watch = discovery.asked();
         assertTrue(
@@ -78,13 +82,13 @@
                 watch.message().first());
         watch.reset();
         Discovery.push(discovery.asked(), LoopbackPeers.list(1, true));
-        assertEquals("FULL []", LoopbackPeers.next(module.lists, "the list"));
+        assertEquals("FULL []", LoopbackPeers.next(balancer.discoveryEvents, "the list"));
     }
 
     @Test
-    void whereListsArePushedTheFirstIsHeldBeforeItListens() throws Exception {
+    void automaticModeReceivesTheFirstListBeforeListening() throws Exception {
         // Guards rule 3 at a start: what the agent has counts as told, and the list known may be old.
-        Server agent = host(s -> {
+        Server agent = startServer(s -> {
             try {
                 Thread.sleep(100);
             } catch (InterruptedException e) {
@@ -99,22 +103,22 @@
                         "",
                         LoopbackPeers.list(1, true, LoopbackPeers.host("s", "127.0.0.1:1", "in_service")))
                 .replace("subscribe", "automatic");
-        List<String> before = new ArrayList<>();
+        List<String> eventsBeforeListening = new ArrayList<>();
         proxy = ClientProxy.start(
                 ClientProxyConfig.parse(config.getBytes(StandardCharsets.UTF_8)),
-                (settings, seed, now, actions) -> module,
-                starting -> module.lists.drainTo(before));
-        assertEquals(List.of("CACHED [s 1 READY]", "FULL [s 1 DRAINING]"), before);
+                (settings, seed, now, actions) -> balancer,
+                starting -> balancer.discoveryEvents.drainTo(eventsBeforeListening));
+        assertEquals(List.of("CACHED [s 1 READY]", "FULL [s 1 DRAINING]"), eventsBeforeListening);
     }
 
     @Test
-    void aHostThatMovesIsReachedAnewAndOneThatDrainsIsLeft() throws Exception {
-        Server before = host(s -> s.served("x"));
-        Server after = host(s -> s.served("x"));
+    void idleConnectionsCloseWhenAnEndpointChangesAddressOrDrains() throws Exception {
+        Server before = startServer(s -> s.served("x"));
+        Server after = startServer(s -> s.served("x"));
         start("", LoopbackPeers.host("s", before.address(), "in_service"));
-        module.onRequest = r -> module.actions.send(r.id(), "s", 0);
+        balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         Seen watch = discovery.asked();
-        Client client = client();
+        Client client = connectClient();
         assertEquals(200, client.unsafe("id1", 20_000).read().status());
         Discovery.push(watch, LoopbackPeers.list(2, false, LoopbackPeers.host("s", after.address(), "in_service")));
         LoopbackPeers.next(before.seen, "the first request").awaitEnd();
@@ -124,68 +128,72 @@
     }
 
     @Test
-    void aSilentWatchIsAFailedCall() throws Exception {
+    void watchWithoutDataFailsAfterTheReadTimeout() throws Exception {
         start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
         Seen watch = discovery.asked();
-        assertEquals("failed", LoopbackPeers.next(module.lists, "the silence"));
+        assertEquals("failed", LoopbackPeers.next(balancer.discoveryEvents, "the silence"));
         watch.awaitEnd();
     }
 
-    private void move(String address) throws Exception {
+    private void changeDiscovery(String address) throws Exception {
         proxy.reload(ClientProxyConfig.parse(
                 LoopbackPeers.config(0, address, "", "null").getBytes(StandardCharsets.UTF_8)));
     }
 
     @Test
-    void aMoveToAnotherDiscoveryIsNoFailedCallAndAsksForTheWholeList() throws Exception {
+    void changingTheDiscoveryAddressRequestsAFullListWithoutReportingAFailure() throws Exception {
         // Guards the numbering: another discovery counts its versions in its own way.
-        Discovery other = keep(new Discovery());
+        Discovery other = closeAfterTest(new Discovery());
         start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
         Seen watch = discovery.asked();
         Discovery.push(watch, LoopbackPeers.list(7, true, LoopbackPeers.host("s", "127.0.0.1:1", "in_service")));
-        assertEquals("FULL [s 1 READY]", LoopbackPeers.next(module.lists, "the first list"));
-        move(other.server.address());
+        assertEquals("FULL [s 1 READY]", LoopbackPeers.next(balancer.discoveryEvents, "the first list"));
+        changeDiscovery(other.server.address());
         watch.awaitEnd();
-        Seen moved = other.asked();
+        Seen newWatch = other.asked();
         assertTrue(
-                moved.message().first().startsWith("GET /api/targets?watch=1 "),
-                moved.message().first());
+                newWatch.message().first().startsWith("GET /api/targets?watch=1 "),
+                newWatch.message().first());
         assertEquals(
                 200,
-                client().write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+                connectClient()
+                        .write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
                         .read()
                         .status(),
                 "the old list holds");
-        move(other.server.address());
-        Discovery.push(moved, LoopbackPeers.list(2, true, LoopbackPeers.host("t", "127.0.0.1:1", "in_service")));
-        assertEquals("FULL [t 1 READY]", LoopbackPeers.next(module.lists, "the other's list, and no failure before"));
+        changeDiscovery(other.server.address());
+        Discovery.push(newWatch, LoopbackPeers.list(2, true, LoopbackPeers.host("t", "127.0.0.1:1", "in_service")));
+        assertEquals(
+                "FULL [t 1 READY]",
+                LoopbackPeers.next(balancer.discoveryEvents, "the other's list, and no failure before"));
         assertEquals(0, other.server.seen.size(), "the same address is no move");
     }
 
     @Test
-    void aMoveToWhereNobodyAnswersFailsWithinWhatCountsAsTold() throws Exception {
-        Discovery mute = keep(new Discovery());
+    void unresponsiveNewDiscoveryAddressFailsTheWatch() throws Exception {
+        Discovery unresponsive = closeAfterTest(new Discovery());
         start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
         discovery.asked();
-        move(mute.server.address());
-        LoopbackPeers.next(mute.server.seen, "the watch that is not answered").awaitEnd();
-        assertEquals("failed", LoopbackPeers.next(module.lists, "the failure"));
-        move(discovery.server.address());
+        changeDiscovery(unresponsive.server.address());
+        LoopbackPeers.next(unresponsive.server.seen, "the watch that is not answered")
+                .awaitEnd();
+        assertEquals("failed", LoopbackPeers.next(balancer.discoveryEvents, "the failure"));
+        changeDiscovery(discovery.server.address());
         Discovery.push(discovery.asked(), LoopbackPeers.list(9, true));
-        assertEquals("FULL []", LoopbackPeers.next(module.lists, "the list after moving back"));
+        assertEquals("FULL []", LoopbackPeers.next(balancer.discoveryEvents, "the list after moving back"));
     }
 
     @Test
-    void badListsAreFailedCallsAndTheListHeldStays() throws Exception {
-        Server server = host(s -> s.served("x"));
+    void invalidListFailsTheWatchAndTheCurrentListStays() throws Exception {
+        Server server = startServer(s -> s.served("x"));
         start("", LoopbackPeers.host("s", server.address(), "in_service"));
-        module.onRequest = r -> {
-            module.actions.subscribe();
-            module.actions.send(r.id(), "s", 0);
+        balancer.onRequest = r -> {
+            balancer.actions.subscribe();
+            balancer.actions.send(r.id(), "s", 0);
         };
         String host = LoopbackPeers.host("s", server.address(), "in_service");
         int ids = 0;
-        for (String bad : new String[] {
+        for (String invalid : new String[] {
             "nonsense",
             "[]",
             "{\"version\":9}",
@@ -195,14 +203,15 @@
             LoopbackPeers.list(9, true, host).substring(0, 60)
         }) {
             Seen watch = discovery.asked();
-            Discovery.push(watch, bad);
-            assertEquals("failed", LoopbackPeers.next(module.lists, bad));
+            Discovery.push(watch, invalid);
+            assertEquals("failed", LoopbackPeers.next(balancer.discoveryEvents, invalid));
             watch.awaitEnd();
-            assertEquals(200, client().unsafe("id" + ids++, 20_000).read().status(), bad);
+            assertEquals(
+                    200, connectClient().unsafe("id" + ids++, 20_000).read().status(), invalid);
         }
         Discovery.push(discovery.asked(), LoopbackPeers.list(9, true, host, host));
-        assertEquals("FULL [s 1 READY, s 1 READY]", LoopbackPeers.next(module.lists, "a host named twice"));
-        assertEquals(200, client().unsafe("last", 20_000).read().status());
+        assertEquals("FULL [s 1 READY, s 1 READY]", LoopbackPeers.next(balancer.discoveryEvents, "a host named twice"));
+        assertEquals(200, connectClient().unsafe("last", 20_000).read().status());
     }
 
     private static String indented(String list) {
@@ -213,34 +222,36 @@
     }
 
     @Test
-    void aListMayComeIndentedOrBesideAnotherOrCutAtAnyByte() throws Exception {
+    void listsAreDecodedWhenIndentedConcatenatedOrSplitAtAnyByte() throws Exception {
         start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
         Seen watch = discovery.asked();
-        String braces = LoopbackPeers.host("t}{\\\"]", "127.0.0.1:2", "in_service");
+        String idWithBraces = LoopbackPeers.host("t}{\\\"]", "127.0.0.1:2", "in_service");
         Discovery.push(
                 watch, indented(LoopbackPeers.list(2, true, LoopbackPeers.host("s", "127.0.0.1:1", "in_service"))));
-        assertEquals("FULL [s 1 READY]", LoopbackPeers.next(module.lists, "a list over many lines"));
+        assertEquals("FULL [s 1 READY]", LoopbackPeers.next(balancer.discoveryEvents, "a list over many lines"));
         Discovery.push(
                 watch,
-                LoopbackPeers.list(3, false, braces) + "  "
+                LoopbackPeers.list(3, false, idWithBraces) + "  "
                         + indented(
                                 LoopbackPeers.list(4, false, LoopbackPeers.host("s", "127.0.0.1:1", "terminating"))));
-        assertEquals("DELTA [t}{\"] 1 READY]", LoopbackPeers.next(module.lists, "the first of two in one line"));
-        assertEquals("DELTA [s 1 DRAINING]", LoopbackPeers.next(module.lists, "the second"));
-        for (char c : (LoopbackPeers.list(5, true, braces).replace(",", ",\n ") + "\n").toCharArray()) {
+        assertEquals(
+                "DELTA [t}{\"] 1 READY]", LoopbackPeers.next(balancer.discoveryEvents, "the first of two in one line"));
+        assertEquals("DELTA [s 1 DRAINING]", LoopbackPeers.next(balancer.discoveryEvents, "the second"));
+        for (char c : (LoopbackPeers.list(5, true, idWithBraces).replace(",", ",\n ") + "\n").toCharArray()) {
             watch.write("1\r\n" + c + "\r\n");
         }
-        assertEquals("FULL [t}{\"] 1 READY]", LoopbackPeers.next(module.lists, "one that came byte by byte"));
+        assertEquals(
+                "FULL [t}{\"] 1 READY]", LoopbackPeers.next(balancer.discoveryEvents, "one that came byte by byte"));
         watch.reset();
-        assertEquals("failed", LoopbackPeers.next(module.lists, "the break, and no failure before"));
+        assertEquals("failed", LoopbackPeers.next(balancer.discoveryEvents, "the break, and no failure before"));
     }
 
     @Test
-    void aListThatComesALittleAtATimeAndHasNoEndIsSilence() throws Exception {
+    void watchFailsWhenAListIsSentByteByByteAndNeverCompleted() throws Exception {
         start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
         Seen watch = discovery.asked();
         watch.write("1\r\n{\r\n");
-        Thread drip = new Thread(() -> {
+        Thread slowSender = new Thread(() -> {
             while (!watch.ended().isDone()) {
                 watch.write("1\r\n \r\n");
                 try {
@@ -252,35 +263,35 @@
                 }
             }
         });
-        drip.setDaemon(true);
-        drip.start();
-        assertEquals("failed", LoopbackPeers.next(module.lists, "the silence"));
+        slowSender.setDaemon(true);
+        slowSender.start();
+        assertEquals("failed", LoopbackPeers.next(balancer.discoveryEvents, "the silence"));
         watch.awaitEnd();
-        drip.join();
+        slowSender.join();
     }
 
     @Test
-    void emptyLinesKeepAWatchThatHasNothingToTell() throws Exception {
+    void emptyLinesKeepAnIdleWatchOpen() throws Exception {
         // Longer than silence is borne; the list that comes in the end comes on the same watch.
         start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
         Seen watch = discovery.asked();
         for (int i = 0; i < 12; i++) {
-            assertNull(module.lists.poll(500, TimeUnit.MILLISECONDS));
+            assertNull(balancer.discoveryEvents.poll(500, TimeUnit.MILLISECONDS));
             Discovery.push(watch, "");
         }
         Discovery.push(watch, LoopbackPeers.list(2, true));
-        assertEquals("FULL []", LoopbackPeers.next(module.lists, "the list"));
+        assertEquals("FULL []", LoopbackPeers.next(balancer.discoveryEvents, "the list"));
     }
 
     @Test
-    void onceStoppedNothingAsksAgain() throws Exception {
+    void stoppedDiscoveryOpensNoWatch() throws Exception {
         // Guards the end of a drain: a SIGHUP, or the pause after a failed call, may come after it.
-        Discovery old = keep(new Discovery());
-        Discovery other = keep(new Discovery());
+        Discovery old = closeAfterTest(new Discovery());
+        Discovery other = closeAfterTest(new Discovery());
         ClientProxyConfig config = ClientProxyConfig.parse(
                 LoopbackPeers.config(0, old.server.address(), "", "null").getBytes(StandardCharsets.UTF_8));
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        keep(() -> group.shutdownGracefully(0, 0, TimeUnit.SECONDS));
+        closeAfterTest(() -> group.shutdownGracefully(0, 0, TimeUnit.SECONDS));
         EventLoop loop = group.next();
         loop.submit(() -> {
                     quartzspan.clientproxy.Discovery stopped = new quartzspan.clientproxy.Discovery(
@@ -289,22 +300,23 @@
                             new ConnectionPool(loop, 1, 1, 1),
                             new quartzspan.clientproxy.Discovery.Listener() {
                                 @Override
-                                public void listed(Source source, List<Endpoint> endpoints) {}
+                                public void onList(Source source, List<Endpoint> endpoints) {}
 
                                 @Override
-                                public void failed() {}
+                                public void onWatchFailed() {}
                             });
                     stopped.stop();
                     stopped.watch();
-                    stopped.move(ClientProxyConfig.parse(LoopbackPeers.config(0, other.server.address(), "", "null")
-                                    .getBytes(StandardCharsets.UTF_8))
-                            .discovery());
+                    stopped.changeAddress(
+                            ClientProxyConfig.parse(LoopbackPeers.config(0, other.server.address(), "", "null")
+                                            .getBytes(StandardCharsets.UTF_8))
+                                    .discovery());
                     return null;
                 })
                 .get();
         // Connections are accepted in the order in which they were made: one of our own comes after any.
         for (Discovery each : List.of(old, other)) {
-            keep(new Client(each.server.socket.getLocalPort())).write("GET /last HTTP/1.1\r\n\r\n");
+            closeAfterTest(new Client(each.server.socket.getLocalPort())).write("GET /last HTTP/1.1\r\n\r\n");
             assertEquals(
                     "GET /last HTTP/1.1",
                     LoopbackPeers.next(each.server.seen, "ours").message().first());
--- a/src/test/java/quartzspan/clientproxy/EventOrderingTest.java
+++ b/src/test/java/quartzspan/clientproxy/EventOrderingTest.java
@@ -19,219 +19,225 @@
 /** News that meets a request, an answer or a signal on its way, each forced where two could cross. */
 class EventOrderingTest extends ClientProxyFixture {
     private static final String READY = "GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n";
-    private volatile String late;
+    private volatile String chosenRequestId;
 
     @Test
-    void anAnswerThatMeetsTheCancelOfItsAttemptIsOneEnd() throws Exception {
+    void responseConcurrentWithACancellationEndsTheAttemptOnce() throws Exception {
         // The answer is there when the loop, which stood still, carries out the cancel.
-        BlockingQueue<Seen> out = new LinkedBlockingQueue<>();
-        Server host = host(out::add);
+        BlockingQueue<Seen> received = new LinkedBlockingQueue<>();
+        Server host = startServer(received::add);
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
-        module.onRequest = r -> module.actions.send(r.id(), "s", 0);
-        Client client = client().unsafe("met", 20_000);
-        Seen attempt = LoopbackPeers.next(out, "the attempt");
-        Client other = client();
-        module.onEnd = e -> module.actions.fail(e.requestId());
-        CountDownLatch goOn = stand(other, () -> module.actions.cancel("met", 0));
+        balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
+        Client client = connectClient().unsafe("met", 20_000);
+        Seen attempt = LoopbackPeers.next(received, "the attempt");
+        Client other = connectClient();
+        balancer.onAttemptEnd = e -> balancer.actions.fail(e.requestId());
+        CountDownLatch release = blockEventLoop(other, () -> balancer.actions.cancel("met", 0));
         attempt.served("too late");
-        goOn.countDown();
+        release.countDown();
         assertEquals(503, other.read().status());
         assertEquals(502, client.read().status());
-        AttemptEnd end = LoopbackPeers.next(module.ends, "the end");
+        AttemptEnd end = LoopbackPeers.next(balancer.attemptEnds, "the end");
         assertEquals(Outcome.CANCELED, end.outcome());
         attempt.awaitEnd();
-        assertTrue(module.ends.isEmpty(), "one end");
+        assertTrue(balancer.attemptEnds.isEmpty(), "one end");
         assertEquals(1, host.seen.size(), "no second copy");
     }
 
     @Test
-    void anAttemptThatTimesOutAsItsAnswerComesIsOneEnd() throws Exception {
-        BlockingQueue<Seen> out = new LinkedBlockingQueue<>();
-        Server host = host(out::add);
+    void responseConcurrentWithATimeoutEndsTheAttemptOnce() throws Exception {
+        BlockingQueue<Seen> received = new LinkedBlockingQueue<>();
+        Server host = startServer(received::add);
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
-        module.onRequest = r -> module.actions.send(r.id(), "s", 300_000);
-        module.onEnd = e -> {
+        balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 300_000);
+        balancer.onAttemptEnd = e -> {
             if (!e.requestDone()) {
-                module.actions.fail(e.requestId());
+                balancer.actions.fail(e.requestId());
             }
         };
-        Client client = client().unsafe("met", 20_000);
-        Seen attempt = LoopbackPeers.next(out, "the attempt");
-        Client other = client();
-        CountDownLatch goOn = stand(other, () -> {});
+        Client client = connectClient().unsafe("met", 20_000);
+        Seen attempt = LoopbackPeers.next(received, "the attempt");
+        Client other = connectClient();
+        CountDownLatch release = blockEventLoop(other, () -> {});
         Thread.sleep(400); // the attempt's time runs out while nothing is looked at
         attempt.served("x");
-        goOn.countDown();
+        release.countDown();
         int status = client.read().status();
-        AttemptEnd end = LoopbackPeers.next(module.ends, "the end");
+        AttemptEnd end = LoopbackPeers.next(balancer.attemptEnds, "the end");
         assertEquals(end.outcome() == Outcome.OK ? 200 : 502, status, "the end and the answer agree");
         assertTrue(end.outcome() == Outcome.OK || end.outcome() == Outcome.TIMED_OUT, end.toString());
         assertEquals(503, other.read().status());
-        assertTrue(module.ends.isEmpty(), "one end");
+        assertTrue(balancer.attemptEnds.isEmpty(), "one end");
         assertEquals(1, host.seen.size());
     }
 
     @Test
-    void aHostToldToDrainBetweenTheChoiceAndAReusedConnectionGetsNothing() throws Exception {
+    void endpointDrainedBetweenSelectionAndSendingReceivesNoRequest() throws Exception {
         // The module chose the host before it was told, and the send is carried out after.
-        Server host = host(s -> s.served("x"));
+        Server host = startServer(s -> s.served("x"));
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
         Seen watch = discovery.asked();
-        module.onRequest = r -> module.actions.send(r.id(), "s", 0);
-        Client client = client();
+        balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
+        Client client = connectClient();
         assertEquals(200, client.unsafe("first", 20_000).read().status());
-        module.onEnd = e -> module.actions.refuse(e.requestId(), 0);
-        module.onRequest = r -> {
+        balancer.onAttemptEnd = e -> balancer.actions.refuse(e.requestId(), 0);
+        balancer.onRequest = r -> {
             Discovery.push(watch, LoopbackPeers.list(2, false, LoopbackPeers.host("s", host.address(), "terminating")));
-            late = r.id();
+            chosenRequestId = r.id();
         };
         client.unsafe("second", 20_000);
-        assertEquals("DELTA [s 1 DRAINING]", LoopbackPeers.next(module.lists, "the drain"));
+        assertEquals("DELTA [s 1 DRAINING]", LoopbackPeers.next(balancer.discoveryEvents, "the drain"));
         LoopbackPeers.next(host.seen, "the first request").awaitEnd();
-        module.onRequest = r -> {
-            module.actions.send(late, "s", 0);
-            module.actions.refuse(r.id(), 0);
+        balancer.onRequest = r -> {
+            balancer.actions.send(chosenRequestId, "s", 0);
+            balancer.actions.refuse(r.id(), 0);
         };
-        assertEquals(503, client().unsafe("third", 20_000).read().status());
+        assertEquals(503, connectClient().unsafe("third", 20_000).read().status());
         assertEquals(503, client.read().status());
         assertEquals(
-                Outcome.OK, LoopbackPeers.next(module.ends, "the first end").outcome());
+                Outcome.OK,
+                LoopbackPeers.next(balancer.attemptEnds, "the first end").outcome());
         assertEquals(
-                Outcome.IGNORED, LoopbackPeers.next(module.ends, "the second").outcome());
+                Outcome.IGNORED,
+                LoopbackPeers.next(balancer.attemptEnds, "the second").outcome());
         assertTrue(host.seen.isEmpty(), "nothing new");
     }
 
     @Test
-    void aRequestOnceMoreAfterItsFirstCopyWasClosedOnIsTaken() throws Exception {
+    void requestIdIsAcceptedAgainAfterItsIncompleteFirstCopyTimedOut() throws Exception {
         // Its first copy was never read: the connection was closed by us as quiet.
-        Server host = host(s -> s.served("x"));
+        Server host = startServer(s -> s.served("x"));
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
-        module.onRequest = r -> module.actions.send(r.id(), "s", 0);
-        Client half = client().write("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: same\r\n"
-                + "X-Class: unsafe\r\nX-Deadline-Ms: 20000\r\nContent-Length: 4\r\n\r\nbo");
-        assertEquals(408, half.read().status());
-        assertTrue(half.closed());
-        assertEquals(200, client().unsafe("same", 20_000).read().status());
+        balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
+        Client incomplete = connectClient()
+                .write("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: same\r\n"
+                        + "X-Class: unsafe\r\nX-Deadline-Ms: 20000\r\nContent-Length: 4\r\n\r\nbo");
+        assertEquals(408, incomplete.read().status());
+        assertTrue(incomplete.closed());
+        assertEquals(200, connectClient().unsafe("same", 20_000).read().status());
         assertEquals(1, host.seen.size());
     }
 
     @Test
-    void aRequestOnceMoreAfterItsClientLeftRunsOnceAtATime() throws Exception {
+    void requestResentAfterADisconnectIsSentOnlyAfterTheFirstAttemptIsClosed() throws Exception {
         // The first copy is out when its client goes; the second is sent on a connection of its own, after.
-        BlockingQueue<Seen> out = new LinkedBlockingQueue<>();
-        Server host = host(out::add);
+        BlockingQueue<Seen> received = new LinkedBlockingQueue<>();
+        Server host = startServer(received::add);
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
-        module.onRequest = r -> module.actions.send(r.id(), "s", 0);
-        Client first = client().safe("same", 20_000);
-        Seen one = LoopbackPeers.next(out, "the first copy");
+        balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
+        Client first = connectClient().safe("same", 20_000);
+        Seen firstAttempt = LoopbackPeers.next(received, "the first copy");
         first.close();
-        assertEquals("same", LoopbackPeers.next(module.gone, "the client's leaving"));
-        one.awaitEnd();
-        Client second = client().safe("same", 20_000);
-        LoopbackPeers.next(out, "the second copy").served("again");
+        assertEquals("same", LoopbackPeers.next(balancer.disconnects, "the client's leaving"));
+        firstAttempt.awaitEnd();
+        Client second = connectClient().safe("same", 20_000);
+        LoopbackPeers.next(received, "the second copy").served("again");
         assertEquals("again", second.read().text());
         assertEquals(
                 Outcome.CANCELED,
-                LoopbackPeers.next(module.ends, "the first end").outcome());
+                LoopbackPeers.next(balancer.attemptEnds, "the first end").outcome());
         assertEquals(
-                Outcome.OK, LoopbackPeers.next(module.ends, "the second end").outcome());
+                Outcome.OK,
+                LoopbackPeers.next(balancer.attemptEnds, "the second end").outcome());
     }
 
     @Test
-    void requestsBehindAnOpenOneAreAnsweredInADrain() throws Exception {
-        BlockingQueue<Seen> out = new LinkedBlockingQueue<>();
-        Server host = host(out::add);
+    void pipelinedRequestsAreAnsweredInADrain() throws Exception {
+        BlockingQueue<Seen> received = new LinkedBlockingQueue<>();
+        Server host = startServer(received::add);
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
-        module.onRequest = r -> module.actions.send(r.id(), "s", 0);
-        Client client = client().unsafe("a", 20_000).unsafe("b", 20_000);
-        Seen first = LoopbackPeers.next(out, "the first");
+        balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
+        Client client = connectClient().unsafe("a", 20_000).unsafe("b", 20_000);
+        Seen first = LoopbackPeers.next(received, "the first");
         proxy.drain();
-        assertEquals(503, client().write(READY).read().status(), "the drain has begun");
+        assertEquals(503, connectClient().write(READY).read().status(), "the drain has begun");
         first.served("one");
         assertEquals("one", client.read().text());
-        LoopbackPeers.next(out, "the second").served("two");
+        LoopbackPeers.next(received, "the second").served("two");
         assertEquals("two", client.read().text());
     }
 
     @Test
-    void aMoveWhileACallConnectsAndOneBackGiveUpTheOldCalls() throws Exception {
+    void changingTheAddressTwiceWhileConnectingClosesThePreviousWatches() throws Exception {
         start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
         Seen watch = discovery.asked();
         try (LoopbackPeers.Deaf deaf = new LoopbackPeers.Deaf()) {
-            move(deaf.address());
+            changeDiscovery(deaf.address());
             watch.awaitEnd();
-            move(discovery.server.address());
-            Seen back = discovery.asked();
-            Discovery.push(back, LoopbackPeers.list(7, true, LoopbackPeers.host("t", "127.0.0.1:1", "in_service")));
-            assertEquals("FULL [t 1 READY]", LoopbackPeers.next(module.lists, "the list, and no failure before"));
+            changeDiscovery(discovery.server.address());
+            Seen newWatch = discovery.asked();
+            Discovery.push(newWatch, LoopbackPeers.list(7, true, LoopbackPeers.host("t", "127.0.0.1:1", "in_service")));
+            assertEquals(
+                    "FULL [t 1 READY]",
+                    LoopbackPeers.next(balancer.discoveryEvents, "the list, and no failure before"));
         }
     }
 
     @Test
-    void aMoveInADrainIsTakenUp() throws Exception {
-        Discovery other = keep(new Discovery());
+    void addressChangeInADrainTakesEffect() throws Exception {
+        Discovery other = closeAfterTest(new Discovery());
         start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
         discovery.asked();
-        module.onRequest = r -> {};
-        client().unsafe("open", 20_000);
+        balancer.onRequest = r -> {};
+        connectClient().unsafe("open", 20_000);
         proxy.drain();
-        move(other.server.address());
+        changeDiscovery(other.server.address());
         Discovery.push(
                 other.asked(), LoopbackPeers.list(2, true, LoopbackPeers.host("t", "127.0.0.1:1", "in_service")));
-        assertEquals("FULL [t 1 READY]", LoopbackPeers.next(module.lists, "the other's list"));
+        assertEquals("FULL [t 1 READY]", LoopbackPeers.next(balancer.discoveryEvents, "the other's list"));
     }
 
     @Test
-    void aWatchResetHalfWayThroughAListIsAFailedCallAndNothingOfItHolds() throws Exception {
-        Server server = host(s -> s.served("x"));
+    void watchResetWithinAListFailsAndTheListIsDiscarded() throws Exception {
+        Server server = startServer(s -> s.served("x"));
         start("", LoopbackPeers.host("s", server.address(), "in_service"));
         Seen watch = discovery.asked();
         String list = LoopbackPeers.list(9, true, LoopbackPeers.host("t", "127.0.0.1:1", "in_service"));
         watch.write("f00\r\n" + list.substring(0, list.length() - 1));
         watch.reset();
-        assertEquals("failed", LoopbackPeers.next(module.lists, "the break"));
-        module.onRequest = r -> {
-            module.actions.subscribe();
-            module.actions.send(r.id(), "s", 0);
+        assertEquals("failed", LoopbackPeers.next(balancer.discoveryEvents, "the break"));
+        balancer.onRequest = r -> {
+            balancer.actions.subscribe();
+            balancer.actions.send(r.id(), "s", 0);
         };
-        assertEquals(200, client().unsafe("id1", 20_000).read().status(), "the list held stays");
-        String asked = discovery.asked().message().first();
-        assertTrue(asked.contains("after=1 "), asked);
+        assertEquals(200, connectClient().unsafe("id1", 20_000).read().status(), "the list held stays");
+        String requestLine = discovery.asked().message().first();
+        assertTrue(requestLine.contains("after=1 "), requestLine);
     }
 
     @Test
-    void aListToldTwiceChangesNothing() throws Exception {
-        Server server = host(s -> s.served("x"));
+    void repeatedListKeepsConnectionsOpen() throws Exception {
+        Server server = startServer(s -> s.served("x"));
         start("", LoopbackPeers.host("s", server.address(), "in_service"));
         Seen watch = discovery.asked();
         String same = LoopbackPeers.list(2, true, LoopbackPeers.host("s", server.address(), "in_service"));
-        module.onRequest = r -> module.actions.send(r.id(), "s", 0);
-        Client client = client();
+        balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
+        Client client = connectClient();
         Discovery.push(watch, same);
-        LoopbackPeers.next(module.lists, "the list");
+        LoopbackPeers.next(balancer.discoveryEvents, "the list");
         assertEquals(200, client.unsafe("id1", 20_000).read().status());
         Thread.sleep(20); // a connection rests after an answer before it is used again
         Discovery.push(watch, same);
-        LoopbackPeers.next(module.lists, "the same list");
+        LoopbackPeers.next(balancer.discoveryEvents, "the same list");
         assertEquals(200, client.unsafe("id2", 20_000).read().status());
         assertEquals(1, server.connections.size(), "its connections stay");
     }
 
     @Test
-    void aRequestWhoseTimePassedWhileTheProcessStoodStillIsNotWritten() throws Exception {
+    void requestIsNotSentAfterItsTimeoutExpiredInAPause() throws Exception {
         // As after a freeze: the connection is up before the timer is looked at, and the deadline is long past.
         try (LoopbackPeers.Deaf deaf = new LoopbackPeers.Deaf()) {
             start("", LoopbackPeers.host("s", deaf.address(), "in_service"));
-            module.onRequest = r -> module.actions.send(r.id(), "s", 700_000);
-            module.onEnd = e -> module.actions.refuse(e.requestId(), 0);
-            Client client = client().unsafe("id1", 20_000);
+            balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 700_000);
+            balancer.onAttemptEnd = e -> balancer.actions.refuse(e.requestId(), 0);
+            Client client = connectClient().unsafe("id1", 20_000);
             // Once this is answered, the connection has been asked for.
-            client().write(READY).read();
-            CountDownLatch thaw = stand(client(), () -> {});
+            connectClient().write(READY).read();
+            CountDownLatch release = blockEventLoop(connectClient(), () -> {});
             // The connection comes up when its opening is repeated, after a second.
             deaf.hear();
-            thaw.countDown();
-            assertTrue(LoopbackPeers.next(module.ends, "the attempt's end")
+            release.countDown();
+            assertTrue(LoopbackPeers.next(balancer.attemptEnds, "the attempt's end")
                     .outcome()
                     .neverRan());
             assertEquals(503, client.read().status());
@@ -239,7 +245,7 @@
         }
     }
 
-    private void move(String address) throws Exception {
+    private void changeDiscovery(String address) throws Exception {
         proxy.reload(ClientProxyConfig.parse(
                 LoopbackPeers.config(0, address, "", "null").getBytes(StandardCharsets.UTF_8)));
     }
--- a/src/test/java/quartzspan/clientproxy/FaultyClientsTest.java
+++ b/src/test/java/quartzspan/clientproxy/FaultyClientsTest.java
@@ -23,86 +23,88 @@
 /** Clients that do what the protocol does not ask of them. */
 class FaultyClientsTest extends ClientProxyFixture {
     @Test
-    void atTheMostTheLongestQuietMakesRoom() throws Exception {
+    void longestIdleConnectionIsClosedAtTheConnectionLimit() throws Exception {
         // Guards the limit on descriptors, and the usual clients against hundreds that say nothing.
         start("");
-        module.onRequest = r -> {};
-        List<Client> silent = new ArrayList<>();
-        Client busy = client().unsafe("busy", 20_000);
+        balancer.onRequest = r -> {};
+        List<Client> idleClients = new ArrayList<>();
+        Client busy = connectClient().unsafe("busy", 20_000);
         for (int i = 0; i < 70; i++) {
-            silent.add(client());
+            idleClients.add(connectClient());
         }
-        module.onRequest = r -> module.actions.fail(r.id());
-        assertEquals(502, client().unsafe("id1", 20_000).read().status());
-        assertTrue(silent.get(0).closed(), "the longest quiet one went");
-        module.actions.fail("busy");
-        assertEquals(502, client().unsafe("id2", 20_000).read().status());
+        balancer.onRequest = r -> balancer.actions.fail(r.id());
+        assertEquals(502, connectClient().unsafe("id1", 20_000).read().status());
+        assertTrue(idleClients.get(0).closed(), "the longest quiet one went");
+        balancer.actions.fail("busy");
+        assertEquals(502, connectClient().unsafe("id2", 20_000).read().status());
         assertEquals(502, busy.read().status(), "one with a request open stays");
     }
 
     @Test
-    void aClientThatDoesNotGetToTheEndIsToldOrLeft() throws Exception {
+    void idleConnectionIsClosedAndIncompleteRequestIsAnswered408() throws Exception {
         start("");
-        Client silent = client();
-        Client half = client().write("POST /api HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhal");
-        assertTrue(silent.closed());
-        assertEquals(408, half.read().status());
-        assertTrue(half.closed());
+        Client idle = connectClient();
+        Client incomplete = connectClient().write("POST /api HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhal");
+        assertTrue(idle.closed());
+        assertEquals(408, incomplete.read().status());
+        assertTrue(incomplete.closed());
     }
 
     @Test
-    void whatCannotBeReadInOneWayIsRefusedAndItsConnectionCloses() throws Exception {
+    void ambiguousRequestIsRejectedAndItsConnectionClosed() throws Exception {
         // Guards against a request hidden in another's body: what follows such a head is never read.
         start("");
-        module.onRequest = r -> {
+        balancer.onRequest = r -> {
             throw new AssertionError("told of " + r);
         };
         String post =
                 "POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: a\r\nX-Class: unsafe\r\n" + "X-Deadline-Ms: 9000\r\n";
         String hidden =
                 "GET /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: b\r\nX-Class: safe\r\n" + "X-Deadline-Ms: 9000\r\n\r\n";
-        Map<String, Integer> bad = new LinkedHashMap<>();
-        bad.put(post + "Content-Length: 0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400);
-        bad.put(post + "Transfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n", 400);
-        bad.put(post + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", 400);
-        bad.put(post + "Transfer-Encoding: xchunked\r\n\r\n", 400);
-        bad.put(post + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400);
-        bad.put(post + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", 400);
-        bad.put(post + "Transfer-Encoding: chunked\r\n\r\n-1\r\n", 400);
+        Map<String, Integer> invalid = new LinkedHashMap<>();
+        invalid.put(post + "Content-Length: 0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400);
+        invalid.put(post + "Transfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n", 400);
+        invalid.put(post + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", 400);
+        invalid.put(post + "Transfer-Encoding: xchunked\r\n\r\n", 400);
+        invalid.put(post + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400);
+        invalid.put(post + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", 400);
+        invalid.put(post + "Transfer-Encoding: chunked\r\n\r\n-1\r\n", 400);
         for (String length : List.of("-1", "+4", "0x4", "4, 4", "4 4", "four", "", "99999999999999999999")) {
-            bad.put(post + "Content-Length: " + length + "\r\n\r\n", 400);
+            invalid.put(post + "Content-Length: " + length + "\r\n\r\n", 400);
         }
-        bad.put(post + "Content-Length: 4\r\nContent-Length: 4\r\n\r\nbody", 400);
-        bad.put(post + "Content-Length: 4\r\nContent-Length: 5\r\n\r\nbody", 400);
-        bad.put(post + "Content-Length: 65537\r\n\r\n", 413);
-        bad.put(post + "Content-Length: 60000000\r\n\r\n", 413);
-        bad.put(post + "Transfer-Encoding: chunked\r\n\r\n10001\r\n" + "x".repeat(65537), 413);
-        bad.put(post + "Expect: wonders\r\nContent-Length: 4\r\n\r\n", 417);
-        bad.put(post + "no colon here\r\n\r\n", 400);
-        bad.put(post + "nocolon\r\n\r\n", 400);
-        bad.put(post + "X-Class : unsafe\r\n\r\n", 400);
-        bad.put(post + "X-Key: a\0b\r\n\r\n", 400);
-        bad.put("GET /api HTTP/2.0\r\nHost: h\r\n\r\n", 400);
-        bad.put("GET  HTTP/1.1\r\n\r\n", 400);
-        bad.put("\0\1\2\r\n\r\n", 400);
-        bad.put("X".repeat(10_000), 414);
-        bad.put(post + ("X-Pad: " + "p".repeat(100) + "\r\n").repeat(200), 431);
-        for (Map.Entry<String, Integer> one : bad.entrySet()) {
-            String what = one.getKey().substring(0, Math.min(250, one.getKey().length()));
-            Client client = client().write(one.getKey() + hidden);
-            assertEquals(one.getValue(), client.read().status(), what);
+        invalid.put(post + "Content-Length: 4\r\nContent-Length: 4\r\n\r\nbody", 400);
+        invalid.put(post + "Content-Length: 4\r\nContent-Length: 5\r\n\r\nbody", 400);
+        invalid.put(post + "Content-Length: 65537\r\n\r\n", 413);
+        invalid.put(post + "Content-Length: 60000000\r\n\r\n", 413);
+        invalid.put(post + "Transfer-Encoding: chunked\r\n\r\n10001\r\n" + "x".repeat(65537), 413);
+        invalid.put(post + "Expect: wonders\r\nContent-Length: 4\r\n\r\n", 417);
+        invalid.put(post + "no colon here\r\n\r\n", 400);
+        invalid.put(post + "nocolon\r\n\r\n", 400);
+        invalid.put(post + "X-Class : unsafe\r\n\r\n", 400);
+        invalid.put(post + "X-Key: a\0b\r\n\r\n", 400);
+        invalid.put("GET /api HTTP/2.0\r\nHost: h\r\n\r\n", 400);
+        invalid.put("GET  HTTP/1.1\r\n\r\n", 400);
+        invalid.put("\0\1\2\r\n\r\n", 400);
+        invalid.put("X".repeat(10_000), 414);
+        invalid.put(post + ("X-Pad: " + "p".repeat(100) + "\r\n").repeat(200), 431);
+        for (Map.Entry<String, Integer> invalidRequest : invalid.entrySet()) {
+            String what = invalidRequest
+                    .getKey()
+                    .substring(0, Math.min(250, invalidRequest.getKey().length()));
+            Client client = connectClient().write(invalidRequest.getKey() + hidden);
+            assertEquals(invalidRequest.getValue(), client.read().status(), what);
             assertTrue(client.closed(), what);
         }
     }
 
     @Test
-    void headersThatTwoReadersCouldTakeDifferentlyAreRefused() throws Exception {
+    void ambiguousHeadersAreRejected() throws Exception {
         start("");
-        module.onRequest = r -> {
+        balancer.onRequest = r -> {
             throw new AssertionError("told of " + r);
         };
         String get = "GET /api HTTP/1.1\r\nHost: h\r\n";
-        Client client = client();
+        Client client = connectClient();
         for (String headers : List.of(
                 "X-Request-Id: a\r\nX-Request-Id: b\r\nX-Class: safe\r\nX-Deadline-Ms: 9000\r\n",
                 "X-Request-Id: a\r\nX-Class: safe\r\nX-Class: unsafe\r\nX-Deadline-Ms: 9000\r\n",
@@ -119,171 +121,187 @@
     }
 
     @Test
-    void anotherClientsOpenIdIsRefusedAndTheFirstIsServed() throws Exception {
+    void duplicateOpenRequestIdIsRejectedAndTheFirstRequestIsServed() throws Exception {
         start("");
-        CountDownLatch told = new CountDownLatch(1);
-        module.onRequest = r -> told.countDown();
-        Client first = client().unsafe("same", 20_000);
-        assertTrue(told.await(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
-        assertEquals(400, client().unsafe("same", 20_000).read().status());
-        module.onRequest = r -> {
-            module.actions.fail("same");
-            module.actions.refuse(r.id(), 0);
+        CountDownLatch requestReceived = new CountDownLatch(1);
+        balancer.onRequest = r -> requestReceived.countDown();
+        Client first = connectClient().unsafe("same", 20_000);
+        assertTrue(requestReceived.await(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
+        assertEquals(400, connectClient().unsafe("same", 20_000).read().status());
+        balancer.onRequest = r -> {
+            balancer.actions.fail("same");
+            balancer.actions.refuse(r.id(), 0);
         };
-        assertEquals(503, client().unsafe("other", 20_000).read().status());
+        assertEquals(503, connectClient().unsafe("other", 20_000).read().status());
         assertEquals(502, first.read().status());
     }
 
     @Test
-    void anErrorWaitsForItsTurn() throws Exception {
+    void errorResponseIsSentAfterTheResponsesBeforeIt() throws Exception {
         // Guards the order: an error written past an open request would be taken for that one's answer.
-        BlockingQueue<Seen> out = new LinkedBlockingQueue<>();
-        Server host = host(out::add);
+        BlockingQueue<Seen> received = new LinkedBlockingQueue<>();
+        Server host = startServer(received::add);
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
-        module.onRequest = r -> module.actions.send(r.id(), "s", 0);
-        Client client = client().unsafe("a", 20_000)
+        balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
+        Client client = connectClient()
+                .unsafe("a", 20_000)
                 .write("POST /api HTTP/1.1\r\nHost: h\r\nContent-Length: 60000000\r\n\r\n" + "x".repeat(300_000));
-        LoopbackPeers.next(out, "the first request").served("mine");
+        LoopbackPeers.next(received, "the first request").served("mine");
         assertEquals("mine", client.read().text());
         assertEquals(413, client.read().status());
         assertTrue(client.closed());
     }
 
     @Test
-    void aClientThatAsksFirstIsToldToGoOnInItsTurn() throws Exception {
-        BlockingQueue<Seen> out = new LinkedBlockingQueue<>();
-        Server host = host(out::add);
+    void continueResponseIsSentAfterTheResponsesBeforeIt() throws Exception {
+        BlockingQueue<Seen> received = new LinkedBlockingQueue<>();
+        Server host = startServer(received::add);
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
-        module.onRequest = r -> module.actions.send(r.id(), "s", 0);
-        Client client = client().unsafe("a", 20_000)
+        balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
+        Client client = connectClient()
+                .unsafe("a", 20_000)
                 .write("POST /api HTTP/1.1\r\nHost: h\r\n"
                         + "X-Request-Id: b\r\nX-Class: unsafe\r\nX-Deadline-Ms: 20000\r\n"
                         + "Expect: 100-continue\r\nContent-Length: 4\r\n\r\n");
-        LoopbackPeers.next(out, "the first request").served("mine");
+        LoopbackPeers.next(received, "the first request").served("mine");
         assertEquals("mine", client.read().text());
         assertEquals(100, client.read().status());
         client.write("body");
-        Seen second = LoopbackPeers.next(out, "the second request");
+        Seen second = LoopbackPeers.next(received, "the second request");
         assertEquals("body", second.message().text());
         second.served("too");
         assertEquals("too", client.read().text());
     }
 
     @Test
-    void manyRequestsSentAheadAreAllAnsweredInOrder() throws Exception {
+    void manyPipelinedRequestsAreAllAnsweredInOrder() throws Exception {
         // Guards memory: reading stops and goes on again, and no request is closed on.
-        BlockingQueue<Seen> out = new LinkedBlockingQueue<>();
-        Server host = host(out::add);
+        BlockingQueue<Seen> received = new LinkedBlockingQueue<>();
+        Server host = startServer(received::add);
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
-        module.onRequest = r -> module.actions.send(r.id(), "s", 0);
-        Client client = client();
+        balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
+        Client client = connectClient();
         for (int i = 0; i < 300; i++) {
             client.unsafe("id" + i, 20_000);
         }
         for (int i = 0; i < 300; i++) {
-            Seen one = LoopbackPeers.next(out, "request " + i);
-            assertEquals("id" + i, one.message().header("x-request-id"));
-            one.served("id" + i);
+            Seen request = LoopbackPeers.next(received, "request " + i);
+            assertEquals("id" + i, request.message().header("x-request-id"));
+            request.served("id" + i);
             assertEquals("id" + i, client.read().text());
         }
     }
 
     @Test
-    void aClientThatLeavesIsMissedThoughItSentMuchAhead() throws Exception {
-        Server host = host(s -> {});
+    void disconnectIsDetectedBehindManyPipelinedRequests() throws Exception {
+        Server host = startServer(s -> {});
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
-        module.onRequest = r -> module.actions.send(r.id(), "s", 0);
-        Client client = client();
+        balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
+        Client client = connectClient();
         for (int i = 0; i < 40; i++) {
             client.unsafe("id" + i, 20_000);
         }
         Seen first = LoopbackPeers.next(host.seen, "the first request");
         client.close();
-        assertEquals("id0", LoopbackPeers.next(module.gone, "the client's leaving"));
+        assertEquals("id0", LoopbackPeers.next(balancer.disconnects, "the client's leaving"));
         first.awaitEnd();
-        assertTrue(module.gone.isEmpty(), "the others were never begun");
+        assertTrue(balancer.disconnects.isEmpty(), "the others were never begun");
     }
 
     @Test
-    void aRequestWhoseTimeIsOverInTheQueueIsNotBegun() throws Exception {
+    void requestThatExpiresInTheQueueIsNotStarted() throws Exception {
         start("");
-        BlockingQueue<String> begun = new LinkedBlockingQueue<>();
-        module.onRequest = r -> begun.add(r.id());
-        Client client = client().unsafe("a", 400).unsafe("b", 100);
+        BlockingQueue<String> started = new LinkedBlockingQueue<>();
+        balancer.onRequest = r -> started.add(r.id());
+        Client client = connectClient().unsafe("a", 400).unsafe("b", 100);
         assertEquals(503, client.read().status());
-        Message late = client.read();
-        assertEquals(503, late.status());
-        assertEquals("2", late.header("retry-after"));
-        assertEquals("a", LoopbackPeers.next(begun, "the first"));
-        assertTrue(begun.isEmpty());
+        Message expired = client.read();
+        assertEquals(503, expired.status());
+        assertEquals("2", expired.header("retry-after"));
+        assertEquals("a", LoopbackPeers.next(started, "the first"));
+        assertTrue(started.isEmpty());
     }
 
     @Test
-    void aClientThatLeavesTakesItsAttemptAlong() throws Exception {
-        Server host = host(s -> {});
+    void disconnectCancelsTheAttempt() throws Exception {
+        Server host = startServer(s -> {});
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
-        module.onRequest = r -> module.actions.send(r.id(), "s", 0);
-        Client client = client().unsafe("id1", 20_000);
+        balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
+        Client client = connectClient().unsafe("id1", 20_000);
         Seen seen = LoopbackPeers.next(host.seen, "the request");
         client.close();
-        assertEquals("id1", LoopbackPeers.next(module.gone, "the client's leaving"));
-        AttemptEnd end = LoopbackPeers.next(module.ends, "the end");
+        assertEquals("id1", LoopbackPeers.next(balancer.disconnects, "the client's leaving"));
+        AttemptEnd end = LoopbackPeers.next(balancer.attemptEnds, "the end");
         assertEquals(Outcome.CANCELED, end.outcome());
         assertTrue(end.requestDone());
         seen.awaitEnd();
     }
 
     @Test
-    void badInputNeverReachesAHost() throws Exception {
+    void invalidRequestIsNotForwarded() throws Exception {
         start("");
-        module.onRequest = r -> {
+        balancer.onRequest = r -> {
             throw new AssertionError("told of " + r);
         };
         String head = "Host: h\r\nX-Request-Id: a\r\nX-Class: unsafe\r\n";
-        assertEquals(400, client().write("nonsense\r\n\r\n").read().status());
+        assertEquals(400, connectClient().write("nonsense\r\n\r\n").read().status());
         assertEquals(
                 404,
-                client().write("GET /other HTTP/1.1\r\nHost: h\r\n\r\n").read().status());
+                connectClient()
+                        .write("GET /other HTTP/1.1\r\nHost: h\r\n\r\n")
+                        .read()
+                        .status());
         assertEquals(
                 400,
-                client().write("POST /api HTTP/1.1\r\nHost: h\r\n\r\n").read().status(),
+                connectClient()
+                        .write("POST /api HTTP/1.1\r\nHost: h\r\n\r\n")
+                        .read()
+                        .status(),
                 "no id");
         String post = "POST /api HTTP/1.1\r\n" + head;
-        assertEquals(400, client().write(post + "\r\n").read().status(), "no deadline");
+        assertEquals(400, connectClient().write(post + "\r\n").read().status(), "no deadline");
         assertEquals(
-                400, client().write(post + "X-Deadline-Ms: soon\r\n\r\n").read().status());
+                400,
+                connectClient()
+                        .write(post + "X-Deadline-Ms: soon\r\n\r\n")
+                        .read()
+                        .status());
         assertEquals(
                 400,
-                client().write("GET /api HTTP/1.1\r\n" + head + "X-Deadline-Ms: 9\r\n\r\n")
+                connectClient()
+                        .write("GET /api HTTP/1.1\r\n" + head + "X-Deadline-Ms: 9\r\n\r\n")
                         .read()
                         .status(),
                 "an unsafe GET");
         assertEquals(
                 400,
-                client().write(post + "X-Deadline-Ms: 9\r\nX-Tenant: ?\r\n\r\n")
+                connectClient()
+                        .write(post + "X-Deadline-Ms: 9\r\nX-Tenant: ?\r\n\r\n")
                         .read()
                         .status());
         assertEquals(
                 400,
-                client().write("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: a\r\nX-Class: ?\r\n"
+                connectClient()
+                        .write("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: a\r\nX-Class: ?\r\n"
                                 + "X-Deadline-Ms: 9\r\n\r\n")
                         .read()
                         .status());
         assertEquals(
                 413,
-                client().write(post + "X-Deadline-Ms: 9\r\n" + "Content-Length: 65537\r\n\r\n")
+                connectClient()
+                        .write(post + "X-Deadline-Ms: 9\r\n" + "Content-Length: 65537\r\n\r\n")
                         .read()
                         .status());
-        module.onRequest = r -> module.actions.fail(r.id());
-        assertEquals(502, client().unsafe("id1", 20_000).read().status(), "and it serves on");
+        balancer.onRequest = r -> balancer.actions.fail(r.id());
+        assertEquals(502, connectClient().unsafe("id1", 20_000).read().status(), "and it serves on");
     }
 
     @Test
-    void requestsSentAheadAreAnsweredInOrder() throws Exception {
-        Server host = host(s -> s.served(s.message().header("x-request-id")));
+    void pipelinedRequestsAreAnsweredInOrder() throws Exception {
+        Server host = startServer(s -> s.served(s.message().header("x-request-id")));
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
-        module.onRequest = r -> module.actions.send(r.id(), "s", 0);
-        Client client = client().unsafe("a", 20_000).unsafe("b", 20_000).unsafe("c", 20_000);
+        balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
+        Client client = connectClient().unsafe("a", 20_000).unsafe("b", 20_000).unsafe("c", 20_000);
         for (String id : List.of("a", "b", "c")) {
             assertEquals(id, client.read().text());
         }
--- a/src/test/java/quartzspan/clientproxy/FaultyEndpointsTest.java
+++ b/src/test/java/quartzspan/clientproxy/FaultyEndpointsTest.java
@@ -25,45 +25,45 @@
 /** Answers that are spoilt, late or none, and what they prove. */
 class FaultyEndpointsTest extends ClientProxyFixture {
     @Test
-    void anyOtherAnswerMayHaveRun() throws Exception {
-        assertEquals(Outcome.FAILED, outcome(s -> s.answer(500, "", "x"), 0).outcome());
+    void errorResponseMayHaveRun() throws Exception {
+        assertEquals(Outcome.FAILED, attemptOnce(s -> s.answer(500, "", "x"), 0).outcome());
     }
 
     @Test
-    void a503WithoutTheMarkMayHaveRun() throws Exception {
+    void a503WithoutTheNotRunHeaderMayHaveRun() throws Exception {
         // Guards rule 2: a 503 from something in between says nothing of the host.
-        assertEquals(Outcome.FAILED, outcome(s -> s.answer(503, "", ""), 0).outcome());
+        assertEquals(Outcome.FAILED, attemptOnce(s -> s.answer(503, "", ""), 0).outcome());
     }
 
     @Test
-    void turnedAwayIsKnownNotToHaveRun() throws Exception {
-        assertEquals(Outcome.QUEUE_FULL, outcome(Seen::notRun, 0).outcome());
+    void a503WithTheNotRunHeaderIsKnownNotToHaveRun() throws Exception {
+        assertEquals(Outcome.QUEUE_FULL, attemptOnce(Seen::notRun, 0).outcome());
     }
 
     @Test
-    void turnedAwayBy504IsKnownNotToHaveRun() throws Exception {
+    void a504WithTheNotRunHeaderIsKnownNotToHaveRun() throws Exception {
         assertEquals(
                 Outcome.QUEUE_FULL,
-                outcome(s -> s.answer(504, "X-Not-Run: 1\r\n", ""), 0).outcome());
+                attemptOnce(s -> s.answer(504, "X-Not-Run: 1\r\n", ""), 0).outcome());
     }
 
     @Test
-    void aMarkOnAnErrorProvesNothing() throws Exception {
+    void notRunHeaderOnA500IsIgnored() throws Exception {
         assertEquals(
                 Outcome.FAILED,
-                outcome(s -> s.answer(500, "X-Not-Run: 1\r\n", ""), 0).outcome());
+                attemptOnce(s -> s.answer(500, "X-Not-Run: 1\r\n", ""), 0).outcome());
     }
 
     @Test
-    void aResetAfterTheRequestMayHaveRun() throws Exception {
-        assertEquals(Outcome.RESET, outcome(Seen::reset, 0).outcome());
+    void resetAfterTheRequestMayHaveRun() throws Exception {
+        assertEquals(Outcome.RESET, attemptOnce(Seen::reset, 0).outcome());
     }
 
     @Test
-    void anAnswerCutShortIsAReset() throws Exception {
+    void truncatedResponseIsAReset() throws Exception {
         assertEquals(
                 Outcome.RESET,
-                outcome(
+                attemptOnce(
                                 s -> {
                                     s.write("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
                                     s.reset();
@@ -73,10 +73,10 @@
     }
 
     @Test
-    void spoiltAnswersMayHaveRunAndAreNeverServed() throws Exception {
+    void invalidResponsesMayHaveRunAndAreNotPassedOn() throws Exception {
         // Guards against half an answer, or one that can be read in two ways: only what is whole is served.
         String ok = "HTTP/1.1 200 OK\r\n";
-        List<String> spoilt = List.of(
+        List<String> invalidResponses = List.of(
                 "\0\1garbage\r\n\r\n",
                 "ICY 200 OK\r\nContent-Length: 1\r\n\r\na",
                 "HTTP/1.1 2x0 OK\r\nContent-Length: 1\r\n\r\na",
@@ -100,52 +100,58 @@
                 "HTTP/1.1 101 Switching\r\n\r\n",
                 "HTTP/1.1 102 Processing\r\n\r\n".repeat(30) + ok + "Content-Length: 1\r\n\r\na",
                 "HTTP/1.1 503 x\r\nX-Not-Run: 1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\na");
-        Server host = host(s -> s.write(spoilt.get(Integer.parseInt(s.message().header("x-request-id")))));
+        Server host = startServer(
+                s -> s.write(invalidResponses.get(Integer.parseInt(s.message().header("x-request-id")))));
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
-        module.onRequest = r -> module.actions.send(r.id(), "s", 0);
-        module.onEnd = e -> {
+        balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
+        balancer.onAttemptEnd = e -> {
             if (!e.requestDone()) {
-                module.actions.fail(e.requestId());
+                balancer.actions.fail(e.requestId());
             }
         };
-        Client client = client();
-        for (int i = 0; i < spoilt.size(); i++) {
-            String what = spoilt.get(i).substring(0, Math.min(80, spoilt.get(i).length()));
-            assertEquals(502, client.unsafe("" + i, 20_000).read().status(), what);
+        Client client = connectClient();
+        for (int i = 0; i < invalidResponses.size(); i++) {
+            String description = invalidResponses
+                    .get(i)
+                    .substring(0, Math.min(80, invalidResponses.get(i).length()));
+            assertEquals(502, client.unsafe("" + i, 20_000).read().status(), description);
             assertEquals(
-                    Outcome.FAILED, LoopbackPeers.next(module.ends, "an end").outcome(), what);
+                    Outcome.FAILED,
+                    LoopbackPeers.next(balancer.attemptEnds, "an end").outcome(),
+                    description);
             LoopbackPeers.next(host.seen, "the request").awaitEnd();
         }
     }
 
     @Test
-    void goodAnswersThatBringMoreAreServedAndTheRestMeetsNobody() throws Exception {
+    void validResponsesArePassedOnAndExtraBytesAreDiscarded() throws Exception {
         String a = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na";
-        List<String> good = List.of(
+        List<String> validResponses = List.of(
                 "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + a,
                 a + a,
                 a + "noise that has no end",
                 a + "noise\r\n\r\n",
                 "HTTP/1.1 200 OK\r\nX-Load: %%%\r\nContent-Length: 1\r\nX-Load: {\"\r\n\r\na",
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\n\r\n1\r\na\r\n0\r\nX-T: 1\r\n\r\n");
-        Server host = host(s -> s.write(good.get(Integer.parseInt(s.message().header("x-request-id")))));
+        Server host = startServer(
+                s -> s.write(validResponses.get(Integer.parseInt(s.message().header("x-request-id")))));
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
-        module.onRequest = r -> module.actions.send(r.id(), "s", 0);
-        Client client = client();
-        for (int i = 0; i < good.size(); i++) {
+        balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
+        Client client = connectClient();
+        for (int i = 0; i < validResponses.size(); i++) {
             Message answer = client.unsafe("" + i, 20_000).read();
-            assertEquals(200, answer.status(), good.get(i));
-            assertEquals("a", answer.text(), good.get(i));
+            assertEquals(200, answer.status(), validResponses.get(i));
+            assertEquals("a", answer.text(), validResponses.get(i));
         }
     }
 
     @Test
-    void whatComesLateOnAnIdleConnectionEndsIt() throws Exception {
+    void bytesOnAnIdleConnectionCloseIt() throws Exception {
         // Guards against a later read: a second copy would be served to another, noise would spoil it.
-        Server host = host(s -> s.served(s.message().header("x-request-id")));
+        Server host = startServer(s -> s.served(s.message().header("x-request-id")));
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
-        module.onRequest = r -> module.actions.send(r.id(), "s", 0);
-        Client client = client();
+        balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
+        Client client = connectClient();
         for (String late : List.of("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray", "no", "\r\n")) {
             String id = "id" + late.length();
             assertEquals(id, client.unsafe(id, 20_000).read().text());
@@ -157,17 +163,17 @@
     }
 
     @Test
-    void silenceTimesOutAndTheConnectionCloses() throws Exception {
+    void missingResponseTimesOutAndClosesTheConnection() throws Exception {
         BlockingQueue<Seen> seen = new LinkedBlockingQueue<>();
-        assertEquals(Outcome.TIMED_OUT, outcome(seen::add, 50_000).outcome());
+        assertEquals(Outcome.TIMED_OUT, attemptOnce(seen::add, 50_000).outcome());
         LoopbackPeers.next(seen, "the request").awaitEnd();
     }
 
     @Test
-    void aHostThatDropsIdleConnectionsSoonerIsReachedAnew() throws Exception {
+    void idleLimitIsShortenedAfterAStaleConnection() throws Exception {
         // Guards against one reset after another: what was stale once is not trusted for as long again.
         Map<Socket, Long> served = new ConcurrentHashMap<>();
-        Server host = host(s -> {
+        Server host = startServer(s -> {
             Long last = served.put(s.socket(), System.nanoTime());
             if (last != null && System.nanoTime() - last > TimeUnit.MILLISECONDS.toNanos(200)) {
                 s.reset();
@@ -176,13 +182,13 @@
             }
         });
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
-        module.onRequest = r -> module.actions.send(r.id(), "s", 0);
-        module.onEnd = e -> {
+        balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
+        balancer.onAttemptEnd = e -> {
             if (!e.requestDone()) {
-                module.actions.fail(e.requestId());
+                balancer.actions.fail(e.requestId());
             }
         };
-        Client client = client();
+        Client client = connectClient();
         assertEquals(200, client.unsafe("id1", 20_000).read().status());
         Thread.sleep(400);
         assertEquals(502, client.unsafe("id2", 20_000).read().status(), "the first to be dropped");
@@ -192,11 +198,11 @@
     }
 
     @Test
-    void aConnectionResetAtOnceIsNoHostThatIsAway() throws Exception {
+    void immediateConnectionResetIsNotAConnectError() throws Exception {
         // Guards against shunning a host that is up: a few resets among its new connections say little.
         AtomicInteger accepted = new AtomicInteger();
         try (ServerSocket listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            Thread resets = new Thread(() -> {
+            Thread resetting = new Thread(() -> {
                 try {
                     while (true) {
                         Socket s = listening.accept();
@@ -208,18 +214,19 @@
                     // closed: the test is over
                 }
             });
-            resets.setDaemon(true);
-            resets.start();
+            resetting.setDaemon(true);
+            resetting.start();
             start("", LoopbackPeers.host("s", "127.0.0.1:" + listening.getLocalPort(), "in_service"));
-            module.onRequest = r -> module.actions.send(r.id(), "s", 0);
-            module.onEnd = e -> module.actions.fail(e.requestId());
-            Client client = client();
+            balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
+            balancer.onAttemptEnd = e -> balancer.actions.fail(e.requestId());
+            Client client = connectClient();
             for (int i = 0; i < 20; i++) {
-                int before = accepted.get();
+                int acceptedBefore = accepted.get();
                 assertEquals(502, client.unsafe("id" + i, 20_000).read().status());
-                Outcome how = LoopbackPeers.next(module.ends, "the end").outcome();
+                Outcome outcome =
+                        LoopbackPeers.next(balancer.attemptEnds, "the end").outcome();
                 // Which of the two it is depends on when the reset comes; only the third in a row tells.
-                assertTrue(how == Outcome.RESET || accepted.get() - before >= 3, how + " at once");
+                assertTrue(outcome == Outcome.RESET || accepted.get() - acceptedBefore >= 3, outcome + " at once");
             }
         }
     }
--- /dev/null
+++ b/src/test/java/quartzspan/clientproxy/RequestForwardingTest.java
@@ -0,0 +1,382 @@
+package quartzspan.clientproxy;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.netty.util.concurrent.Future;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicLong;
+import org.junit.jupiter.api.Test;
+import quartzspan.http.LoopbackPeers;
+import quartzspan.http.LoopbackPeers.Client;
+import quartzspan.http.LoopbackPeers.Deaf;
+import quartzspan.http.LoopbackPeers.Discovery;
+import quartzspan.http.LoopbackPeers.Message;
+import quartzspan.http.LoopbackPeers.Seen;
+import quartzspan.http.LoopbackPeers.Server;
+import quartzspan.loadbalancing.LoadBalancer.AttemptEnd;
+import quartzspan.loadbalancing.LoadBalancer.Outcome;
+
+/** Requests and attempts: what goes on to hosts and what comes back, when all behave. */
+class RequestForwardingTest extends ClientProxyFixture {
+    @Test
+    void a200IsPassedOn() throws Exception {
+        assertEquals(Outcome.OK, attemptOnce(s -> s.served("x"), 0).outcome());
+    }
+
+    @Test
+    void bodiesOfTheMaximumSizeAreForwarded() throws Exception {
+        String largestBody = "x".repeat(64 * 1024);
+        Server host = startServer(s -> s.served(s.message().text()));
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
+        Message answer = connectClient()
+                .write("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: a\r\n"
+                        + "X-Class: unsafe\r\nX-Deadline-Ms: 20000\r\nContent-Length: 65536\r\n\r\n" + largestBody)
+                .read();
+        assertEquals(200, answer.status());
+        assertEquals(largestBody, answer.text());
+    }
+
+    @Test
+    void refusedConnectionIsAConnectError() throws Exception {
+        ServerSocket closedPort = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+        closedPort.close();
+        start("", LoopbackPeers.host("s", "127.0.0.1:" + closedPort.getLocalPort(), "in_service"));
+        balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
+        balancer.onAttemptEnd = e -> balancer.actions.refuse(e.requestId(), 250_000);
+        Message answer = connectClient().unsafe("id1", 20_000).read();
+        assertEquals(
+                Outcome.CONNECT_ERROR,
+                LoopbackPeers.next(balancer.attemptEnds, "the end").outcome());
+        assertEquals(503, answer.status());
+        assertEquals("0.25", answer.header("retry-after"));
+    }
+
+    @Test
+    void openConnectionsAreServedAfterADrainBegan() throws Exception {
+        // Guards the seconds until SIGKILL: a client that is sent away finds nobody else to ask.
+        Server host = startServer(s -> s.served("x"));
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
+        Client client = connectClient();
+        assertEquals(200, client.unsafe("before", 20_000).read().status());
+        proxy.drain();
+        for (int i = 0; i < 3; i++) {
+            Message answer = client.unsafe("after" + i, 20_000).read();
+            assertEquals(200, answer.status());
+            assertEquals(null, answer.header("connection"), "sent away");
+        }
+    }
+
+    @Test
+    void requestsReceivedInADrainAreAnsweredBeforeSigkill() throws Exception {
+        start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
+        AtomicLong budgetUs = new AtomicLong();
+        balancer.onRequest = r -> {
+            budgetUs.set(r.budgetUs());
+            balancer.actions.refuse(r.id(), 0);
+        };
+        proxy.drain();
+        assertEquals(503, connectClient().unsafe("id1", 20_000).read().status());
+        assertTrue(budgetUs.get() < 3_600_000, "may be open at SIGKILL: " + budgetUs);
+    }
+
+    @Test
+    void requestsOpenAtTheStartOfADrainAreAnsweredBeforeSigkill() throws Exception {
+        // Guards classes whose deadline is longer than the time until SIGKILL: 20 s here, against 3.7 s.
+        Server host = startServer(s -> {});
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        BlockingQueue<String> receivedRequests = new LinkedBlockingQueue<>();
+        balancer.onRequest = r -> {
+            if (r.id().equals("out")) {
+                balancer.actions.send(r.id(), "s", 0);
+            }
+            receivedRequests.add(r.id());
+        };
+        Client held = connectClient().unsafe("held", 20_000);
+        Client sent = connectClient().unsafe("out", 20_000);
+        LoopbackPeers.next(receivedRequests, "the first request");
+        LoopbackPeers.next(receivedRequests, "the second request");
+        long drainStartedNs = System.nanoTime();
+        proxy.drain();
+        assertEquals(503, held.read().status(), "never sent on");
+        assertEquals(504, sent.read().status(), "may have run");
+        long tookMs = (System.nanoTime() - drainStartedNs) / 1_000_000;
+        assertTrue(tookMs < 15_000, "SIGKILL was long over: " + tookMs);
+    }
+
+    @Test
+    void drainStartedBeforeListeningServesRequestsAndCompletes() throws Exception {
+        // Guards the moment between listening and the end of the start: who connects in it is served.
+        Server host = startServer(s -> s.served("x"));
+        List<Future<?>> drainFutures = new ArrayList<>();
+        start(
+                starting -> drainFutures.add(starting.drain()),
+                "",
+                LoopbackPeers.host("s", host.address(), "in_service"));
+        balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
+        assertEquals(200, connectClient().unsafe("id1", 20_000).read().status());
+        assertTrue(drainFutures.get(0).await(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS), "it ends");
+    }
+
+    @Test
+    void bindIsRetriedWhileTheAddressIsInUse() throws Exception {
+        discovery = closeAfterTest(new LoopbackPeers.Discovery());
+        ServerSocket occupied = closeAfterTest(new ServerSocket(0, 1, InetAddress.getLoopbackAddress()));
+        ClientProxyConfig config = ClientProxyConfig.parse(LoopbackPeers.config(
+                        occupied.getLocalPort(),
+                        discovery.server.address(),
+                        "",
+                        LoopbackPeers.list(1, true, LoopbackPeers.host("s", "127.0.0.1:1", "in_service")))
+                .getBytes(StandardCharsets.UTF_8));
+        Thread releasing = new Thread(() -> {
+            try {
+                Thread.sleep(300);
+                occupied.close();
+            } catch (Exception e) {
+                throw new AssertionError(e);
+            }
+        });
+        proxy = ClientProxy.start(
+                config,
+                (settings, seed, now, actions) -> {
+                    balancer.actions = actions;
+                    releasing.start();
+                    return balancer;
+                },
+                starting -> {});
+        balancer.onRequest = r -> balancer.actions.refuse(r.id(), 0);
+        assertEquals(503, connectClient().unsafe("id1", 20_000).read().status());
+    }
+
+    @Test
+    void attemptTimeoutIncludesConnecting() throws Exception {
+        // Guards against an attempt that hangs where no connection ever comes up: it never ran.
+        try (Deaf deaf = new Deaf()) {
+            start("", LoopbackPeers.host("s", deaf.address(), "in_service"));
+            balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 100_000);
+            balancer.onAttemptEnd = e -> balancer.actions.refuse(e.requestId(), 0);
+            assertEquals(503, connectClient().unsafe("id1", 20_000).read().status());
+            assertEquals(
+                    Outcome.CONNECT_ERROR,
+                    LoopbackPeers.next(balancer.attemptEnds, "the end").outcome());
+        }
+    }
+
+    @Test
+    void nothingIsSentToAnEndpointDrainedWhileConnecting() throws Exception {
+        // Guards rule 3: the decision was made before the drain, the connection comes up after it.
+        try (Deaf deaf = new Deaf()) {
+            start("", LoopbackPeers.host("s", deaf.address(), "in_service"));
+            Seen watch = discovery.asked();
+            BlockingQueue<String> sent = new LinkedBlockingQueue<>();
+            balancer.onRequest = r -> {
+                balancer.actions.send(r.id(), "s", 0);
+                sent.add(r.id());
+            };
+            balancer.onAttemptEnd = e -> balancer.actions.refuse(e.requestId(), 0);
+            Client client = connectClient().unsafe("id1", 20_000);
+            LoopbackPeers.next(sent, "the decision");
+            Discovery.push(watch, LoopbackPeers.list(2, false, LoopbackPeers.host("s", deaf.address(), "terminating")));
+            assertEquals("DELTA [s 1 DRAINING]", LoopbackPeers.next(balancer.discoveryEvents, "the drain"));
+            deaf.hear();
+            assertEquals(
+                    Outcome.IGNORED,
+                    LoopbackPeers.next(balancer.attemptEnds, "the end").outcome());
+            assertEquals(503, client.read().status());
+            assertTrue(deaf.silent(), "nothing was written");
+        }
+    }
+
+    @Test
+    void requestAndResponseAreForwardedUnchanged() throws Exception {
+        String body = "\0\r\n\u00ff binary";
+        Server host = startServer(
+                s -> s.answer(200, "Content-Type: a/b\r\n", s.message().text() + "!"));
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
+        Message answer = connectClient()
+                .write("POST /api/x?q=%20a&b HTTP/1.1\r\nHost: origin.svc\r\n"
+                        + "X-Request-Id: id1\r\nX-Class: keyed\r\nX-Tenant: acme\r\nX-Key: k\r\n"
+                        + "X-Deadline-Ms: 20000\r\n"
+                        + "Idempotency-Key: i-k\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 1\r\n"
+                        + "Content-Length: " + body.length() + "\r\n\r\n" + body)
+                .read();
+        Message seen = LoopbackPeers.next(host.seen, "the request").message();
+        assertEquals("POST /api/x?q=%20a&b HTTP/1.1", seen.first());
+        assertEquals("id1", seen.header("x-request-id"));
+        assertEquals("i-k", seen.header("idempotency-key"));
+        assertNull(seen.header("x-hop"), "hop-by-hop headers stay");
+        assertArrayEquals(body.getBytes(StandardCharsets.ISO_8859_1), seen.body());
+        long deadline = Long.parseLong(seen.header("x-deadline-ms"));
+        assertTrue(deadline > 0 && deadline < 20_000, "a deadline of its own: " + deadline);
+        assertEquals(200, answer.status());
+        assertEquals(body + "!", answer.text());
+        assertEquals("a/b", answer.header("content-type"));
+    }
+
+    @Test
+    void connectionsAreReusedAndAStaleOneIsAReset() throws Exception {
+        Server host = startServer(s -> {
+            if (s.message().header("x-request-id").equals("id2")) {
+                s.reset();
+            } else {
+                s.served("x");
+            }
+        });
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
+        balancer.onAttemptEnd = e -> balancer.actions.fail(e.requestId());
+        Client client = connectClient();
+        assertEquals(200, client.unsafe("id1", 20_000).read().status());
+        Thread.sleep(50); // a connection rests after an answer before it is used again
+        assertEquals(502, client.unsafe("id2", 20_000).read().status());
+        assertEquals(
+                Outcome.OK,
+                LoopbackPeers.next(balancer.attemptEnds, "the first end").outcome());
+        assertEquals(
+                Outcome.RESET,
+                LoopbackPeers.next(balancer.attemptEnds, "the second end").outcome());
+        assertEquals(1, host.connections.size());
+        assertEquals(2, host.seen.size(), "sent once and no more");
+    }
+
+    @Test
+    void idleConnectionsCloseAfterTheConfiguredTime() throws Exception {
+        Server host = startServer(s -> s.served("x"));
+        start(",\"connIdleUs\":400000", LoopbackPeers.host("s", host.address(), "in_service"));
+        balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
+        assertEquals(200, connectClient().unsafe("id1", 20_000).read().status());
+        LoopbackPeers.next(host.seen, "the request").awaitEnd();
+    }
+
+    @Test
+    void nextAttemptIsSentOnlyAfterThePreviousOneIsClosed() throws Exception {
+        // Guards "at most one attempt at a time": the host told of the second must have lost the first.
+        Server unresponsive = startServer(s -> {});
+        Server other = startServer(s -> s.served("x"));
+        start(
+                "",
+                LoopbackPeers.host("s", unresponsive.address(), "in_service"),
+                LoopbackPeers.host("t", other.address(), "in_service"));
+        balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 50_000);
+        balancer.onAttemptEnd = e -> {
+            if (e.attempt() == 0) {
+                balancer.actions.send(e.requestId(), "t", 0);
+            }
+        };
+        assertEquals(200, connectClient().safe("id1", 20_000).read().status());
+        LoopbackPeers.next(unresponsive.seen, "the first attempt").awaitEnd();
+        assertEquals(1, other.seen.size());
+    }
+
+    @Test
+    void secondConcurrentAttemptIsNotSent() throws Exception {
+        Server unresponsive = startServer(s -> {});
+        Server other = startServer(s -> s.served("x"));
+        start(
+                "",
+                LoopbackPeers.host("s", unresponsive.address(), "in_service"),
+                LoopbackPeers.host("t", other.address(), "in_service"));
+        balancer.onRequest = r -> {
+            balancer.actions.send(r.id(), "s", 0);
+            balancer.actions.send(r.id(), "t", 0);
+        };
+        connectClient().unsafe("id1", 20_000);
+        AttemptEnd end = LoopbackPeers.next(balancer.attemptEnds, "the second copy's end");
+        assertEquals(1, end.attempt());
+        assertEquals(Outcome.IGNORED, end.outcome());
+        assertEquals(0, other.seen.size());
+    }
+
+    @Test
+    void cancelClosesOnlyTheAttemptWithThatNumber() throws Exception {
+        // Guards the numbering: a second copy that was not sent has a number, and is not the one that is out.
+        Server host = startServer(s -> {});
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        balancer.onRequest = r -> {
+            balancer.actions.send(r.id(), "s", 0);
+            balancer.actions.send(r.id(), "s", 0);
+        };
+        balancer.onAttemptEnd = e -> {
+            if (e.attempt() == 1) {
+                balancer.actions.cancel(e.requestId(), 1);
+                balancer.actions.cancel(e.requestId(), 0);
+            } else {
+                balancer.actions.fail(e.requestId());
+            }
+        };
+        assertEquals(502, connectClient().unsafe("id1", 20_000).read().status());
+        assertEquals(
+                Outcome.IGNORED,
+                LoopbackPeers.next(balancer.attemptEnds, "the second copy's end")
+                        .outcome());
+        AttemptEnd end = LoopbackPeers.next(balancer.attemptEnds, "the first's end");
+        assertEquals(0, end.attempt());
+        assertEquals(Outcome.CANCELED, end.outcome());
+        assertFalse(end.requestDone());
+        assertTrue(balancer.attemptEnds.isEmpty());
+    }
+
+    @Test
+    void clientIsAnsweredByItsDeadlineWithoutABalancerDecision() throws Exception {
+        Server host = startServer(s -> {});
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        // Held for ever, with no attempt: a refusal is true. With one out, only for what is safe to repeat.
+        Message held = connectClient().unsafe("held", 300).read();
+        assertEquals(503, held.status());
+        assertEquals("2", held.header("retry-after"));
+        balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
+        assertEquals(504, connectClient().unsafe("out", 300).read().status());
+        assertEquals(503, connectClient().safe("safe", 300).read().status());
+    }
+
+    @Test
+    void sendAfterTheResponseIsIgnored() throws Exception {
+        Server host = startServer(s -> s.served("x"));
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        balancer.onRequest = r -> {
+            balancer.actions.refuse(r.id(), 0);
+            balancer.actions.send(r.id(), "s", 0);
+        };
+        assertEquals(503, connectClient().unsafe("id1", 20_000).read().status());
+        AttemptEnd end = LoopbackPeers.next(balancer.attemptEnds, "the end");
+        assertEquals(Outcome.IGNORED, end.outcome());
+        assertTrue(end.requestDone());
+        assertEquals(0, host.seen.size());
+    }
+
+    @Test
+    void requestIsAnsweredWhenTheBalancerThrows() throws Exception {
+        start("");
+        balancer.onRequest = r -> {
+            throw new IllegalStateException("a defect");
+        };
+        assertEquals(503, connectClient().unsafe("id1", 300).read().status());
+        balancer.onRequest = r -> balancer.actions.fail(r.id());
+        assertEquals(502, connectClient().unsafe("id2", 20_000).read().status());
+    }
+
+    @Test
+    void probeOutcomeIsReported() throws Exception {
+        Server host = startServer(s -> s.answer(s.message().first().startsWith("GET /-/healthy ") ? 200 : 404, "", ""));
+        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        balancer.onRequest = r -> {
+            balancer.actions.probe("s");
+            balancer.actions.fail(r.id());
+        };
+        connectClient().unsafe("id1", 20_000).read();
+        assertEquals(Outcome.OK, LoopbackPeers.next(balancer.probeOutcomes, "the probe's end"));
+    }
+}
