--- a/src/main/java/quartzspan/clientproxy/ClientProxy.java
+++ b/src/main/java/quartzspan/clientproxy/ClientProxy.java
@@ -39,39 +39,42 @@
 import quartzspan.loadbalancing.LoadBalancer.Source;
 
 /**
- * A client proxy on sockets: turns what happens on them into the module's events and carries out what it
- * decides. One event-loop thread owns all of it, so nothing here is locked and nothing may block.
+ * The network side of the client proxy: reports socket events to the {@link LoadBalancer} and carries out its
+ * decisions. A single event-loop thread owns all state, so there is no locking and nothing may block.
  */
 public final class ClientProxy implements LoadBalancer.Actions, HttpServer.RequestHandler {
-    /** We are done this long before the client's time is up: the way back and a busy core take time. */
+    /** The response is sent this long before the client's deadline, to cover transit and a busy CPU. */
     private static final long RESPONSE_MARGIN_US = 25_000;
-    /** What the module is told ends this much earlier still, so that its own last word comes first. */
+    /** The load balancer's budget ends this much earlier, so that its decision precedes the response timeout. */
     private static final long BALANCER_MARGIN_US = 10_000;
     /**
-     * Descriptors that the process needs for itself: some 20 for the JVM, selector, listener and watch, and
-     * as many that have been accepted or closed but not counted yet. Of the rest clients have one half and
-     * connections to hosts, of which a client's request has one at most, the other.
+     * Descriptors that the process itself needs: about 20 for the JVM, selector, listener and watch, and as many
+     * for connections that are accepted or closed but not counted yet. Client connections get one half of the
+     * rest and endpoint connections the other; a client request uses at most one of these at a time.
      */
     private static final int RESERVED_SOCKETS = 48;
-    /** SIGKILL comes this long after the longest deadline (3 s where that is longer), and no sooner. */
+    /** SIGKILL is sent no sooner than this long after the longest deadline, which counts as 3 s at most. */
     private static final long KILL_DELAY_MS = 700;
 
     private static final long MAX_DRAIN_DEADLINE_MS = 3_000;
-    /** Whatever is open is answered this long before SIGKILL may come. */
+    /** All open requests are answered this long before the earliest possible SIGKILL. */
     private static final long KILL_MARGIN_US = 100_000;
 
-    /** How often a bind is tried again while the address is still in use, and the wait between. */
+    /** Retries of a bind while the address is in use. */
     private static final int MAX_BIND_RETRIES = 40;
 
     private static final long BIND_RETRY_DELAY_MS = 50;
-    /** The agent that pushes lists answers at once and at no cost, unlike discovery that is asked. */
+    /** In automatic mode an agent pushes the lists; it answers at once and at no cost, unlike the discovery service. */
     private static final long AGENT_RETRY_DELAY_MS = 500;
     /**
-     * A connection without an open request ends after this long: the protocol allows it after 2 s, and a
-     * client that says nothing or never gets to the end of a request is owed an end within 3 s.
+     * A connection without an open request is closed after this time. The protocol allows that after 2 s and
+     * requires it within 3 s for a client that sends nothing or never completes a request.
      */
     private static final long CLIENT_TIMEOUT_MS = 2_300;
-    /** What the agent has counts as told from our first moment: so long its list is waited for at a start. */
+    /**
+     * Time that startup waits for the agent's first list. The protocol counts the agent's data as received from
+     * the start of the process.
+     */
     private static final long AGENT_FIRST_LIST_TIMEOUT_MS = 1_000;
 
     private final ClientProxyConfig config;
@@ -84,13 +87,13 @@
     private final HttpServer httpServer;
     private final Map<String, Integer> classIndexes = new HashMap<>();
     private final Map<String, Exchange> openRequests = new HashMap<>();
-    /** Events for the module and its actions, in order; see {@link #execute}. */
+    /** Pending load balancer events and actions, in order; see {@link #execute}. */
     private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
 
     private boolean runningTasks;
     private boolean warmingUp;
     private final AtomicBoolean drainStarted = new AtomicBoolean();
-    /** Done when a list has come from discovery. */
+    /** Counted down when discovery has delivered a list. */
     private final CountDownLatch listReceived = new CountDownLatch(1);
 
     private long killAtUs = Long.MAX_VALUE;
@@ -98,7 +101,7 @@
     private LoadBalancer balancer;
     private ScheduledFuture<?> balancerTimer;
 
-    /** Makes the module; a test's own can do what the real one never would. */
+    /** Creates the load balancer; tests pass in a scripted one. */
     interface BalancerFactory {
         LoadBalancer create(LoadBalancer.Settings settings, long seed, long now, LoadBalancer.Actions actions);
     }
@@ -140,14 +143,14 @@
         }
     }
 
-    /** A request taken and not yet forgotten. */
+    /** A client request from its acceptance until its removal from {@link #openRequests}. */
     static final class Exchange {
         private final HttpServer.ClientConnection client;
         private final Request request;
         private final RequestClass requestClass;
         private final OutgoingRequest outgoing;
         private final long budgetEndUs;
-        /** When it is answered whatever the module does. */
+        /** The time at which the request is answered even without a decision of the load balancer. */
         private long timeoutAtUs = Long.MAX_VALUE;
 
         private ScheduledFuture<?> timeout;
@@ -172,9 +175,10 @@
     }
 
     /**
-     * Starts to serve; returns once it listens.
+     * Starts a client proxy; returns once it listens.
      *
-     * @param beforeListening told of the client proxy before it listens: from then on an end must be a drain
+     * @param beforeListening receives the client proxy before it listens; from then on it must be shut down by
+     *     {@link #drain}
      */
     public static ClientProxy start(ClientProxyConfig config, Consumer<ClientProxy> beforeListening) throws Exception {
         WarmUp.warmUpBalancer(config.settings());
@@ -182,7 +186,7 @@
         return start(config, LoadBalancer::create, beforeListening);
     }
 
-    /** Is its own host for a moment, and not ready; ends before the real one begins. */
+    /** Runs a temporary client proxy that is its own endpoint and not ready; it ends before the real one starts. */
     private static void warmUp(ClientProxyConfig config) throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try {
@@ -232,7 +236,7 @@
     private void listen() throws Exception {
         ChannelFuture bindResult =
                 loop.submit(() -> httpServer.listen(config.listen())).get().await();
-        // The address is ours alone, but what held it last may be a moment in going.
+        // No other service uses the address, but a predecessor may need a moment to release it.
         for (int i = 0; i < MAX_BIND_RETRIES && bindResult.cause() instanceof BindException; i++) {
             Thread.sleep(BIND_RETRY_DELAY_MS);
             bindResult =
@@ -257,14 +261,14 @@
     }
 
     /**
-     * Serves to the end what clients have sent or are about to; to be told twice is once. The future is done when
-     * all has ended.
+     * Starts a graceful shutdown: serves the requests that clients have sent or are about to send. Further calls
+     * have no effect. The future completes when the event loop has terminated.
      */
     public Future<?> drain() {
         if (!drainStarted.compareAndSet(false, true)) {
             return group.terminationFuture();
         }
-        System.err.println("quartzspan: told to end; finishing what is open");
+        System.err.println("quartzspan: shutdown requested; finishing open requests");
         long longestMs = config.settings().classes().stream()
                         .mapToLong(RequestClass::deadlineUs)
                         .max()
@@ -273,7 +277,7 @@
         long leftMs = Math.min(longestMs, MAX_DRAIN_DEADLINE_MS) + KILL_DELAY_MS;
         loop.execute(() -> {
             killAtUs = now() + leftMs * 1000;
-            // What is open may have longer than that, and SIGKILL would find it unanswered.
+            // Open requests may have later deadlines; SIGKILL would leave them unanswered.
             openRequests.values().forEach(exchange -> setResponseTimeout(exchange, killAtUs - KILL_MARGIN_US));
             httpServer.drain(leftMs, () -> {
                 discovery.stop();
@@ -284,14 +288,14 @@
     }
 
     /**
-     * Takes up what may change while it serves: where discovery is. The rest of a configuration holds from
-     * start to end.
+     * Applies the only setting that can change at run time: the address of discovery. Changes of other settings
+     * require a restart.
      */
     public void reload(ClientProxyConfig changed) {
         loop.execute(() -> execute(() -> discovery.changeAddress(changed.discovery())));
     }
 
-    /** The port it listens on. */
+    /** The port that the proxy listens on. */
     public int port() {
         return httpServer.port();
     }
@@ -311,9 +315,9 @@
     }
 
     /**
-     * Runs an event or an action now, or after the one that is running. The module makes its decisions
-     * inside an event call, and a socket may have news inside an action: neither may re-enter the module.
-     * A failure ends the one task; the request it was about still has its guard.
+     * Runs an event or an action now, or after those that are running or queued. The load balancer calls its
+     * actions within an event call, and an action can cause further socket events; neither may re-enter the load
+     * balancer. An exception ends only its own task; the request concerned still has its response timeout.
      */
     private void execute(Runnable task) {
         tasks.add(task);
@@ -338,7 +342,7 @@
         try {
             task.run();
         } catch (RuntimeException | LinkageError e) {
-            // Exceptions thrown often come without a trace.
+            // The JVM may omit the stack trace of an exception that is thrown often.
             System.err.println("quartzspan: " + e
                     + Arrays.stream(e.getStackTrace())
                             .limit(1)
@@ -347,9 +351,7 @@
         }
     }
 
-    // ---- clients -------------------------------------------------------------------------------------
-
-    /** Takes a request that is as the protocol says, and answers for it at once if it is not. */
+    /** Accepts a valid request; answers an invalid one at once. */
     @Override
     public void onRequest(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
         String path = in.uri().split("\\?", 2)[0];
@@ -383,7 +385,7 @@
             return;
         }
         RequestClass requestClass = config.settings().classes().get(classIndex);
-        // Nobody waits longer than the class's own patience, so neither does a drain.
+        // The class deadline is an upper limit for any request, so a drain is limited by it as well.
         long deadlineUs = Math.min(deadlineMs, requestClass.deadlineUs() / 1000 + 1) * 1000;
         long responseTimeoutUs =
                 Math.min(deadlineUs - Math.min(RESPONSE_MARGIN_US, deadlineUs / 4), killAtUs - KILL_MARGIN_US - at);
@@ -408,7 +410,7 @@
         execute(() -> balancer.onRequest(now(), exchange.request));
     }
 
-    /** What the method and its headers say of a repeat; null if they say nothing that the protocol knows. */
+    /** The effect of repeating the request according to its method and headers; null if they are invalid. */
     private static Effect declaredEffect(HttpRequest in, byte[] body) {
         int keys = in.headers().getAll("Idempotency-Key").size();
         boolean printable = in.uri().chars().allMatch(c -> c > ' ' && c < 0x7f);
@@ -422,7 +424,7 @@
         };
     }
 
-    /** The value of a header that comes once; null if it is missing or repeated: no reader is to choose. */
+    /** The value of a header; null if it is missing or repeated, since a repeated header is ambiguous. */
     private static String singleValue(HttpHeaders headers, CharSequence name) {
         List<String> values = headers.getAll(name);
         return values.size() == 1 ? values.get(0) : null;
@@ -438,7 +440,7 @@
         reportClientGone(exchange);
     }
 
-    /** Sets the time at which a request is answered whatever the module does, unless that is sooner already. */
+    /** Sets the response timeout of a request, unless an earlier one is set. */
     private void setResponseTimeout(Exchange exchange, long atUs) {
         if (!exchange.answered && atUs < exchange.timeoutAtUs) {
             if (exchange.timeout != null) {
@@ -449,7 +451,7 @@
         }
     }
 
-    /** Whatever the module does, the client has an answer in time, and a refusal only if that is true. */
+    /** Answers a request that is still open: with 503 only if another try is harmless, otherwise with 504. */
     private void onResponseTimeout(Exchange exchange) {
         if (!exchange.answered) {
             markAnswered(exchange);
@@ -480,13 +482,11 @@
         });
     }
 
-    /** After the actions already decided: they may still name the request. */
+    /** Removes the request after the queued actions, which may still refer to it. */
     private void removeLater(Exchange exchange) {
         tasks.add(() -> openRequests.remove(exchange.request.id(), exchange));
     }
 
-    // ---- the module's decisions ----------------------------------------------------------------------
-
     @Override
     public void send(String requestId, String endpointId, long timeoutUs) {
         tasks.add(() -> {
--- a/src/main/java/quartzspan/clientproxy/ClientProxyConfig.java
+++ b/src/main/java/quartzspan/clientproxy/ClientProxyConfig.java
@@ -11,18 +11,18 @@
 import quartzspan.simulator.SettingsReader;
 
 /**
- * What a client proxy is told at its start.
+ * The configuration of a client proxy.
  *
- * @param listen where clients connect
- * @param discovery where lists of hosts come from
- * @param seed seed of the module's random numbers
- * @param settings what the module is told
+ * @param listen address that clients connect to
+ * @param discovery address of the discovery service
+ * @param seed seed of the load balancer's random numbers
+ * @param settings settings of the load balancer
  * @param zones names of the zones, by number
- * @param kinds names of the kinds of machine, by number
+ * @param kinds names of the machine kinds, by number
  * @param tenants names of the tenants, by number
- * @param maxSockets descriptors that the process may hold
- * @param dialTimeoutUs time within which a connection must have come up
- * @param cachedList the list of hosts as last held, perhaps old; null if there is none
+ * @param maxSockets file descriptors that the process may have open
+ * @param dialTimeoutUs time within which a connection must be established
+ * @param cachedList the last known endpoint list, possibly outdated; null if there is none
  */
 public record ClientProxyConfig(
         InetSocketAddress listen,
@@ -36,13 +36,14 @@
         long dialTimeoutUs,
         EndpointList cachedList) {
 
-    /** What the program is sized for; a lower limit is kept, a higher one not used. */
+    /** Descriptors that the program is designed for: a lower configured limit applies, a higher one is ignored. */
     private static final int SUPPORTED_SOCKETS = 1024;
 
     /**
      * Reads the file that {@code NODE_CONFIG} names.
      *
-     * @throws IOException or {@link IllegalArgumentException}, saying what is wrong with it
+     * @throws IOException if the file is unreadable or malformed ({@link IllegalArgumentException} for invalid
+     *     settings)
      */
     public static ClientProxyConfig load(String path) throws IOException {
         if (path == null) {
@@ -57,7 +58,7 @@
     /**
      * Reads the JSON text of a configuration.
      *
-     * @throws IOException or {@link IllegalArgumentException}, saying what is wrong with it
+     * @throws IOException if the text is malformed ({@link IllegalArgumentException} for invalid settings)
      */
     public static ClientProxyConfig parse(byte[] json) throws IOException {
         InetSocketAddress listen = null;
--- a/src/main/java/quartzspan/clientproxy/Discovery.java
+++ b/src/main/java/quartzspan/clientproxy/Discovery.java
@@ -35,22 +35,26 @@
 import quartzspan.loadbalancing.LoadBalancer.Source;
 
 /**
- * Discovery's watch, and the hosts as last listed. A watch that ends, falls silent or talks nonsense has
- * failed, once; when to ask again is the module's to say, since discovery has little capacity.
+ * The watch on the discovery service and the endpoints last listed. A watch that ends, times out or delivers
+ * invalid data is reported as failed once. The listener decides when to watch again, since discovery has little
+ * capacity.
  */
 final class Discovery {
     /**
-     * A heartbeat comes every 2 s: two missed ones and a little more are silence. What discovery has to tell
-     * counts as told after 6 s even if it never came, so by then the next call must have been answered.
+     * Discovery sends a heartbeat every 2 s; the watch fails after two missed ones and some slack. The protocol
+     * counts a change as received after 6 s even if it never arrived, so the next watch must be answered by then.
      */
     private static final long READ_TIMEOUT_MS = 4_500;
-    /** News counts as told 4 s after a move: within that time a silent new address is asked again. */
+    /**
+     * After a change of address, lists count as received after 4 s: an address that sends nothing must be tried
+     * again within that time.
+     */
     private static final long FIRST_READ_TIMEOUT_AFTER_MOVE_MS = 1_800;
 
     private static final int CONNECT_TIMEOUT_MS = 1_000;
     private static final int MAX_LIST_BYTES = 4 * 1024 * 1024;
 
-    /** Told of lists and of watches that failed. */
+    /** Receives lists and failures of the watch. */
     interface Listener {
         void onList(Source source, List<Endpoint> listedEndpoints);
 
@@ -62,7 +66,7 @@
     private final ConnectionPool upstream;
     private final Listener listener;
     private final Map<String, ConnectionPool.Endpoint> endpoints = new HashMap<>();
-    /** Numbers by name. A name that the settings lack gets a number of its own: zones must not merge. */
+    /** Zone numbers by name. A name missing from the settings gets a new number, so that zones stay distinct. */
     private final Map<String, Integer> zones = new HashMap<>();
 
     private final Map<String, Integer> kinds = new HashMap<>();
@@ -82,7 +86,7 @@
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS);
     }
 
-    /** The host of this id, or null if it is not listed. */
+    /** The endpoint with this id, or null if it is not listed. */
     ConnectionPool.Endpoint endpoint(String id) {
         return endpoints.get(id);
     }
@@ -91,7 +95,7 @@
         return !endpoints.isEmpty();
     }
 
-    /** Asks for what changed and for all changes to come, unless that is asked for already. */
+    /** Opens a watch for the changes since the last list and all later ones, unless one is open. */
     void watch() {
         if (watch == null && !stopped) {
             startWatch(READ_TIMEOUT_MS);
@@ -99,8 +103,8 @@
     }
 
     /**
-     * Takes up another discovery at once. It may count its versions in its own way, so the whole list is
-     * asked for; until it has come the old one holds. The old watch was given up, not failed.
+     * Switches to another discovery address at once. Its version numbers may be unrelated, so the full list is
+     * requested; until it arrives the current list stays in use. Closing the previous watch is no failure.
      */
     void changeAddress(InetSocketAddress newAddress) {
         if (!newAddress.equals(address) && !stopped) {
@@ -116,7 +120,7 @@
         try {
             started = new Watch(firstReadTimeoutMs);
         } catch (ChannelException outOfDescriptors) {
-            // Made by the bootstrap, it would tell of this on a thread that is not the loop's.
+            // A channel created by the bootstrap would report this failure on a thread other than the event loop.
             listener.onWatchFailed();
             return;
         }
@@ -133,7 +137,7 @@
                 });
     }
 
-    /** Ends the watch for good: nothing asks again. */
+    /** Closes the watch; no further watch is opened. */
     void stop() {
         stopped = true;
         closeWatch();
@@ -147,7 +151,7 @@
         }
     }
 
-    /** Takes over a list, first for the sockets and then for the module. */
+    /** Applies a list to the connections first, then passes it to the listener. */
     void applyList(EndpointList list, Source source) {
         version = list.version();
         List<Endpoint> listedEndpoints = new ArrayList<>();
@@ -192,7 +196,7 @@
         return numbers.computeIfAbsent(name, n -> numbers.size());
     }
 
-    /** One call. It fails once, however it ends, unless it was given up for another. */
+    /** One watch request. It reports one failure, however it ends, unless it was replaced or stopped. */
     private final class Watch extends SimpleChannelInboundHandler<ByteBuf> {
         private final long firstReadTimeoutMs;
         private final NioSocketChannel channel = new NioSocketChannel();
@@ -243,17 +247,17 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            fail(new IOException("it ended"));
+            fail(new IOException("discovery closed the connection"));
         }
 
-        /** A bad list, a refusal, silence or a break: the call has failed, and nothing else has. */
+        /** An invalid list, a rejection, a read timeout or a reset fails this watch only. */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             fail(cause);
             ctx.close();
         }
 
-        /** Says so once for each watch that had worked: calls go on failing while discovery is down. */
+        /** Logs only failures of a watch that has delivered a list: each retry fails while discovery is down. */
         void fail(Throwable cause) {
             if (watch == this) {
                 watch = null;
@@ -267,9 +271,9 @@
     }
 
     /**
-     * Cuts what comes into lists, by their braces: a list may be indented over many lines. It hands on an
-     * empty buffer whenever no list is half read, which is what an empty line is for; a list that comes a
-     * little at a time and does not get to its end is silence like any other.
+     * Splits the stream into lists by their braces, since a list may span several lines. Emits an empty buffer
+     * whenever no list is partially read, so that an empty line (the heartbeat) resets the read timeout; parts of
+     * an incomplete list don't.
      */
     private static final class ListDecoder extends JsonObjectDecoder {
         ListDecoder() {
@@ -285,7 +289,7 @@
         }
     }
 
-    /** Hands on what a watch's answer holds; any answer but 200, or its end, is the end of the watch. */
+    /** Passes on the content of the response; a status other than 200 or the end of the response ends the watch. */
     private static final class BodyDecoder extends MessageToMessageDecoder<HttpObject> {
         BodyDecoder() {
             super(HttpObject.class);
@@ -295,7 +299,7 @@
         protected void decode(ChannelHandlerContext ctx, HttpObject in, List<Object> out) throws IOException {
             if (in.decoderResult().isFailure()
                     || in instanceof HttpResponse r && r.status().code() != 200) {
-                throw new IOException("discovery refused the watch");
+                throw new IOException("discovery rejected the watch or sent an invalid HTTP response");
             }
             if (in instanceof HttpContent content && content.content().isReadable()) {
                 out.add(content.content().retain());
--- a/src/main/java/quartzspan/clientproxy/EndpointList.java
+++ b/src/main/java/quartzspan/clientproxy/EndpointList.java
@@ -11,11 +11,11 @@
 import java.util.List;
 import quartzspan.loadbalancing.LoadBalancer.Availability;
 
-/** A list of hosts in discovery's form: the whole one or, with {@code full} false, what has changed. */
+/** A list of endpoints in discovery's format: the full list or, with {@code full} false, the changed entries. */
 record EndpointList(long version, boolean full, List<Entry> entries) {
     static final JsonFactory JSON_FACTORY = new JsonFactory();
 
-    /** One host, its zone and kind by name. */
+    /** One endpoint, with its zone and machine kind by name. */
     record Entry(
             String id,
             InetSocketAddress address,
@@ -26,19 +26,19 @@
             double weight,
             long startedMs) {}
 
-    /** Reads a line of a watch; anything but one well-formed list is an {@link IOException}. */
+    /** Parses a message of the watch; throws an {@link IOException} unless it is exactly one valid list. */
     static EndpointList parse(byte[] line) throws IOException {
         try (JsonParser in = JSON_FACTORY.createParser(line)) {
             in.nextToken();
             EndpointList list = read(in);
-            require(in.nextToken() == null, "text after the list");
+            require(in.nextToken() == null, "endpoint list is followed by other text");
             return list;
         }
     }
 
-    /** Reads the object at the parser's place. */
+    /** Reads the list object at the parser's current position. */
     static EndpointList read(JsonParser in) throws IOException {
-        require(in.currentToken() == JsonToken.START_OBJECT, "a list must be an object");
+        require(in.currentToken() == JsonToken.START_OBJECT, "endpoint list must be a JSON object");
         long version = -1;
         boolean full = false;
         List<Entry> entries = null;
@@ -52,19 +52,19 @@
                 default -> in.skipChildren();
             }
         }
-        require(in.currentToken() == JsonToken.END_OBJECT, "the list ends early");
-        require(version >= 0, "version is missing");
-        require(entries != null, "servers is missing");
+        require(in.currentToken() == JsonToken.END_OBJECT, "endpoint list is truncated");
+        require(version >= 0, "endpoint list has no field version");
+        require(entries != null, "endpoint list has no field servers");
         return new EndpointList(version, full, entries);
     }
 
     private static List<Entry> readEntries(JsonParser in) throws IOException {
-        require(in.currentToken() == JsonToken.START_ARRAY, "servers must be an array");
+        require(in.currentToken() == JsonToken.START_ARRAY, "endpoint list: servers must be an array");
         List<Entry> entries = new ArrayList<>();
         while (in.nextToken() == JsonToken.START_OBJECT) {
             entries.add(readEntry(in));
         }
-        require(in.currentToken() == JsonToken.END_ARRAY, "servers must hold objects");
+        require(in.currentToken() == JsonToken.END_ARRAY, "endpoint list: servers must contain only objects");
         return entries;
     }
 
@@ -92,7 +92,9 @@
                 default -> in.skipChildren();
             }
         }
-        require(id != null && address != null && availability != null, "a host without id, addr or state");
+        require(
+                id != null && address != null && availability != null,
+                "endpoint list: a server has no field id, addr or state");
         return new Entry(id, address, zone, kind, cell, availability, weight, startedMs);
     }
 
@@ -101,20 +103,20 @@
             case "in_service" -> Availability.READY;
             case "terminating" -> Availability.DRAINING;
             case "terminated" -> Availability.GONE;
-            default -> throw new IOException("unknown state " + text);
+            default -> throw new IOException("endpoint list: unknown server state " + text);
         };
     }
 
-    /** Takes a literal address and port only: there is no DNS, and a look-up would block the loop. */
+    /** Accepts only a literal IP address and port: there is no DNS, and a lookup would block the event loop. */
     static InetSocketAddress parseAddress(String text) throws IOException {
         int colon = String.valueOf(text).lastIndexOf(':');
         byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
-        require(ip != null, "not an address and port: " + text);
+        require(ip != null, "not an IP address and port: " + text);
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
             return new InetSocketAddress(InetAddress.getByAddress(ip), port);
         } catch (IllegalArgumentException e) {
-            throw new IOException("not an address and port: " + text, e);
+            throw new IOException("not an IP address and port: " + text, e);
         }
     }
 
--- a/src/main/java/quartzspan/clientproxy/Main.java
+++ b/src/main/java/quartzspan/clientproxy/Main.java
@@ -16,17 +16,17 @@
 import sun.misc.Signal;
 
 /**
- * Command line entry: {@code java -jar quartzspan.jar serve}, or {@code simulator} for the bench;
- * {@code warmup} is for the build.
+ * Command line entry point: {@code java -jar quartzspan.jar serve}, {@code simulator} for benchmarks, or
+ * {@code warmup} for the build.
  */
 public final class Main {
     private Main() {}
 
     /**
-     * Starts the client proxy that {@code NODE_CONFIG} describes, or the bench adapter on standard input
-     * and output.
+     * Starts the client proxy configured by {@code NODE_CONFIG}, or the simulator adapter on standard input and
+     * output.
      *
-     * @param args exactly one word, {@code serve}, {@code simulator} or {@code warmup}
+     * @param args exactly one argument, {@code serve}, {@code simulator} or {@code warmup}
      */
     public static void main(String[] args) {
         String mode = args.length == 1 ? args[0] : "";
@@ -47,8 +47,8 @@
     }
 
     /**
-     * Returns once it serves. SIGTERM lets it finish what it has taken before the process ends, from the moment
-     * before it listens; SIGHUP makes it read its configuration again, also one that comes before it is ready.
+     * Starts the client proxy and returns once it listens. From just before it listens, SIGTERM drains it before
+     * the process ends. SIGHUP reloads the configuration; a SIGHUP during startup takes effect when that completes.
      */
     private static void serve() throws Exception {
         logToStandardError();
@@ -65,8 +65,8 @@
     }
 
     /**
-     * Starts as a client proxy does, refuses one request for want of hosts and ends: while it does, the build
-     * lets the JVM note which classes a start needs, so that the deployed one has them at hand.
+     * Starts a client proxy, rejects one request for lack of endpoints and shuts down. The build has the JVM record
+     * the classes loaded meanwhile, so that the deployed proxy has them available at startup.
      */
     private static void warmUp() throws Exception {
         logToStandardError();
@@ -83,18 +83,19 @@
         }
     }
 
-    /** One at a time, since each signal has its own thread: the file as it is last must be taken last. */
+    /** Synchronized because each signal has its own thread: the latest version of the file must be applied last. */
     private static synchronized void reload(ClientProxy proxy, String file) {
         try {
             proxy.reload(ClientProxyConfig.load(file));
         } catch (IOException | RuntimeException e) {
-            System.err.println("quartzspan: the configuration stays as it was: " + Adapter.plain(e));
+            System.err.println(
+                    "quartzspan: configuration not reloaded, the previous one stays in effect: " + Adapter.plain(e));
         }
     }
 
     /**
-     * What libraries have to say goes to standard error in plain lines. The platform's own form needs a file
-     * for the time zone: a warning that descriptors have run out would end the thread that gives it.
+     * Sends library logs to standard error as single lines. The default formatter opens a time zone file, so a
+     * warning that the process is out of descriptors would end the thread that logs it.
      */
     private static void logToStandardError() {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
--- a/src/main/java/quartzspan/clientproxy/WarmUp.java
+++ b/src/main/java/quartzspan/clientproxy/WarmUp.java
@@ -24,16 +24,16 @@
 import quartzspan.loadbalancing.LoadBalancer.Source;
 
 /**
- * Runs the code of a request's way some hundred times before the first one comes: what the JVM has not yet
- * compiled takes ten times the CPU, and there is little of that. Nothing of it is kept but the compiled code.
+ * Executes the request path a few hundred times before the first client request: code that the JVM has not
+ * compiled yet takes ten times the CPU, which is scarce. Only the compiled code is kept.
  *
- * <p>The decisions are made by a module of its own that sees all its attempts served. The sockets are those
- * of a client proxy that is its own only host: a request goes from {@link ConnectionPool} to its {@link HttpServer},
- * on to itself once more, where its id is already open and it is refused, and all the way back. So nothing
- * listens or is spoken to but the address where clients will connect.
+ * <p>A separate load balancer, all of whose attempts succeed, runs the decision code. The network code runs in a
+ * client proxy that is its own only endpoint: a request goes from {@link ConnectionPool} to its {@link HttpServer},
+ * is forwarded to itself once more, is rejected there because its id is already open, and the response goes back
+ * the same way. So only the address that clients will connect to is listened on or connected to.
  */
 final class WarmUp {
-    /** The JVM compiles what has been called 200 times, and what that calls a little later. */
+    /** The JVM compiles a method after 200 calls, and the methods that it calls a little later. */
     private static final int ITERATIONS = 250;
 
     private static final int ENDPOINTS = 12;
@@ -42,7 +42,7 @@
 
     private WarmUp() {}
 
-    /** Requests and outcomes through a module. */
+    /** Runs requests and their outcomes through a separate load balancer. */
     static void warmUpBalancer(LoadBalancer.Settings settings) {
         ArrayDeque<AttemptEnd> pendingEnds = new ArrayDeque<>();
         long now = 1_000_000;
@@ -77,7 +77,7 @@
         }
     }
 
-    /** A list whose one host is the client proxy itself. */
+    /** An endpoint list with the client proxy itself as the only entry. */
     static EndpointList listOfSelf(InetAddress address, int port) {
         return new EndpointList(
                 0,
@@ -86,7 +86,7 @@
                         SELF_ID, new InetSocketAddress(address, port), "", "", 0, Availability.READY, 1, 0)));
     }
 
-    /** Sends each request on to itself, and fails it when that comes back refused. */
+    /** A load balancer that forwards each request to the proxy itself and fails it when the attempt ends. */
     static LoadBalancer forwardingBalancer(LoadBalancer.Actions actions) {
         return new LoadBalancer() {
             @Override
@@ -119,7 +119,7 @@
         };
     }
 
-    /** Requests through the sockets, one after the other; on the event loop, all but the wait. */
+    /** Sends requests through the sockets one after the other, on the event loop except for {@link #await}. */
     static final class SocketWarmUp {
         private final EventLoop loop;
         private final ConnectionPool upstream;
@@ -161,7 +161,7 @@
         }
     }
 
-    /** Decisions that go nowhere. */
+    /** Ignores all decisions. */
     private static class IgnoredActions implements LoadBalancer.Actions {
         @Override
         public void send(String requestId, String endpointId, long timeoutUs) {}
