--- a/src/test/java/quartzspan/clientproxy/ClientDisconnectTest.java
+++ b/src/test/java/quartzspan/clientproxy/ClientDisconnectTest.java
@@ -18,11 +18,11 @@
 import quartzspan.loadbalancing.LoadBalancer.AttemptEnd;
 import quartzspan.loadbalancing.LoadBalancer.Outcome;
 
-/** Clients that leave while their request waits: it is not sent on, whatever it waits for. */
+/** A request whose client disconnects while it waits is not forwarded, whatever it waits for. */
 class ClientDisconnectTest extends ClientProxyFixture {
     private final BlockingQueue<String> heldRequests = new LinkedBlockingQueue<>();
 
-    /** A host that serves, and a module that sends each request to it but those whose id says to hold them. */
+    /** Starts a server and a proxy that forwards every request to it, except those whose id starts with "held". */
     private Server startWithServer() throws Exception {
         Server host = startServer(s -> s.served("x"));
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
@@ -38,13 +38,15 @@
 
     private void assertOnlyNextRequestArrives(Server host) throws Exception {
         assertEquals(200, connectClient().unsafe("last", 20_000).read().status());
-        assertEquals("last", LoopbackPeers.next(host.seen, "the last").message().header("x-request-id"));
+        assertEquals(
+                "last",
+                LoopbackPeers.next(host.seen, "the last request").message().header("x-request-id"));
         assertTrue(host.seen.isEmpty());
     }
 
     @Test
     void whileTheEventLoopIsBlocked() throws Exception {
-        // Each request and its client's leaving are both there when the loop comes to look.
+        // When the event loop continues, it finds both the request and the disconnect of each client.
         Server host = startWithServer();
         Client reused = connectClient();
         Client reset = connectClient();
@@ -54,7 +56,7 @@
         Client blocking = connectClient();
         CountDownLatch release =
                 blockEventLoop(blocking, () -> balancer.onRequest = next -> balancer.actions.send(next.id(), "s", 0));
-        reused.unsafe("on a kept connection", 20_000).close();
+        reused.unsafe("on a reused connection", 20_000).close();
         reset.unsafe("reset", 20_000).socket.setSoLinger(true, 0);
         reset.close();
         connectClient().unsafe("in the queue", 20_000).close();
@@ -62,7 +64,7 @@
         release.countDown();
         assertEquals(503, blocking.read().status());
         assertOnlyNextRequestArrives(host);
-        assertTrue(balancer.disconnects.isEmpty(), "none was begun");
+        assertTrue(balancer.disconnects.isEmpty(), "no request must reach the load balancer");
     }
 
     @Test
@@ -71,7 +73,7 @@
         Client client = connectClient().unsafe("held", 20_000);
         LoopbackPeers.next(heldRequests, "the request");
         client.close();
-        assertEquals("held", LoopbackPeers.next(balancer.disconnects, "the client's leaving"));
+        assertEquals("held", LoopbackPeers.next(balancer.disconnects, "the disconnect"));
         balancer.onRequest = r -> {
             balancer.actions.send("held", "s", 0);
             balancer.actions.send(r.id(), "s", 0);
@@ -85,13 +87,13 @@
         Client client = connectClient().unsafe("held", 20_000).unsafe("behind", 20_000);
         LoopbackPeers.next(heldRequests, "the first request");
         client.close();
-        assertEquals("held", LoopbackPeers.next(balancer.disconnects, "the client's leaving"));
+        assertEquals("held", LoopbackPeers.next(balancer.disconnects, "the disconnect"));
         assertOnlyNextRequestArrives(host);
     }
 
     @Test
     void whileTheServerConnectionIsBeingEstablished() throws Exception {
-        // Also where the settings forbid to cancel.
+        // Also with settings that forbid the cancellation of attempts.
         for (boolean cancelOnDisconnect : new boolean[] {true, false}) {
             try (Deaf deaf = new Deaf()) {
                 balancer.cancelOnDisconnect = cancelOnDisconnect;
@@ -104,17 +106,19 @@
                 Client client = connectClient().unsafe("late", 20_000);
                 assertTrue(sent.await(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
                 client.close();
-                assertEquals("late", LoopbackPeers.next(balancer.disconnects, "the client's leaving"));
+                assertEquals("late", LoopbackPeers.next(balancer.disconnects, "the disconnect"));
                 if (cancelOnDisconnect) {
                     assertEquals(
                             Outcome.CANCELED,
-                            LoopbackPeers.next(balancer.attemptEnds, "the end").outcome());
+                            LoopbackPeers.next(balancer.attemptEnds, "the end of the attempt")
+                                    .outcome());
                 } else {
                     deaf.hear();
-                    assertTrue(deaf.silent(), "nothing was written");
+                    assertTrue(deaf.silent(), "nothing must be sent");
                     assertEquals(
                             Outcome.IGNORED,
-                            LoopbackPeers.next(balancer.attemptEnds, "the end").outcome());
+                            LoopbackPeers.next(balancer.attemptEnds, "the end of the attempt")
+                                    .outcome());
                 }
                 proxy.drain();
             }
@@ -138,10 +142,10 @@
         balancer.onRequest = r -> balancer.actions.send(r.id(), "t", 0);
         Client client = connectClient().unsafe("twice", 20_000);
         LoopbackPeers.next(attempts, "the first attempt").notRun();
-        AttemptEnd end = LoopbackPeers.next(balancer.attemptEnds, "its end");
+        AttemptEnd end = LoopbackPeers.next(balancer.attemptEnds, "the end of the first attempt");
         assertEquals(Outcome.QUEUE_FULL, end.outcome());
         client.close();
-        assertEquals("twice", LoopbackPeers.next(balancer.disconnects, "the client's leaving"));
+        assertEquals("twice", LoopbackPeers.next(balancer.disconnects, "the disconnect"));
         balancer.onRequest = r -> {
             balancer.actions.send("twice", "s", 0);
             balancer.actions.send(r.id(), "s", 0);
@@ -151,7 +155,8 @@
 
     @Test
     void afterIdleConnectionsAreClosedInADrain() throws Exception {
-        // A client that stays tells when the guards are due: the other's leaving is seen before.
+        // One of two held requests is dropped by its client; the disconnect must be reported before the response
+        // timeouts of the drain, which would report the other one first.
         startWithServer();
         connectClient().unsafe("held a", 20_000);
         Client leaving = connectClient().unsafe("held b", 20_000);
@@ -166,16 +171,16 @@
             Thread.sleep(20);
         }
         assertTrue(idle.closed());
-        // Idle ones are closed at the last call, which comes after the first that is sent away.
+        // Idle connections are closed together, after the first "Connection: close" response.
         try (Client lateClient = connectClient()) {
             assertTrue(lateClient.closed());
         } catch (ConnectException refused) {
-            // this machine is slow: the last call has been
+            // slow machine: the proxy has stopped listening
         }
         leaving.close();
         boolean inTime = System.nanoTime() - drainStartedNs < TimeUnit.MILLISECONDS.toNanos(3_400);
-        String disconnected = LoopbackPeers.next(balancer.disconnects, "the client's leaving");
-        // Only this machine's being slow excuses it: the guards were due by then.
+        String disconnected = LoopbackPeers.next(balancer.disconnects, "the disconnect");
+        // Another order is acceptable only on a slow machine, after the response timeouts.
         assertEquals(inTime ? "held b" : disconnected, disconnected);
     }
 }
--- a/src/test/java/quartzspan/clientproxy/ClientProxyFixture.java
+++ b/src/test/java/quartzspan/clientproxy/ClientProxyFixture.java
@@ -25,14 +25,14 @@
 import quartzspan.loadbalancing.LoadBalancer.Request;
 import quartzspan.loadbalancing.LoadBalancer.Source;
 
-/** The sockets under a module that does what the test says, so that each outcome can be seen by itself. */
+/** Runs a client proxy on real sockets with a scripted load balancer, so that each outcome can be tested alone. */
 abstract class ClientProxyFixture {
     final List<AutoCloseable> resources = new ArrayList<>();
     final ScriptedBalancer balancer = new ScriptedBalancer();
     ClientProxy proxy;
     Discovery discovery;
 
-    /** A module that writes down events; a test sets what it does on a request and on an attempt's end. */
+    /** A load balancer that records events; a test sets its reaction to a request and to the end of an attempt. */
     static final class ScriptedBalancer implements LoadBalancer {
         final BlockingQueue<AttemptEnd> attemptEnds = new LinkedBlockingQueue<>();
         final BlockingQueue<String> discoveryEvents = new LinkedBlockingQueue<>();
@@ -106,7 +106,7 @@
                 },
                 beforeListening);
         assertTrue(
-                LoopbackPeers.next(balancer.discoveryEvents, "the list known").startsWith("CACHED"));
+                LoopbackPeers.next(balancer.discoveryEvents, "the cached list").startsWith("CACHED"));
     }
 
     Server startServer(Consumer<Seen> script) throws Exception {
@@ -132,7 +132,7 @@
         }
     }
 
-    /** Makes the loop stand still at a request of this client, until the latch is opened; then does this. */
+    /** Blocks the event loop in a request of this client until the returned latch is opened; then runs the action. */
     CountDownLatch blockEventLoop(Client client, Runnable afterRelease) throws Exception {
         CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
@@ -146,12 +146,12 @@
             afterRelease.run();
             balancer.actions.refuse(r.id(), 0);
         };
-        client.unsafe("stand", 20_000);
+        client.unsafe("blocking", 20_000);
         assertTrue(blocked.await(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
         return release;
     }
 
-    /** One request sent once to a host with this script; returns how the attempt ended. */
+    /** Sends one request to a server with this script, in one attempt; returns the end of the attempt. */
     AttemptEnd attemptOnce(Consumer<Seen> script, long timeoutUs) throws Exception {
         Server host = startServer(script);
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
@@ -162,7 +162,7 @@
         int status = client.read().status();
         assertEquals(end.outcome() == Outcome.OK ? 200 : 502, status);
         assertEquals(end.outcome() == Outcome.OK, end.requestDone());
-        assertEquals(1, host.seen.size(), "sent once and no more");
+        assertEquals(1, host.seen.size(), "the request must be sent exactly once");
         return end;
     }
 }
--- a/src/test/java/quartzspan/clientproxy/ClientProxyProcessTest.java
+++ b/src/test/java/quartzspan/clientproxy/ClientProxyProcessTest.java
@@ -28,7 +28,7 @@
 import quartzspan.http.LoopbackPeers.Seen;
 import quartzspan.http.LoopbackPeers.Server;
 
-/** The whole program, started as it is deployed, with the real module. */
+/** Runs the complete program in its own process, started as in a deployment, with the real load balancer. */
 class ClientProxyProcessTest {
     @TempDir
     Path folder;
@@ -66,17 +66,17 @@
             }
             Thread.sleep(20);
         }
-        throw new AssertionError("never ready");
+        throw new AssertionError("the proxy did not become ready");
     }
 
-    /** A port under those that the system gives to outgoing connections, which could take it again. */
+    /** A free port below the ephemeral range, so that no outgoing connection can take it. */
     private static int freePort() {
         while (true) {
             int port = ThreadLocalRandom.current().nextInt(20_000, 30_000);
             try (ServerSocket s = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
                 return s.getLocalPort();
             } catch (IOException e) {
-                // taken: try another
+                // in use: try another one
             }
         }
     }
@@ -135,22 +135,22 @@
         int port = start(startServer(script), startServer(script), startServer(script));
         try (Client client = new Client(port)) {
             assertEquals(200, client.unsafe("not-run", 20_000).read().status());
-            assertEquals(2, attempts.getAndSet(0), "tried again after it was turned away");
+            assertEquals(2, attempts.getAndSet(0), "one retry after a rejection");
             assertEquals(502, client.unsafe("error", 20_000).read().status());
-            assertEquals(1, attempts.getAndSet(0), "an error may have run");
+            assertEquals(1, attempts.getAndSet(0), "a request answered with an error may have run");
             assertEquals(502, client.unsafe("reset", 20_000).read().status());
-            assertEquals(1, attempts.getAndSet(0), "a reset may have run");
-            // Safe to repeat: it goes on to another host, and a refusal is a true word whatever came of it.
+            assertEquals(1, attempts.getAndSet(0), "a request that ended in a reset may have run");
+            // A safe request is retried on another server, and may be rejected with 503 whether or not it has run.
             int status = client.safe("reset", 20_000).read().status();
             assertEquals(503, status);
-            assertTrue(attempts.get() > 1, "tried again: " + attempts);
+            assertTrue(attempts.get() > 1, "attempts: " + attempts);
         }
     }
 
     @Test
     void afterSigtermRequestsAreServedUntilTheProcessExits() throws Exception {
         Server host = startServer(s -> {
-            if (!s.message().header("x-request-id").equals("out")) {
+            if (!s.message().header("x-request-id").equals("pending")) {
                 s.served("x");
             }
         });
@@ -158,17 +158,17 @@
         try (Client reused = new Client(port);
                 Client pending = new Client(port);
                 Client idle = new Client(port)) {
-            // Enough of them for the module to know that an answer takes less than the time until SIGKILL.
+            // Enough requests for the load balancer to measure that a response takes less than the time until SIGKILL.
             for (int i = 0; i < 200; i++) {
                 assertEquals(200, reused.unsafe("before" + i, 20_000).read().status());
-                LoopbackPeers.next(host.seen, "a request before");
+                LoopbackPeers.next(host.seen, "a request before the signal");
             }
-            pending.unsafe("out", 20_000);
-            Seen waiting = LoopbackPeers.next(host.seen, "the request that is out");
+            pending.unsafe("pending", 20_000);
+            Seen waiting = LoopbackPeers.next(host.seen, "the pending request");
             long signalledNs = System.nanoTime();
             process.destroy();
             try {
-                // The signal takes a moment; readiness tells that it was heard, and that the end is near.
+                // Signal handling takes a moment; readiness changes when the drain begins and the exit is near.
                 String ready = "GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n";
                 Message last;
                 do {
@@ -176,7 +176,8 @@
                 } while (last.status() == 200);
                 assertEquals(200, reused.unsafe("after", 20_000).read().status());
                 try (Client newClient = new Client(port)) {
-                    assertEquals(200, newClient.unsafe("fresh", 20_000).read().status(), "new ones are served");
+                    assertEquals(
+                            200, newClient.unsafe("fresh", 20_000).read().status(), "new connections must be served");
                 }
                 while (last.header("connection") == null) {
                     last = reused.write(ready).read();
@@ -184,11 +185,11 @@
                 assertEquals("close", last.header("connection"));
                 assertTrue(reused.closed());
             } catch (IOException e) {
-                // Only this machine's being slow excuses it: the time in which requests still come was over.
+                // Acceptable only on a slow machine: the time in which requests are still served has passed.
                 assertTrue(System.nanoTime() - signalledNs > TimeUnit.MILLISECONDS.toNanos(500), e.toString());
             }
-            assertTrue(idle.closed(), "idle connections close in the end");
-            assertTrue(process.isAlive(), "one request is out");
+            assertTrue(idle.closed(), "idle connections must be closed");
+            assertTrue(process.isAlive(), "the process must run while a request is pending");
             waiting.served("late");
             assertEquals("late", pending.read().text());
             assertTrue(process.waitFor(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
@@ -212,14 +213,14 @@
         try (Client client = new Client(port)) {
             assertEquals(200, client.unsafe("after", 20_000).read().status());
         }
-        assertEquals(0, other.server.seen.size(), "one watch for two signals with the same file");
+        assertEquals(0, other.server.seen.size(), "two signals with the same file must open one watch");
     }
 
     private void sendSighup() throws Exception {
         assertEquals(
                 0,
                 new ProcessBuilder("kill", "-HUP", "" + process.pid()).start().waitFor());
-        // Signals of one kind that are still pending are one: only the last of them is sure to be seen.
+        // Pending signals of the same kind are merged: only the last one is certain to be handled.
         Thread.sleep(50);
     }
 
--- a/src/test/java/quartzspan/clientproxy/DiscoveryTest.java
+++ b/src/test/java/quartzspan/clientproxy/DiscoveryTest.java
@@ -23,7 +23,7 @@
 import quartzspan.loadbalancing.LoadBalancer.Endpoint;
 import quartzspan.loadbalancing.LoadBalancer.Source;
 
-/** Lists of hosts, watches that fail, and a move to another discovery. */
+/** Endpoint lists, failing watches, and changes of the discovery address. */
 class DiscoveryTest extends ClientProxyFixture {
     @Test
     void fullAndDeltaListsAreAppliedAndABrokenWatchIsReportedOnce() throws Exception {
@@ -38,10 +38,10 @@
         String requestLine = watch.message().first();
         assertTrue(requestLine.startsWith("GET /api/targets?watch=1&after=1 "), requestLine);
         Discovery.push(watch, LoopbackPeers.list(2, true, LoopbackPeers.host("t", "127.0.0.1:2", "in_service")));
-        assertEquals("FULL [t 1 READY]", LoopbackPeers.next(balancer.discoveryEvents, "the whole list"));
+        assertEquals("FULL [t 1 READY]", LoopbackPeers.next(balancer.discoveryEvents, "the full list"));
         Discovery.push(watch, "");
         Discovery.push(watch, LoopbackPeers.list(3, false, LoopbackPeers.host("t", "127.0.0.1:2", "terminated")));
-        assertEquals("DELTA [t 1 GONE]", LoopbackPeers.next(balancer.discoveryEvents, "a change"));
+        assertEquals("DELTA [t 1 GONE]", LoopbackPeers.next(balancer.discoveryEvents, "the delta list"));
         assertEquals(
                 503,
                 connectClient()
@@ -49,9 +49,10 @@
                         .read()
                         .status());
         Discovery.push(watch, "{\"version\":4,\"servers\":[{\"id\":7");
-        assertEquals("failed", LoopbackPeers.next(balancer.discoveryEvents, "the bad line's failure"));
+        assertEquals("failed", LoopbackPeers.next(balancer.discoveryEvents, "the failure after the invalid list"));
         watch.awaitEnd();
-        assertEquals(0, discovery.server.seen.size(), "asked again only when the module says so");
+        assertEquals(
+                0, discovery.server.seen.size(), "a new watch must be opened only on request of the load balancer");
         balancer.onRequest = r -> {
             balancer.actions.subscribe();
             balancer.actions.fail(r.id());
@@ -62,13 +63,13 @@
                 secondWatch.message().first().contains("after=3 "),
                 secondWatch.message().first());
         secondWatch.reset();
-        assertEquals("failed", LoopbackPeers.next(balancer.discoveryEvents, "the break"));
-        assertTrue(balancer.discoveryEvents.isEmpty(), "each failure is told once");
+        assertEquals("failed", LoopbackPeers.next(balancer.discoveryEvents, "the failure after the reset"));
+        assertTrue(balancer.discoveryEvents.isEmpty(), "each failure must be reported once");
     }
 
     @Test
     void automaticModeStartsAndRetriesTheWatchItself() throws Exception {
-        // Guards deployments whose lists are pushed: there the module never asks, and is told of no failure.
+        // In automatic mode the load balancer neither subscribes nor receives failures, so the proxy opens the watch.
         discovery = closeAfterTest(new Discovery());
         String config =
                 LoopbackPeers.config(0, discovery.server.address(), "", "null").replace("subscribe", "automatic");
@@ -87,7 +88,8 @@
 
     @Test
     void automaticModeReceivesTheFirstListBeforeListening() throws Exception {
-        // Guards rule 3 at a start: what the agent has counts as told, and the list known may be old.
+        // The protocol counts the agent's list as received at startup, and the cached list may be outdated: no request
+        // may go to an endpoint that is already draining.
         Server agent = startServer(s -> {
             try {
                 Thread.sleep(100);
@@ -131,7 +133,7 @@
     void watchWithoutDataFailsAfterTheReadTimeout() throws Exception {
         start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
         Seen watch = discovery.asked();
-        assertEquals("failed", LoopbackPeers.next(balancer.discoveryEvents, "the silence"));
+        assertEquals("failed", LoopbackPeers.next(balancer.discoveryEvents, "the failure after the read timeout"));
         watch.awaitEnd();
     }
 
@@ -142,7 +144,7 @@
 
     @Test
     void changingTheDiscoveryAddressRequestsAFullListWithoutReportingAFailure() throws Exception {
-        // Guards the numbering: another discovery counts its versions in its own way.
+        // Another discovery service has its own version numbers, so a delta since the old version would be wrong.
         Discovery other = closeAfterTest(new Discovery());
         start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
         Seen watch = discovery.asked();
@@ -160,13 +162,14 @@
                         .write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
                         .read()
                         .status(),
-                "the old list holds");
+                "the old list must stay in use");
         changeDiscovery(other.server.address());
         Discovery.push(newWatch, LoopbackPeers.list(2, true, LoopbackPeers.host("t", "127.0.0.1:1", "in_service")));
         assertEquals(
                 "FULL [t 1 READY]",
-                LoopbackPeers.next(balancer.discoveryEvents, "the other's list, and no failure before"));
-        assertEquals(0, other.server.seen.size(), "the same address is no move");
+                LoopbackPeers.next(
+                        balancer.discoveryEvents, "the list of the new discovery service, with no failure before it"));
+        assertEquals(0, other.server.seen.size(), "setting the same address must not open a new watch");
     }
 
     @Test
@@ -175,12 +178,11 @@
         start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
         discovery.asked();
         changeDiscovery(unresponsive.server.address());
-        LoopbackPeers.next(unresponsive.server.seen, "the watch that is not answered")
-                .awaitEnd();
+        LoopbackPeers.next(unresponsive.server.seen, "the unanswered watch").awaitEnd();
         assertEquals("failed", LoopbackPeers.next(balancer.discoveryEvents, "the failure"));
         changeDiscovery(discovery.server.address());
         Discovery.push(discovery.asked(), LoopbackPeers.list(9, true));
-        assertEquals("FULL []", LoopbackPeers.next(balancer.discoveryEvents, "the list after moving back"));
+        assertEquals("FULL []", LoopbackPeers.next(balancer.discoveryEvents, "the list after the change back"));
     }
 
     @Test
@@ -210,7 +212,9 @@
                     200, connectClient().unsafe("id" + ids++, 20_000).read().status(), invalid);
         }
         Discovery.push(discovery.asked(), LoopbackPeers.list(9, true, host, host));
-        assertEquals("FULL [s 1 READY, s 1 READY]", LoopbackPeers.next(balancer.discoveryEvents, "a host named twice"));
+        assertEquals(
+                "FULL [s 1 READY, s 1 READY]",
+                LoopbackPeers.next(balancer.discoveryEvents, "the list with a duplicate server"));
         assertEquals(200, connectClient().unsafe("last", 20_000).read().status());
     }
 
@@ -228,22 +232,27 @@
         String idWithBraces = LoopbackPeers.host("t}{\\\"]", "127.0.0.1:2", "in_service");
         Discovery.push(
                 watch, indented(LoopbackPeers.list(2, true, LoopbackPeers.host("s", "127.0.0.1:1", "in_service"))));
-        assertEquals("FULL [s 1 READY]", LoopbackPeers.next(balancer.discoveryEvents, "a list over many lines"));
+        assertEquals("FULL [s 1 READY]", LoopbackPeers.next(balancer.discoveryEvents, "the list over several lines"));
         Discovery.push(
                 watch,
                 LoopbackPeers.list(3, false, idWithBraces) + "  "
                         + indented(
                                 LoopbackPeers.list(4, false, LoopbackPeers.host("s", "127.0.0.1:1", "terminating"))));
         assertEquals(
-                "DELTA [t}{\"] 1 READY]", LoopbackPeers.next(balancer.discoveryEvents, "the first of two in one line"));
-        assertEquals("DELTA [s 1 DRAINING]", LoopbackPeers.next(balancer.discoveryEvents, "the second"));
+                "DELTA [t}{\"] 1 READY]",
+                LoopbackPeers.next(balancer.discoveryEvents, "the first of two lists in one line"));
+        assertEquals(
+                "DELTA [s 1 DRAINING]",
+                LoopbackPeers.next(balancer.discoveryEvents, "the second of two lists in one line"));
         for (char c : (LoopbackPeers.list(5, true, idWithBraces).replace(",", ",\n ") + "\n").toCharArray()) {
             watch.write("1\r\n" + c + "\r\n");
         }
         assertEquals(
-                "FULL [t}{\"] 1 READY]", LoopbackPeers.next(balancer.discoveryEvents, "one that came byte by byte"));
+                "FULL [t}{\"] 1 READY]", LoopbackPeers.next(balancer.discoveryEvents, "the list sent byte by byte"));
         watch.reset();
-        assertEquals("failed", LoopbackPeers.next(balancer.discoveryEvents, "the break, and no failure before"));
+        assertEquals(
+                "failed",
+                LoopbackPeers.next(balancer.discoveryEvents, "the failure after the reset, with none before it"));
     }
 
     @Test
@@ -257,7 +266,7 @@
                 try {
                     watch.ended().get(200, TimeUnit.MILLISECONDS);
                 } catch (TimeoutException stillOpen) {
-                    // The next byte tells.
+                    // The watch is still open: send another byte.
                 } catch (Exception e) {
                     throw new AssertionError(e);
                 }
@@ -265,14 +274,14 @@
         });
         slowSender.setDaemon(true);
         slowSender.start();
-        assertEquals("failed", LoopbackPeers.next(balancer.discoveryEvents, "the silence"));
+        assertEquals("failed", LoopbackPeers.next(balancer.discoveryEvents, "the failure after the read timeout"));
         watch.awaitEnd();
         slowSender.join();
     }
 
     @Test
     void emptyLinesKeepAnIdleWatchOpen() throws Exception {
-        // Longer than silence is borne; the list that comes in the end comes on the same watch.
+        // The empty lines continue for longer than the read timeout; the list arrives on the same watch.
         start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
         Seen watch = discovery.asked();
         for (int i = 0; i < 12; i++) {
@@ -285,7 +294,7 @@
 
     @Test
     void stoppedDiscoveryOpensNoWatch() throws Exception {
-        // Guards the end of a drain: a SIGHUP, or the pause after a failed call, may come after it.
+        // After a drain, a SIGHUP or the retry of a failed watch may still occur and must not open a new watch.
         Discovery old = closeAfterTest(new Discovery());
         Discovery other = closeAfterTest(new Discovery());
         ClientProxyConfig config = ClientProxyConfig.parse(
@@ -314,12 +323,14 @@
                     return null;
                 })
                 .get();
-        // Connections are accepted in the order in which they were made: one of our own comes after any.
+        // Connections are accepted in the order they were made: this one comes after any made by the stopped discovery.
         for (Discovery each : List.of(old, other)) {
             closeAfterTest(new Client(each.server.socket.getLocalPort())).write("GET /last HTTP/1.1\r\n\r\n");
             assertEquals(
                     "GET /last HTTP/1.1",
-                    LoopbackPeers.next(each.server.seen, "ours").message().first());
+                    LoopbackPeers.next(each.server.seen, "the connection of the test")
+                            .message()
+                            .first());
             assertEquals(1, each.server.connections.size());
         }
     }
--- a/src/test/java/quartzspan/clientproxy/EventOrderingTest.java
+++ b/src/test/java/quartzspan/clientproxy/EventOrderingTest.java
@@ -16,23 +16,23 @@
 import quartzspan.loadbalancing.LoadBalancer.AttemptEnd;
 import quartzspan.loadbalancing.LoadBalancer.Outcome;
 
-/** News that meets a request, an answer or a signal on its way, each forced where two could cross. */
+/** Races between discovery events, requests, responses and signals, each forced into the order under test. */
 class EventOrderingTest extends ClientProxyFixture {
     private static final String READY = "GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n";
     private volatile String chosenRequestId;
 
     @Test
     void responseConcurrentWithACancellationEndsTheAttemptOnce() throws Exception {
-        // The answer is there when the loop, which stood still, carries out the cancel.
+        // The response has arrived when the event loop, which was blocked, carries out the cancellation.
         BlockingQueue<Seen> received = new LinkedBlockingQueue<>();
         Server host = startServer(received::add);
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
-        Client client = connectClient().unsafe("met", 20_000);
+        Client client = connectClient().unsafe("racing", 20_000);
         Seen attempt = LoopbackPeers.next(received, "the attempt");
         Client other = connectClient();
         balancer.onAttemptEnd = e -> balancer.actions.fail(e.requestId());
-        CountDownLatch release = blockEventLoop(other, () -> balancer.actions.cancel("met", 0));
+        CountDownLatch release = blockEventLoop(other, () -> balancer.actions.cancel("racing", 0));
         attempt.served("too late");
         release.countDown();
         assertEquals(503, other.read().status());
@@ -40,8 +40,8 @@
         AttemptEnd end = LoopbackPeers.next(balancer.attemptEnds, "the end");
         assertEquals(Outcome.CANCELED, end.outcome());
         attempt.awaitEnd();
-        assertTrue(balancer.attemptEnds.isEmpty(), "one end");
-        assertEquals(1, host.seen.size(), "no second copy");
+        assertTrue(balancer.attemptEnds.isEmpty(), "the attempt must end once");
+        assertEquals(1, host.seen.size(), "the request must be sent once");
     }
 
     @Test
@@ -55,25 +55,25 @@
                 balancer.actions.fail(e.requestId());
             }
         };
-        Client client = connectClient().unsafe("met", 20_000);
+        Client client = connectClient().unsafe("racing", 20_000);
         Seen attempt = LoopbackPeers.next(received, "the attempt");
         Client other = connectClient();
         CountDownLatch release = blockEventLoop(other, () -> {});
-        Thread.sleep(400); // the attempt's time runs out while nothing is looked at
+        Thread.sleep(400); // the attempt times out while the event loop is blocked
         attempt.served("x");
         release.countDown();
         int status = client.read().status();
         AttemptEnd end = LoopbackPeers.next(balancer.attemptEnds, "the end");
-        assertEquals(end.outcome() == Outcome.OK ? 200 : 502, status, "the end and the answer agree");
+        assertEquals(end.outcome() == Outcome.OK ? 200 : 502, status, "the reported outcome must match the response");
         assertTrue(end.outcome() == Outcome.OK || end.outcome() == Outcome.TIMED_OUT, end.toString());
         assertEquals(503, other.read().status());
-        assertTrue(balancer.attemptEnds.isEmpty(), "one end");
+        assertTrue(balancer.attemptEnds.isEmpty(), "the attempt must end once");
         assertEquals(1, host.seen.size());
     }
 
     @Test
     void endpointDrainedBetweenSelectionAndSendingReceivesNoRequest() throws Exception {
-        // The module chose the host before it was told, and the send is carried out after.
+        // The load balancer selects the endpoint before the drain is listed; the request is sent afterwards.
         Server host = startServer(s -> s.served("x"));
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
         Seen watch = discovery.asked();
@@ -86,7 +86,7 @@
             chosenRequestId = r.id();
         };
         client.unsafe("second", 20_000);
-        assertEquals("DELTA [s 1 DRAINING]", LoopbackPeers.next(balancer.discoveryEvents, "the drain"));
+        assertEquals("DELTA [s 1 DRAINING]", LoopbackPeers.next(balancer.discoveryEvents, "the draining endpoint"));
         LoopbackPeers.next(host.seen, "the first request").awaitEnd();
         balancer.onRequest = r -> {
             balancer.actions.send(chosenRequestId, "s", 0);
@@ -100,12 +100,12 @@
         assertEquals(
                 Outcome.IGNORED,
                 LoopbackPeers.next(balancer.attemptEnds, "the second").outcome());
-        assertTrue(host.seen.isEmpty(), "nothing new");
+        assertTrue(host.seen.isEmpty(), "no further request must arrive");
     }
 
     @Test
     void requestIdIsAcceptedAgainAfterItsIncompleteFirstCopyTimedOut() throws Exception {
-        // Its first copy was never read: the connection was closed by us as quiet.
+        // The first copy was never read completely: the proxy closed its connection after the request timeout.
         Server host = startServer(s -> s.served("x"));
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
@@ -120,7 +120,7 @@
 
     @Test
     void requestResentAfterADisconnectIsSentOnlyAfterTheFirstAttemptIsClosed() throws Exception {
-        // The first copy is out when its client goes; the second is sent on a connection of its own, after.
+        // The client disconnects during the first attempt; the second copy is sent on another connection, afterwards.
         BlockingQueue<Seen> received = new LinkedBlockingQueue<>();
         Server host = startServer(received::add);
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
@@ -128,7 +128,7 @@
         Client first = connectClient().safe("same", 20_000);
         Seen firstAttempt = LoopbackPeers.next(received, "the first copy");
         first.close();
-        assertEquals("same", LoopbackPeers.next(balancer.disconnects, "the client's leaving"));
+        assertEquals("same", LoopbackPeers.next(balancer.disconnects, "the disconnect"));
         firstAttempt.awaitEnd();
         Client second = connectClient().safe("same", 20_000);
         LoopbackPeers.next(received, "the second copy").served("again");
@@ -150,7 +150,8 @@
         Client client = connectClient().unsafe("a", 20_000).unsafe("b", 20_000);
         Seen first = LoopbackPeers.next(received, "the first");
         proxy.drain();
-        assertEquals(503, connectClient().write(READY).read().status(), "the drain has begun");
+        assertEquals(
+                503, connectClient().write(READY).read().status(), "readiness must be off once the drain has begun");
         first.served("one");
         assertEquals("one", client.read().text());
         LoopbackPeers.next(received, "the second").served("two");
@@ -169,7 +170,7 @@
             Discovery.push(newWatch, LoopbackPeers.list(7, true, LoopbackPeers.host("t", "127.0.0.1:1", "in_service")));
             assertEquals(
                     "FULL [t 1 READY]",
-                    LoopbackPeers.next(balancer.discoveryEvents, "the list, and no failure before"));
+                    LoopbackPeers.next(balancer.discoveryEvents, "the list, with no failure before it"));
         }
     }
 
@@ -184,7 +185,9 @@
         changeDiscovery(other.server.address());
         Discovery.push(
                 other.asked(), LoopbackPeers.list(2, true, LoopbackPeers.host("t", "127.0.0.1:1", "in_service")));
-        assertEquals("FULL [t 1 READY]", LoopbackPeers.next(balancer.discoveryEvents, "the other's list"));
+        assertEquals(
+                "FULL [t 1 READY]",
+                LoopbackPeers.next(balancer.discoveryEvents, "the list of the new discovery service"));
     }
 
     @Test
@@ -195,12 +198,12 @@
         String list = LoopbackPeers.list(9, true, LoopbackPeers.host("t", "127.0.0.1:1", "in_service"));
         watch.write("f00\r\n" + list.substring(0, list.length() - 1));
         watch.reset();
-        assertEquals("failed", LoopbackPeers.next(balancer.discoveryEvents, "the break"));
+        assertEquals("failed", LoopbackPeers.next(balancer.discoveryEvents, "the failure after the reset"));
         balancer.onRequest = r -> {
             balancer.actions.subscribe();
             balancer.actions.send(r.id(), "s", 0);
         };
-        assertEquals(200, connectClient().unsafe("id1", 20_000).read().status(), "the list held stays");
+        assertEquals(200, connectClient().unsafe("id1", 20_000).read().status(), "the current list must stay in use");
         String requestLine = discovery.asked().message().first();
         assertTrue(requestLine.contains("after=1 "), requestLine);
     }
@@ -216,32 +219,32 @@
         Discovery.push(watch, same);
         LoopbackPeers.next(balancer.discoveryEvents, "the list");
         assertEquals(200, client.unsafe("id1", 20_000).read().status());
-        Thread.sleep(20); // a connection rests after an answer before it is used again
+        Thread.sleep(20); // a connection is reused only after a short pause
         Discovery.push(watch, same);
         LoopbackPeers.next(balancer.discoveryEvents, "the same list");
         assertEquals(200, client.unsafe("id2", 20_000).read().status());
-        assertEquals(1, server.connections.size(), "its connections stay");
+        assertEquals(1, server.connections.size(), "the connection must be reused");
     }
 
     @Test
     void requestIsNotSentAfterItsTimeoutExpiredInAPause() throws Exception {
-        // As after a freeze: the connection is up before the timer is looked at, and the deadline is long past.
+        // As after a pause of the process: the connection is established before the expired timeout is processed.
         try (LoopbackPeers.Deaf deaf = new LoopbackPeers.Deaf()) {
             start("", LoopbackPeers.host("s", deaf.address(), "in_service"));
             balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 700_000);
             balancer.onAttemptEnd = e -> balancer.actions.refuse(e.requestId(), 0);
             Client client = connectClient().unsafe("id1", 20_000);
-            // Once this is answered, the connection has been asked for.
+            // The response to this request shows that the connection attempt has started.
             connectClient().write(READY).read();
             CountDownLatch release = blockEventLoop(connectClient(), () -> {});
-            // The connection comes up when its opening is repeated, after a second.
+            // The connection is established when the SYN is retransmitted, after 1 s.
             deaf.hear();
             release.countDown();
             assertTrue(LoopbackPeers.next(balancer.attemptEnds, "the attempt's end")
                     .outcome()
                     .neverRan());
             assertEquals(503, client.read().status());
-            assertTrue(deaf.silent(), "nothing was written");
+            assertTrue(deaf.silent(), "nothing must be sent");
         }
     }
 
--- a/src/test/java/quartzspan/clientproxy/FaultyClientsTest.java
+++ b/src/test/java/quartzspan/clientproxy/FaultyClientsTest.java
@@ -20,11 +20,11 @@
 import quartzspan.loadbalancing.LoadBalancer.AttemptEnd;
 import quartzspan.loadbalancing.LoadBalancer.Outcome;
 
-/** Clients that do what the protocol does not ask of them. */
+/** Clients that violate the protocol, and pipelining. */
 class FaultyClientsTest extends ClientProxyFixture {
     @Test
     void longestIdleConnectionIsClosedAtTheConnectionLimit() throws Exception {
-        // Guards the limit on descriptors, and the usual clients against hundreds that say nothing.
+        // Guards the descriptor limit, and the other clients against hundreds of idle connections.
         start("");
         balancer.onRequest = r -> {};
         List<Client> idleClients = new ArrayList<>();
@@ -34,10 +34,10 @@
         }
         balancer.onRequest = r -> balancer.actions.fail(r.id());
         assertEquals(502, connectClient().unsafe("id1", 20_000).read().status());
-        assertTrue(idleClients.get(0).closed(), "the longest quiet one went");
+        assertTrue(idleClients.get(0).closed(), "the longest idle connection must be closed");
         balancer.actions.fail("busy");
         assertEquals(502, connectClient().unsafe("id2", 20_000).read().status());
-        assertEquals(502, busy.read().status(), "one with a request open stays");
+        assertEquals(502, busy.read().status(), "a connection with an open request must stay open");
     }
 
     @Test
@@ -52,10 +52,10 @@
 
     @Test
     void ambiguousRequestIsRejectedAndItsConnectionClosed() throws Exception {
-        // Guards against a request hidden in another's body: what follows such a head is never read.
+        // Guards against request smuggling: nothing after an ambiguous head may be read as a request.
         start("");
         balancer.onRequest = r -> {
-            throw new AssertionError("told of " + r);
+            throw new AssertionError("invalid request reached the load balancer: " + r);
         };
         String post =
                 "POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: a\r\nX-Class: unsafe\r\n" + "X-Deadline-Ms: 9000\r\n";
@@ -101,7 +101,7 @@
     void ambiguousHeadersAreRejected() throws Exception {
         start("");
         balancer.onRequest = r -> {
-            throw new AssertionError("told of " + r);
+            throw new AssertionError("invalid request reached the load balancer: " + r);
         };
         String get = "GET /api HTTP/1.1\r\nHost: h\r\n";
         Client client = connectClient();
@@ -138,7 +138,7 @@
 
     @Test
     void errorResponseIsSentAfterTheResponsesBeforeIt() throws Exception {
-        // Guards the order: an error written past an open request would be taken for that one's answer.
+        // An error sent before the response to an open request would be taken for that response.
         BlockingQueue<Seen> received = new LinkedBlockingQueue<>();
         Server host = startServer(received::add);
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
@@ -175,7 +175,7 @@
 
     @Test
     void manyPipelinedRequestsAreAllAnsweredInOrder() throws Exception {
-        // Guards memory: reading stops and goes on again, and no request is closed on.
+        // To limit memory, the proxy stops reading and resumes later; no request may be lost meanwhile.
         BlockingQueue<Seen> received = new LinkedBlockingQueue<>();
         Server host = startServer(received::add);
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
@@ -203,9 +203,9 @@
         }
         Seen first = LoopbackPeers.next(host.seen, "the first request");
         client.close();
-        assertEquals("id0", LoopbackPeers.next(balancer.disconnects, "the client's leaving"));
+        assertEquals("id0", LoopbackPeers.next(balancer.disconnects, "the disconnect"));
         first.awaitEnd();
-        assertTrue(balancer.disconnects.isEmpty(), "the others were never begun");
+        assertTrue(balancer.disconnects.isEmpty(), "the other requests must not reach the load balancer");
     }
 
     @Test
@@ -218,7 +218,7 @@
         Message expired = client.read();
         assertEquals(503, expired.status());
         assertEquals("2", expired.header("retry-after"));
-        assertEquals("a", LoopbackPeers.next(started, "the first"));
+        assertEquals("a", LoopbackPeers.next(started, "the first request"));
         assertTrue(started.isEmpty());
     }
 
@@ -230,8 +230,8 @@
         Client client = connectClient().unsafe("id1", 20_000);
         Seen seen = LoopbackPeers.next(host.seen, "the request");
         client.close();
-        assertEquals("id1", LoopbackPeers.next(balancer.disconnects, "the client's leaving"));
-        AttemptEnd end = LoopbackPeers.next(balancer.attemptEnds, "the end");
+        assertEquals("id1", LoopbackPeers.next(balancer.disconnects, "the disconnect"));
+        AttemptEnd end = LoopbackPeers.next(balancer.attemptEnds, "the end of the attempt");
         assertEquals(Outcome.CANCELED, end.outcome());
         assertTrue(end.requestDone());
         seen.awaitEnd();
@@ -241,7 +241,7 @@
     void invalidRequestIsNotForwarded() throws Exception {
         start("");
         balancer.onRequest = r -> {
-            throw new AssertionError("told of " + r);
+            throw new AssertionError("invalid request reached the load balancer: " + r);
         };
         String head = "Host: h\r\nX-Request-Id: a\r\nX-Class: unsafe\r\n";
         assertEquals(400, connectClient().write("nonsense\r\n\r\n").read().status());
@@ -257,9 +257,9 @@
                         .write("POST /api HTTP/1.1\r\nHost: h\r\n\r\n")
                         .read()
                         .status(),
-                "no id");
+                "request without X-Request-Id");
         String post = "POST /api HTTP/1.1\r\n" + head;
-        assertEquals(400, connectClient().write(post + "\r\n").read().status(), "no deadline");
+        assertEquals(400, connectClient().write(post + "\r\n").read().status(), "request without X-Deadline-Ms");
         assertEquals(
                 400,
                 connectClient()
@@ -272,7 +272,7 @@
                         .write("GET /api HTTP/1.1\r\n" + head + "X-Deadline-Ms: 9\r\n\r\n")
                         .read()
                         .status(),
-                "an unsafe GET");
+                "GET in an unsafe class");
         assertEquals(
                 400,
                 connectClient()
@@ -293,7 +293,8 @@
                         .read()
                         .status());
         balancer.onRequest = r -> balancer.actions.fail(r.id());
-        assertEquals(502, connectClient().unsafe("id1", 20_000).read().status(), "and it serves on");
+        assertEquals(
+                502, connectClient().unsafe("id1", 20_000).read().status(), "the proxy must serve further requests");
     }
 
     @Test
--- a/src/test/java/quartzspan/clientproxy/FaultyEndpointsTest.java
+++ b/src/test/java/quartzspan/clientproxy/FaultyEndpointsTest.java
@@ -22,7 +22,7 @@
 import quartzspan.http.LoopbackPeers.Server;
 import quartzspan.loadbalancing.LoadBalancer.Outcome;
 
-/** Answers that are spoilt, late or none, and what they prove. */
+/** Invalid, late or missing responses of servers, and the attempt outcomes that follow from them. */
 class FaultyEndpointsTest extends ClientProxyFixture {
     @Test
     void errorResponseMayHaveRun() throws Exception {
@@ -31,7 +31,7 @@
 
     @Test
     void a503WithoutTheNotRunHeaderMayHaveRun() throws Exception {
-        // Guards rule 2: a 503 from something in between says nothing of the host.
+        // A 503 without X-Not-Run may come from an intermediary and does not show that the server rejected the request.
         assertEquals(Outcome.FAILED, attemptOnce(s -> s.answer(503, "", ""), 0).outcome());
     }
 
@@ -74,7 +74,7 @@
 
     @Test
     void invalidResponsesMayHaveRunAndAreNotPassedOn() throws Exception {
-        // Guards against half an answer, or one that can be read in two ways: only what is whole is served.
+        // Guards against truncated or ambiguous responses: only complete, unambiguous ones may be passed on.
         String ok = "HTTP/1.1 200 OK\r\n";
         List<String> invalidResponses = List.of(
                 "\0\1garbage\r\n\r\n",
@@ -117,7 +117,8 @@
             assertEquals(502, client.unsafe("" + i, 20_000).read().status(), description);
             assertEquals(
                     Outcome.FAILED,
-                    LoopbackPeers.next(balancer.attemptEnds, "an end").outcome(),
+                    LoopbackPeers.next(balancer.attemptEnds, "the end of the attempt")
+                            .outcome(),
                     description);
             LoopbackPeers.next(host.seen, "the request").awaitEnd();
         }
@@ -147,7 +148,7 @@
 
     @Test
     void bytesOnAnIdleConnectionCloseIt() throws Exception {
-        // Guards against a later read: a second copy would be served to another, noise would spoil it.
+        // A stray response would be passed on as that of a later request, and other bytes would corrupt it.
         Server host = startServer(s -> s.served(s.message().header("x-request-id")));
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
@@ -171,7 +172,8 @@
 
     @Test
     void idleLimitIsShortenedAfterAStaleConnection() throws Exception {
-        // Guards against one reset after another: what was stale once is not trusted for as long again.
+        // Guards against repeated resets: after a stale connection, idle connections are reused for a shorter time
+        // only.
         Map<Socket, Long> served = new ConcurrentHashMap<>();
         Server host = startServer(s -> {
             Long last = served.put(s.socket(), System.nanoTime());
@@ -191,15 +193,15 @@
         Client client = connectClient();
         assertEquals(200, client.unsafe("id1", 20_000).read().status());
         Thread.sleep(400);
-        assertEquals(502, client.unsafe("id2", 20_000).read().status(), "the first to be dropped");
+        assertEquals(502, client.unsafe("id2", 20_000).read().status(), "the first stale connection");
         assertEquals(200, client.unsafe("id3", 20_000).read().status());
         Thread.sleep(800);
-        assertEquals(200, client.unsafe("id4", 20_000).read().status(), "on a fresh one");
+        assertEquals(200, client.unsafe("id4", 20_000).read().status(), "the request must use a new connection");
     }
 
     @Test
     void immediateConnectionResetIsNotAConnectError() throws Exception {
-        // Guards against shunning a host that is up: a few resets among its new connections say little.
+        // Guards against avoiding a healthy server: a few resets of new connections do not mean that it is unreachable.
         AtomicInteger accepted = new AtomicInteger();
         try (ServerSocket listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             Thread resetting = new Thread(() -> {
@@ -223,10 +225,12 @@
             for (int i = 0; i < 20; i++) {
                 int acceptedBefore = accepted.get();
                 assertEquals(502, client.unsafe("id" + i, 20_000).read().status());
-                Outcome outcome =
-                        LoopbackPeers.next(balancer.attemptEnds, "the end").outcome();
-                // Which of the two it is depends on when the reset comes; only the third in a row tells.
-                assertTrue(outcome == Outcome.RESET || accepted.get() - acceptedBefore >= 3, outcome + " at once");
+                Outcome outcome = LoopbackPeers.next(balancer.attemptEnds, "the end of the attempt")
+                        .outcome();
+                // The outcome depends on when the reset arrives; only three resets in a row may be a connect error.
+                assertTrue(
+                        outcome == Outcome.RESET || accepted.get() - acceptedBefore >= 3,
+                        outcome + " before the third reset");
             }
         }
     }
--- a/src/test/java/quartzspan/clientproxy/RequestForwardingTest.java
+++ b/src/test/java/quartzspan/clientproxy/RequestForwardingTest.java
@@ -27,7 +27,7 @@
 import quartzspan.loadbalancing.LoadBalancer.AttemptEnd;
 import quartzspan.loadbalancing.LoadBalancer.Outcome;
 
-/** Requests and attempts: what goes on to hosts and what comes back, when all behave. */
+/** Forwarding of requests and responses, attempts and drains, with peers that follow the protocol. */
 class RequestForwardingTest extends ClientProxyFixture {
     @Test
     void a200IsPassedOn() throws Exception {
@@ -58,14 +58,15 @@
         Message answer = connectClient().unsafe("id1", 20_000).read();
         assertEquals(
                 Outcome.CONNECT_ERROR,
-                LoopbackPeers.next(balancer.attemptEnds, "the end").outcome());
+                LoopbackPeers.next(balancer.attemptEnds, "the end of the attempt")
+                        .outcome());
         assertEquals(503, answer.status());
         assertEquals("0.25", answer.header("retry-after"));
     }
 
     @Test
     void openConnectionsAreServedAfterADrainBegan() throws Exception {
-        // Guards the seconds until SIGKILL: a client that is sent away finds nobody else to ask.
+        // Until SIGKILL, connections must stay open: a client whose connection is closed has no other proxy to use.
         Server host = startServer(s -> s.served("x"));
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
@@ -75,7 +76,7 @@
         for (int i = 0; i < 3; i++) {
             Message answer = client.unsafe("after" + i, 20_000).read();
             assertEquals(200, answer.status());
-            assertEquals(null, answer.header("connection"), "sent away");
+            assertEquals(null, answer.header("connection"), "the connection must stay open");
         }
     }
 
@@ -89,7 +90,7 @@
         };
         proxy.drain();
         assertEquals(503, connectClient().unsafe("id1", 20_000).read().status());
-        assertTrue(budgetUs.get() < 3_600_000, "may be open at SIGKILL: " + budgetUs);
+        assertTrue(budgetUs.get() < 3_600_000, "budget must end before SIGKILL: " + budgetUs);
     }
 
     @Test
@@ -110,15 +111,15 @@
         LoopbackPeers.next(receivedRequests, "the second request");
         long drainStartedNs = System.nanoTime();
         proxy.drain();
-        assertEquals(503, held.read().status(), "never sent on");
-        assertEquals(504, sent.read().status(), "may have run");
+        assertEquals(503, held.read().status(), "not forwarded, so a 503 is correct");
+        assertEquals(504, sent.read().status(), "forwarded, so it may have run");
         long tookMs = (System.nanoTime() - drainStartedNs) / 1_000_000;
-        assertTrue(tookMs < 15_000, "SIGKILL was long over: " + tookMs);
+        assertTrue(tookMs < 15_000, "responses must precede SIGKILL; they took ms: " + tookMs);
     }
 
     @Test
     void drainStartedBeforeListeningServesRequestsAndCompletes() throws Exception {
-        // Guards the moment between listening and the end of the start: who connects in it is served.
+        // A signal may come between listening and the end of the startup; clients that connect then must be served.
         Server host = startServer(s -> s.served("x"));
         List<Future<?>> drainFutures = new ArrayList<>();
         start(
@@ -127,7 +128,7 @@
                 LoopbackPeers.host("s", host.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         assertEquals(200, connectClient().unsafe("id1", 20_000).read().status());
-        assertTrue(drainFutures.get(0).await(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS), "it ends");
+        assertTrue(drainFutures.get(0).await(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS), "the drain must complete");
     }
 
     @Test
@@ -162,7 +163,7 @@
 
     @Test
     void attemptTimeoutIncludesConnecting() throws Exception {
-        // Guards against an attempt that hangs where no connection ever comes up: it never ran.
+        // Guards against an attempt that hangs because its connection is never established: it has not run.
         try (Deaf deaf = new Deaf()) {
             start("", LoopbackPeers.host("s", deaf.address(), "in_service"));
             balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 100_000);
@@ -170,13 +171,14 @@
             assertEquals(503, connectClient().unsafe("id1", 20_000).read().status());
             assertEquals(
                     Outcome.CONNECT_ERROR,
-                    LoopbackPeers.next(balancer.attemptEnds, "the end").outcome());
+                    LoopbackPeers.next(balancer.attemptEnds, "the end of the attempt")
+                            .outcome());
         }
     }
 
     @Test
     void nothingIsSentToAnEndpointDrainedWhileConnecting() throws Exception {
-        // Guards rule 3: the decision was made before the drain, the connection comes up after it.
+        // A draining endpoint gets no new requests: here the decision precedes the drain and the connection follows it.
         try (Deaf deaf = new Deaf()) {
             start("", LoopbackPeers.host("s", deaf.address(), "in_service"));
             Seen watch = discovery.asked();
@@ -189,13 +191,14 @@
             Client client = connectClient().unsafe("id1", 20_000);
             LoopbackPeers.next(sent, "the decision");
             Discovery.push(watch, LoopbackPeers.list(2, false, LoopbackPeers.host("s", deaf.address(), "terminating")));
-            assertEquals("DELTA [s 1 DRAINING]", LoopbackPeers.next(balancer.discoveryEvents, "the drain"));
+            assertEquals("DELTA [s 1 DRAINING]", LoopbackPeers.next(balancer.discoveryEvents, "the draining endpoint"));
             deaf.hear();
             assertEquals(
                     Outcome.IGNORED,
-                    LoopbackPeers.next(balancer.attemptEnds, "the end").outcome());
+                    LoopbackPeers.next(balancer.attemptEnds, "the end of the attempt")
+                            .outcome());
             assertEquals(503, client.read().status());
-            assertTrue(deaf.silent(), "nothing was written");
+            assertTrue(deaf.silent(), "nothing must be sent");
         }
     }
 
@@ -217,10 +220,10 @@
         assertEquals("POST /api/x?q=%20a&b HTTP/1.1", seen.first());
         assertEquals("id1", seen.header("x-request-id"));
         assertEquals("i-k", seen.header("idempotency-key"));
-        assertNull(seen.header("x-hop"), "hop-by-hop headers stay");
+        assertNull(seen.header("x-hop"), "hop-by-hop headers must not be forwarded");
         assertArrayEquals(body.getBytes(StandardCharsets.ISO_8859_1), seen.body());
         long deadline = Long.parseLong(seen.header("x-deadline-ms"));
-        assertTrue(deadline > 0 && deadline < 20_000, "a deadline of its own: " + deadline);
+        assertTrue(deadline > 0 && deadline < 20_000, "the forwarded deadline must be reduced: " + deadline);
         assertEquals(200, answer.status());
         assertEquals(body + "!", answer.text());
         assertEquals("a/b", answer.header("content-type"));
@@ -240,7 +243,7 @@
         balancer.onAttemptEnd = e -> balancer.actions.fail(e.requestId());
         Client client = connectClient();
         assertEquals(200, client.unsafe("id1", 20_000).read().status());
-        Thread.sleep(50); // a connection rests after an answer before it is used again
+        Thread.sleep(50); // a connection is reused only after a short pause
         assertEquals(502, client.unsafe("id2", 20_000).read().status());
         assertEquals(
                 Outcome.OK,
@@ -249,7 +252,7 @@
                 Outcome.RESET,
                 LoopbackPeers.next(balancer.attemptEnds, "the second end").outcome());
         assertEquals(1, host.connections.size());
-        assertEquals(2, host.seen.size(), "sent once and no more");
+        assertEquals(2, host.seen.size(), "each request must be sent exactly once");
     }
 
     @Test
@@ -263,7 +266,7 @@
 
     @Test
     void nextAttemptIsSentOnlyAfterThePreviousOneIsClosed() throws Exception {
-        // Guards "at most one attempt at a time": the host told of the second must have lost the first.
+        // A request has at most one attempt at a time: the first connection must be closed before the second attempt.
         Server unresponsive = startServer(s -> {});
         Server other = startServer(s -> s.served("x"));
         start(
@@ -294,7 +297,7 @@
             balancer.actions.send(r.id(), "t", 0);
         };
         connectClient().unsafe("id1", 20_000);
-        AttemptEnd end = LoopbackPeers.next(balancer.attemptEnds, "the second copy's end");
+        AttemptEnd end = LoopbackPeers.next(balancer.attemptEnds, "the end of the second attempt");
         assertEquals(1, end.attempt());
         assertEquals(Outcome.IGNORED, end.outcome());
         assertEquals(0, other.seen.size());
@@ -302,7 +305,7 @@
 
     @Test
     void cancelClosesOnlyTheAttemptWithThatNumber() throws Exception {
-        // Guards the numbering: a second copy that was not sent has a number, and is not the one that is out.
+        // An attempt that was not sent still has a number, which must not refer to the attempt in progress.
         Server host = startServer(s -> {});
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
         balancer.onRequest = r -> {
@@ -320,9 +323,9 @@
         assertEquals(502, connectClient().unsafe("id1", 20_000).read().status());
         assertEquals(
                 Outcome.IGNORED,
-                LoopbackPeers.next(balancer.attemptEnds, "the second copy's end")
+                LoopbackPeers.next(balancer.attemptEnds, "the end of the second attempt")
                         .outcome());
-        AttemptEnd end = LoopbackPeers.next(balancer.attemptEnds, "the first's end");
+        AttemptEnd end = LoopbackPeers.next(balancer.attemptEnds, "the end of the first attempt");
         assertEquals(0, end.attempt());
         assertEquals(Outcome.CANCELED, end.outcome());
         assertFalse(end.requestDone());
@@ -333,7 +336,8 @@
     void clientIsAnsweredByItsDeadlineWithoutABalancerDecision() throws Exception {
         Server host = startServer(s -> {});
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
-        // Held for ever, with no attempt: a refusal is true. With one out, only for what is safe to repeat.
+        // Without an attempt a 503 is correct. With one in progress it is correct only for requests that are safe to
+        // repeat.
         Message held = connectClient().unsafe("held", 300).read();
         assertEquals(503, held.status());
         assertEquals("2", held.header("retry-after"));
@@ -351,7 +355,7 @@
             balancer.actions.send(r.id(), "s", 0);
         };
         assertEquals(503, connectClient().unsafe("id1", 20_000).read().status());
-        AttemptEnd end = LoopbackPeers.next(balancer.attemptEnds, "the end");
+        AttemptEnd end = LoopbackPeers.next(balancer.attemptEnds, "the end of the attempt");
         assertEquals(Outcome.IGNORED, end.outcome());
         assertTrue(end.requestDone());
         assertEquals(0, host.seen.size());
@@ -361,7 +365,7 @@
     void requestIsAnsweredWhenTheBalancerThrows() throws Exception {
         start("");
         balancer.onRequest = r -> {
-            throw new IllegalStateException("a defect");
+            throw new IllegalStateException("simulated defect in the load balancer");
         };
         assertEquals(503, connectClient().unsafe("id1", 300).read().status());
         balancer.onRequest = r -> balancer.actions.fail(r.id());
@@ -377,6 +381,6 @@
             balancer.actions.fail(r.id());
         };
         connectClient().unsafe("id1", 20_000).read();
-        assertEquals(Outcome.OK, LoopbackPeers.next(balancer.probeOutcomes, "the probe's end"));
+        assertEquals(Outcome.OK, LoopbackPeers.next(balancer.probeOutcomes, "the probe outcome"));
     }
 }
