--- a/src/main/java/quartzspan/clientproxy/ClientProxy.java
+++ b/src/main/java/quartzspan/clientproxy/ClientProxy.java
@@ -237,7 +237,7 @@
     }
 
     private void begin() {
-        upstream.begin();
+        upstream.startIdleEviction();
         balancer = maker.create(config.settings(), config.seed(), now(), this);
         if (config.known() != null) {
             discovery.take(config.known(), Source.CACHED);
@@ -359,7 +359,7 @@
         HttpHeaders h = in.headers();
         String id = single(h, "X-Request-Id");
         Integer classIndex = classes.get(single(h, "X-Class"));
-        long deadlineMs = HttpFraming.number(single(h, OutgoingRequest.DEADLINE));
+        long deadlineMs = HttpFraming.parseNumber(single(h, OutgoingRequest.DEADLINE_HEADER));
         String tenantName = single(h, "X-Tenant");
         int tenant = config.tenants().indexOf(tenantName);
         boolean known = !h.contains("X-Tenant") || config.tenants().isEmpty() || tenant >= 0;
@@ -387,7 +387,7 @@
                 classIndex,
                 key,
                 budget,
-                Math.max(0, HttpFraming.number(h.get("X-Cost-Hint"))),
+                Math.max(0, HttpFraming.parseNumber(h.get("X-Cost-Hint"))),
                 tenant,
                 "1".equals(h.get("X-Retry")));
         Exchange x = new Exchange(client, request, type, OutgoingRequest.of(in, body), now() + budget);
@@ -561,9 +561,9 @@
             ConnectionPool.CompletionListener end =
                     (outcome, answer) -> run(() -> balancer.onProbeEnded(now(), endpointId, outcome, now() - sentAt));
             if (host == null) {
-                end.ended(Outcome.IGNORED, null);
+                end.onComplete(Outcome.IGNORED, null);
             } else {
-                upstream.attempt(host, OutgoingRequest.health(), config.dialTimeoutUs(), () -> true, end)
+                upstream.attempt(host, OutgoingRequest.healthCheck(), config.dialTimeoutUs(), () -> true, end)
                         .start();
             }
         });
--- a/src/main/java/quartzspan/clientproxy/Discovery.java
+++ b/src/main/java/quartzspan/clientproxy/Discovery.java
@@ -169,7 +169,7 @@
             ConnectionPool.Endpoint host = hosts.computeIfAbsent(e.id(), ConnectionPool.Endpoint::new);
             boolean moved = host.address() != null && !host.address().equals(e.address());
             boolean ready = e.availability() == Availability.READY;
-            host.listed(e.address(), ready, ConnectionPool.Endpoint.UNBOUNDED);
+            host.update(e.address(), ready, ConnectionPool.Endpoint.UNBOUNDED);
             if (moved || !ready) {
                 upstream.closeIdle(host);
             }
--- a/src/main/java/quartzspan/controlplane/ControlPlane.java
+++ b/src/main/java/quartzspan/controlplane/ControlPlane.java
@@ -177,7 +177,7 @@
     }
 
     private void begin() {
-        connectionPool.begin();
+        connectionPool.startIdleEviction();
         String control = hostAndPort(settings.listens("control_plane"));
         registry.merge(nowMs(), new CoreMachine(self, control, settings.zone()).entry());
         loop.scheduleWithFixedDelay(
--- a/src/main/java/quartzspan/controlplane/OperatorApi.java
+++ b/src/main/java/quartzspan/controlplane/OperatorApi.java
@@ -43,7 +43,7 @@
     }
 
     private static long baseVersion(HttpRequest request) {
-        long baseVersion = HttpFraming.number(request.headers().get("X-Base-Version"));
+        long baseVersion = HttpFraming.parseNumber(request.headers().get("X-Base-Version"));
         if (baseVersion < 0) {
             throw new FleetException(
                     FleetException.Code.CONFIG_INVALID,
--- a/src/main/java/quartzspan/controlplane/ServerClient.java
+++ b/src/main/java/quartzspan/controlplane/ServerClient.java
@@ -118,7 +118,7 @@
     private ConnectionPool.Endpoint endpoint(Server server) {
         ConnectionPool.Endpoint endpoint = endpoints.computeIfAbsent(server.id(), ConnectionPool.Endpoint::new);
         int colon = server.address().lastIndexOf(':');
-        endpoint.listed(
+        endpoint.update(
                 new InetSocketAddress(
                         server.address().substring(0, colon),
                         Integer.parseInt(server.address().substring(colon + 1))),
--- a/src/main/java/quartzspan/frontend/EndpointDirectory.java
+++ b/src/main/java/quartzspan/frontend/EndpointDirectory.java
@@ -142,7 +142,7 @@
             return;
         }
         placement.onGone(id);
-        endpoint.listed(null, false, 0);
+        endpoint.update(null, false, 0);
         connectionPool.closeIdle(endpoint);
         endpoints.remove(id);
         servers.remove(id);
@@ -158,14 +158,14 @@
         if (addressChanged || !ready) {
             connectionPool.closeIdle(endpoint);
         }
-        endpoint.listed(socketAddress(server.address()), ready, maxConnections(server));
+        endpoint.update(socketAddress(server.address()), ready, maxConnections(server));
         placement.onListed(clockUs.getAsLong(), server.id(), server.service(), ready, server.loadingVersion() > 0);
         weightsVersions.put(server.id(), server.weightsVersion());
     }
 
     private static InetSocketAddress socketAddress(String address) {
         int colon = address.lastIndexOf(':');
-        int port = (int) HttpFraming.number(address.substring(colon + 1));
+        int port = (int) HttpFraming.parseNumber(address.substring(colon + 1));
         return new InetSocketAddress(address.substring(0, colon), port);
     }
 
@@ -179,11 +179,11 @@
 
     @Override
     public boolean isConnected(String server) {
-        return endpoints.get(server).connected();
+        return endpoints.get(server).isConnected();
     }
 
     @Override
     public boolean isReachable(String server) {
-        return endpoints.get(server).reachable();
+        return endpoints.get(server).isReachable();
     }
 }
--- a/src/main/java/quartzspan/frontend/FrontendProxy.java
+++ b/src/main/java/quartzspan/frontend/FrontendProxy.java
@@ -152,7 +152,7 @@
             }
         }
         loop.submit(() -> {
-                    proxy.connectionPool.begin();
+                    proxy.connectionPool.startIdleEviction();
                     loop.scheduleWithFixedDelay(
                             new PeriodicTask("frontend proxy tick", proxy::tick),
                             1,
--- a/src/main/java/quartzspan/frontend/Prompt.java
+++ b/src/main/java/quartzspan/frontend/Prompt.java
@@ -24,7 +24,9 @@
             blockTokens[i] = colon < 0
                     ? 0
                     : Math.max(
-                            0, HttpFraming.number(blocks[i].substring(colon + 1).trim()));
+                            0,
+                            HttpFraming.parseNumber(
+                                    blocks[i].substring(colon + 1).trim()));
         }
         this.model = model;
         this.isolationKey = isolationKey;
--- a/src/main/java/quartzspan/frontend/RequestClassifier.java
+++ b/src/main/java/quartzspan/frontend/RequestClassifier.java
@@ -76,7 +76,7 @@
 
     /** The time in microseconds until which the client waits for a response. */
     static long deadlineUs(Route route, HttpRequest request, long receivedAtUs) {
-        long clientMs = HttpFraming.number(request.headers().get(DEADLINE_MS_HEADER));
+        long clientMs = HttpFraming.parseNumber(request.headers().get(DEADLINE_MS_HEADER));
         long timeoutMs = Math.min(clientMs < 1 ? route.timeoutMs() : clientMs, route.timeoutMs());
         return receivedAtUs + 1000 * timeoutMs;
     }
@@ -105,8 +105,8 @@
         return new PlacementRequest(
                 chooseService(route),
                 key,
-                Math.max(0, HttpFraming.number(tokenCounts[0].trim())),
-                tokenCounts.length < 2 ? 0 : Math.max(0, HttpFraming.number(tokenCounts[1].trim())));
+                Math.max(0, HttpFraming.parseNumber(tokenCounts[0].trim())),
+                tokenCounts.length < 2 ? 0 : Math.max(0, HttpFraming.parseNumber(tokenCounts[1].trim())));
     }
 
     /** Selects one of the route's services at random, in proportion to their traffic weights. */
--- a/src/main/java/quartzspan/http/ConnectionPool.java
+++ b/src/main/java/quartzspan/http/ConnectionPool.java
@@ -78,12 +78,12 @@
 
     private final EventLoop loop;
     private final Bootstrap bootstrap;
-    private final IdleTimeout idleLimit;
+    private final IdleTimeout idleTimeout;
     private final int maxConnections;
     /** Idle connections to all endpoints, the longest idle first. */
-    private final LinkedHashSet<Connection> idle = new LinkedHashSet<>();
+    private final LinkedHashSet<Connection> idleConnections = new LinkedHashSet<>();
 
-    private int connections;
+    private int connectionCount;
 
     /**
      * An empty pool.
@@ -95,7 +95,7 @@
     public ConnectionPool(EventLoop loop, long dialTimeoutUs, long connIdleUs, int maxConnections) {
         this.loop = loop;
         this.maxConnections = maxConnections;
-        this.idleLimit = new IdleTimeout((long) (connIdleUs * 1000 * IDLE_TIMEOUT_FRACTION));
+        this.idleTimeout = new IdleTimeout((long) (connIdleUs * 1000 * IDLE_TIMEOUT_FRACTION));
         this.bootstrap = new Bootstrap()
                 .group(loop)
                 .option(ChannelOption.ALLOCATOR, BUFFERS)
@@ -112,11 +112,14 @@
     }
 
     /** Closes connections that have been idle for long, from now on. */
-    public void begin() {
+    public void startIdleEviction() {
         loop.scheduleWithFixedDelay(
                 () -> {
                     long now = System.nanoTime();
-                    idle.stream().filter(c -> c.idleTooLong(now)).toList().forEach(Connection::close);
+                    idleConnections.stream()
+                            .filter(c -> c.idleTooLong(now))
+                            .toList()
+                            .forEach(Connection::close);
                 },
                 SWEEP_INTERVAL_MS,
                 SWEEP_INTERVAL_MS,
@@ -132,10 +135,10 @@
         InetSocketAddress address;
         boolean ready;
         /** Connections of this process that it may have at once. */
-        private int most = UNBOUNDED;
+        private int maxConnections = UNBOUNDED;
 
-        private int made;
-        private final ArrayDeque<Connection> idle = new ArrayDeque<>();
+        private int connectionCount;
+        private final ArrayDeque<Connection> idleConnections = new ArrayDeque<>();
 
         public Endpoint(String id) {
             this.id = id;
@@ -156,20 +159,20 @@
         }
 
         /** Updates what is known of it. */
-        public void listed(InetSocketAddress at, boolean isReady, int maxConnections) {
-            address = at;
-            ready = isReady;
-            most = maxConnections;
+        public void update(InetSocketAddress address, boolean ready, int maxConnections) {
+            this.address = address;
+            this.ready = ready;
+            this.maxConnections = maxConnections;
         }
 
         /** Whether a connection to it is at hand. */
-        public boolean connected() {
-            return !idle.isEmpty();
+        public boolean isConnected() {
+            return !idleConnections.isEmpty();
         }
 
         /** Whether a connection is at hand or may be made. */
-        public boolean reachable() {
-            return !idle.isEmpty() || made < most;
+        public boolean isReachable() {
+            return !idleConnections.isEmpty() || connectionCount < maxConnections;
         }
     }
 
@@ -179,9 +182,9 @@
         public static final Response EMPTY = new Response(new byte[0], null, null);
     }
 
-    /** Called once when an attempt ends; {@code answer} is null unless there is a response to pass on. */
+    /** Called once when an attempt ends; {@code response} is null unless there is a response to pass on. */
     public interface CompletionListener {
-        void ended(Outcome outcome, Response answer);
+        void onComplete(Outcome outcome, Response response);
     }
 
     /** Which request a response belongs to that came while one was in flight. */
@@ -222,28 +225,32 @@
     /**
      * An attempt, to be started at once.
      *
-     * @param wanted whether the request still waits for a response
+     * @param stillWanted whether the request still waits for a response
      */
     public Attempt attempt(
-            Endpoint endpoint, OutgoingRequest call, long timeoutUs, BooleanSupplier wanted, CompletionListener end) {
-        return attempt(endpoint, call, timeoutUs, wanted, DEFAULT_HANDLER, end);
+            Endpoint endpoint,
+            OutgoingRequest request,
+            long timeoutUs,
+            BooleanSupplier stillWanted,
+            CompletionListener listener) {
+        return attempt(endpoint, request, timeoutUs, stillWanted, DEFAULT_HANDLER, listener);
     }
 
     /** An attempt with a handler of its own. */
     public Attempt attempt(
             Endpoint endpoint,
-            OutgoingRequest call,
+            OutgoingRequest request,
             long timeoutUs,
-            BooleanSupplier wanted,
+            BooleanSupplier stillWanted,
             ResponseHandler responseHandler,
-            CompletionListener end) {
-        return new Attempt(endpoint, call, timeoutUs, wanted, responseHandler, end);
+            CompletionListener listener) {
+        return new Attempt(endpoint, request, timeoutUs, stillWanted, responseHandler, listener);
     }
 
     /** Closes the idle connections to an endpoint; those in use close after their response. */
     public void closeIdle(Endpoint endpoint) {
-        for (Connection c; (c = endpoint.idle.peek()) != null; ) {
-            c.close();
+        for (Connection connection; (connection = endpoint.idleConnections.peek()) != null; ) {
+            connection.close();
         }
     }
 
@@ -258,29 +265,29 @@
     }
 
     /** The most recently used idle connection that shows no input; null if there is none. */
-    private Connection takeIdle(Endpoint endpoint, Reuse reuse) {
+    private Connection acquireIdle(Endpoint endpoint, Reuse reuse) {
         if (reuse == Reuse.NONE) {
             return null;
         }
         long now = System.nanoTime();
-        long limit = reuse == Reuse.RECENT ? idleLimit.cautiousNanos() : idleLimit.nanos();
+        long maxIdleNanos = reuse == Reuse.RECENT ? idleTimeout.cautiousNanos() : idleTimeout.nanos();
         Connection older = null;
-        for (Connection c : List.copyOf(endpoint.idle)) {
-            long idleFor = now - c.idleAt;
-            if (idleFor <= MIN_IDLE_NANOS) {
+        for (Connection connection : List.copyOf(endpoint.idleConnections)) {
+            long idleNanos = now - connection.idleSinceNanos;
+            if (idleNanos <= MIN_IDLE_NANOS) {
                 continue;
             }
-            if (c.idleTooLong(now) || !c.channel.untouched()) {
-                c.close();
-            } else if (idleFor <= limit) {
-                c.leaveIdle();
-                return c;
+            if (connection.idleTooLong(now) || !connection.channel.hasNoInput()) {
+                connection.close();
+            } else if (idleNanos <= maxIdleNanos) {
+                connection.removeFromIdle();
+                return connection;
             } else if (older == null) {
-                older = c;
+                older = connection;
             }
         }
-        if (older != null && endpoint.made >= endpoint.most) {
-            older.leaveIdle();
+        if (older != null && endpoint.connectionCount >= endpoint.maxConnections) {
+            older.removeFromIdle();
             return older;
         }
         return null;
@@ -289,35 +296,35 @@
     /** One request written to one server, until its end. */
     public final class Attempt {
         private final Endpoint endpoint;
-        private final OutgoingRequest call;
-        private final long endNanos;
-        private final BooleanSupplier wanted;
+        private final OutgoingRequest request;
+        private final long deadlineNanos;
+        private final BooleanSupplier stillWanted;
         private final ResponseHandler responseHandler;
-        private final CompletionListener end;
+        private final CompletionListener listener;
         private final ScheduledFuture<?> timer;
-        private ChannelFuture connecting;
+        private ChannelFuture connectFuture;
         private Connection connection;
-        private ChannelFuture written;
+        private ChannelFuture writeFuture;
         private int newConnections;
         private boolean cautious;
         private boolean stale;
-        private long idleFor;
-        private long writtenAt;
+        private long idleNanos;
+        private long writtenAtNanos;
         private boolean ended;
 
         private Attempt(
                 Endpoint endpoint,
-                OutgoingRequest call,
+                OutgoingRequest request,
                 long timeoutUs,
-                BooleanSupplier wanted,
+                BooleanSupplier stillWanted,
                 ResponseHandler responseHandler,
-                CompletionListener end) {
+                CompletionListener listener) {
             this.endpoint = endpoint;
-            this.call = call;
-            this.wanted = wanted;
+            this.request = request;
+            this.stillWanted = stillWanted;
             this.responseHandler = responseHandler;
-            this.end = end;
-            this.endNanos = System.nanoTime() + timeoutUs * 1000;
+            this.listener = listener;
+            this.deadlineNanos = System.nanoTime() + timeoutUs * 1000;
             this.timer = loop.schedule(() -> abandon(Outcome.TIMED_OUT), timeoutUs, TimeUnit.MICROSECONDS);
         }
 
@@ -329,9 +336,9 @@
         /** Starts with a connection of the given kind; the listener may be called before this returns. */
         public void start(Reuse reuse) {
             cautious = reuse == Reuse.RECENT;
-            Connection reused = takeIdle(endpoint, reuse);
+            Connection reused = acquireIdle(endpoint, reuse);
             if (reused != null) {
-                idleFor = System.nanoTime() - reused.idleAt;
+                idleNanos = System.nanoTime() - reused.idleSinceNanos;
                 write(reused, true);
             } else {
                 connect();
@@ -339,39 +346,39 @@
         }
 
         private void connect() {
-            if (endpoint.made >= endpoint.most) {
+            if (endpoint.connectionCount >= endpoint.maxConnections) {
                 finish(Outcome.IGNORED, null);
                 return;
             }
-            if (connections >= maxConnections && !idle.isEmpty()) {
-                idle.iterator().next().close();
+            if (connectionCount >= maxConnections && !idleConnections.isEmpty()) {
+                idleConnections.iterator().next().close();
             }
-            Connection made;
+            Connection newConnection;
             try {
-                made = new Connection(endpoint);
+                newConnection = new Connection(endpoint);
             } catch (ChannelException noDescriptor) {
                 finish(Outcome.CONNECT_ERROR, null);
                 return;
             }
-            ChannelFuture up = bootstrap
+            ChannelFuture future = bootstrap
                     .clone()
-                    .channelFactory(() -> made.channel)
-                    .handler(made.pipeline())
+                    .channelFactory(() -> newConnection.channel)
+                    .handler(newConnection.pipeline())
                     .connect(endpoint.address);
             newConnections++;
-            connections++;
-            endpoint.made++;
-            up.channel().closeFuture().addListener(f -> {
-                connections--;
-                endpoint.made--;
+            connectionCount++;
+            endpoint.connectionCount++;
+            future.channel().closeFuture().addListener(f -> {
+                connectionCount--;
+                endpoint.connectionCount--;
             });
-            connecting = up;
-            up.addListener(f -> {
+            connectFuture = future;
+            future.addListener(f -> {
                 if (ended) {
-                    up.channel().close();
+                    future.channel().close();
                 } else if (f.isSuccess()) {
-                    write(made, false);
-                } else if (resetAtOnce(f.cause()) && newConnections < MAX_NEW_CONNECTIONS) {
+                    write(newConnection, false);
+                } else if (isConnectionReset(f.cause()) && newConnections < MAX_NEW_CONNECTIONS) {
                     connect();
                 } else {
                     finish(Outcome.CONNECT_ERROR, null);
@@ -385,24 +392,24 @@
          * written, and that is known. A connection that does not take all of it says little about the server: a new one is
          * tried.
          */
-        private void write(Connection c, boolean reused) {
-            connection = c;
-            connecting = null;
-            writtenAt = System.nanoTime();
-            long leftNanos = endNanos - writtenAt;
-            if (!endpoint.ready || !wanted.getAsBoolean() || leftNanos <= 0) {
+        private void write(Connection acquired, boolean reused) {
+            connection = acquired;
+            connectFuture = null;
+            writtenAtNanos = System.nanoTime();
+            long leftNanos = deadlineNanos - writtenAtNanos;
+            if (!endpoint.ready || !stillWanted.getAsBoolean() || leftNanos <= 0) {
                 finish(Outcome.IGNORED, null);
                 return;
             }
-            c.current = this;
-            written = c.channel.writeAndFlush(call.encode(Math.max(1, leftNanos / 1_000_000)));
-            written.addListener(f -> {
-                boolean answered = c.current != this;
-                if (f.isSuccess() || ended || answered) {
+            acquired.current = this;
+            writeFuture = acquired.channel.writeAndFlush(request.encode(Math.max(1, leftNanos / 1_000_000)));
+            writeFuture.addListener(f -> {
+                boolean responded = acquired.current != this;
+                if (f.isSuccess() || ended || responded) {
                     return;
                 }
                 if (reused || newConnections < MAX_NEW_CONNECTIONS) {
-                    idleFor = 0;
+                    idleNanos = 0;
                     release();
                     connect();
                 } else {
@@ -419,7 +426,7 @@
         }
 
         private boolean forHead() {
-            return call.method().equals("HEAD");
+            return request.method().equals("HEAD");
         }
 
         /** Whether its pooled connection was reset at once: the server had closed it while it was idle. */
@@ -429,7 +436,7 @@
 
         /** Whether the complete request was written. */
         public boolean sent() {
-            return written != null && written.isSuccess();
+            return writeFuture != null && writeFuture.isSuccess();
         }
 
         /** Stops waiting: the connection is closed, so that the server stops too. */
@@ -438,28 +445,28 @@
         }
 
         private void abandon(Outcome outcome) {
-            boolean completelyWritten = written != null && written.isSuccess();
+            boolean completelyWritten = writeFuture != null && writeFuture.isSuccess();
             finish(outcome == Outcome.TIMED_OUT && !completelyWritten ? Outcome.CONNECT_ERROR : outcome, null);
         }
 
         /** The connection is lost. Only if the last byte was not written the request was surely not executed. */
         private void onConnectionLost() {
-            stale = idleFor > 0 && System.nanoTime() - writtenAt < STALE_RESET_NANOS;
-            learnIdle();
-            finish(written.isSuccess() ? Outcome.RESET : Outcome.CONNECT_ERROR, null);
+            stale = idleNanos > 0 && System.nanoTime() - writtenAtNanos < STALE_RESET_NANOS;
+            updateIdleTimeout();
+            finish(writeFuture.isSuccess() ? Outcome.RESET : Outcome.CONNECT_ERROR, null);
         }
 
         /** Learns from a reused connection whether it had been idle for too long. */
-        private void learnIdle() {
+        private void updateIdleTimeout() {
             if (stale) {
-                idleLimit.stale(System.nanoTime(), idleFor);
-            } else if (idleFor > 0) {
-                idleLimit.good(System.nanoTime(), idleFor, cautious);
+                idleTimeout.onStale(System.nanoTime(), idleNanos);
+            } else if (idleNanos > 0) {
+                idleTimeout.onUsable(System.nanoTime(), idleNanos, cautious);
             }
         }
 
         /** Whether the server is there and refused this connection only. */
-        private static boolean resetAtOnce(Throwable cause) {
+        private static boolean isConnectionReset(Throwable cause) {
             return cause instanceof SocketException
                     && !(cause instanceof ConnectException)
                     && !(cause instanceof NoRouteToHostException);
@@ -470,27 +477,27 @@
                 connection.current = null;
                 connection.close();
                 connection = null;
-                written = null;
-            } else if (connecting != null) {
-                connecting.channel().close();
+                writeFuture = null;
+            } else if (connectFuture != null) {
+                connectFuture.channel().close();
             }
         }
 
         /** Closes the attempt's connection before the listener is called, which may start another attempt. */
-        private void finish(Outcome outcome, Response answer) {
+        private void finish(Outcome outcome, Response response) {
             if (ended) {
                 return;
             }
             ended = true;
             timer.cancel(false);
             release();
-            end.ended(outcome, answer);
+            listener.onComplete(outcome, response);
         }
     }
 
     /** A socket that can be checked for input: the loop may not have seen it yet. */
-    private static final class HostChannel extends NioSocketChannel {
-        boolean untouched() {
+    private static final class PeekableChannel extends NioSocketChannel {
+        boolean hasNoInput() {
             try {
                 return isActive() && javaChannel().read(ByteBuffer.allocate(1)) == 0;
             } catch (IOException e) {
@@ -502,18 +509,18 @@
     /** One connection to an endpoint: in use by one attempt, or idle in the pool, or closed. */
     private final class Connection extends SimpleChannelInboundHandler<HttpObject> {
         private final Endpoint endpoint;
-        private final HostChannel channel = new HostChannel();
+        private final PeekableChannel channel = new PeekableChannel();
         private final ByteBuf body = BUFFERS.buffer();
         private Attempt current;
-        private long idleAt;
+        private long idleSinceNanos;
         /** How long it may be idle by the server's Keep-Alive header. */
-        private long keepNanos = Long.MAX_VALUE;
+        private long keepAliveNanos = Long.MAX_VALUE;
 
         private HttpResponse head;
-        private int interim;
+        private int interimResponses;
         private boolean reusable = true;
         private Outcome outcome;
-        private Response answer;
+        private Response fullResponse;
         /** Whether the body of the current response goes to its handler in chunks. */
         private boolean streaming;
         /** Whether the current response belongs to an earlier request. */
@@ -532,8 +539,8 @@
             }
 
             @Override
-            protected boolean isContentAlwaysEmpty(HttpMessage answer) {
-                return current != null && current.forHead() || super.isContentAlwaysEmpty(answer);
+            protected boolean isContentAlwaysEmpty(HttpMessage message) {
+                return current != null && current.forHead() || super.isContentAlwaysEmpty(message);
             }
         };
 
@@ -550,18 +557,18 @@
             };
         }
 
-        void leaveIdle() {
-            if (idle.remove(this)) {
-                endpoint.idle.remove(this);
+        void removeFromIdle() {
+            if (idleConnections.remove(this)) {
+                endpoint.idleConnections.remove(this);
             }
         }
 
         boolean idleTooLong(long now) {
-            return now - idleAt > Math.min(keepNanos, idleLimit.nanos());
+            return now - idleSinceNanos > Math.min(keepAliveNanos, idleTimeout.nanos());
         }
 
         void close() {
-            leaveIdle();
+            removeFromIdle();
             channel.close();
         }
 
@@ -583,7 +590,7 @@
                 return;
             }
             if (in instanceof HttpResponse response) {
-                begin(response);
+                onResponseHead(response);
                 if (outcome != null) {
                     return;
                 }
@@ -613,30 +620,32 @@
             }
         }
 
-        private void begin(HttpResponse response) {
+        private void onResponseHead(HttpResponse response) {
             head = response;
             int status = response.status().code();
-            boolean interimToo = status < 200 && status != 101 && ++interim <= MAX_INTERIM_RESPONSES;
-            boolean stated = current.forHead() || HttpFraming.statesLength(response.headers());
-            boolean good = status >= 200 && status < 300;
-            if (!HttpFraming.sound(response) || status < 200 && !interimToo || good && !stated) {
+            boolean allowedInterim = status < 200 && status != 101 && ++interimResponses <= MAX_INTERIM_RESPONSES;
+            boolean lengthDeclared = current.forHead() || HttpFraming.declaresLength(response.headers());
+            boolean successful = status >= 200 && status < 300;
+            if (!HttpFraming.isUnambiguous(response)
+                    || status < 200 && !allowedInterim
+                    || successful && !lengthDeclared) {
                 rejectResponse();
-            } else if (status >= 200 && !belongsToCurrent(response, stated)) {
+            } else if (status >= 200 && !belongsToCurrent(response, lengthDeclared)) {
                 return;
-            } else if (good && current.responseHandler.streamsBody(response)) {
+            } else if (successful && current.responseHandler.streamsBody(response)) {
                 streaming = true;
-            } else if (HttpFraming.tooLong(response.headers(), HttpFraming.MAX_BODY_BYTES)) {
+            } else if (HttpFraming.exceedsLength(response.headers(), HttpFraming.MAX_BODY_BYTES)) {
                 rejectResponse();
-            } else if (status > 200 && !stated) {
+            } else if (status > 200 && !lengthDeclared) {
                 completeResponse();
                 reusable = false;
             }
         }
 
         /** Whether the response belongs to the request in flight; an earlier one's can be skipped only if its end is known. */
-        private boolean belongsToCurrent(HttpResponse response, boolean stated) {
+        private boolean belongsToCurrent(HttpResponse response, boolean lengthDeclared) {
             ResponseMatch match = current.responseHandler.match(response);
-            if (match == ResponseMatch.EARLIER && stated) {
+            if (match == ResponseMatch.EARLIER && lengthDeclared) {
                 skippingResponse = true;
             } else if (match != ResponseMatch.CURRENT) {
                 rejectResponse();
@@ -652,13 +661,14 @@
         /** Keeps the response until the read is complete: unsolicited input that follows it closes the connection. */
         private void completeResponse() {
             outcome = current.responseHandler.outcome(head);
-            reusable = HttpUtil.isKeepAlive(head) && current.written.isSuccess();
-            long keepS = HttpFraming.keepAliveSeconds(head.headers());
-            keepNanos = keepS < 0 ? Long.MAX_VALUE : (long) (IDLE_TIMEOUT_FRACTION * 1e9 * keepS);
+            reusable = HttpUtil.isKeepAlive(head) && current.writeFuture.isSuccess();
+            long keepAliveSeconds = HttpFraming.keepAliveSeconds(head.headers());
+            keepAliveNanos =
+                    keepAliveSeconds < 0 ? Long.MAX_VALUE : (long) (IDLE_TIMEOUT_FRACTION * 1e9 * keepAliveSeconds);
             if (outcome == Outcome.OK || current.responseHandler.wantsErrorBody()) {
                 byte[] bytes = new byte[body.readableBytes()];
                 body.readBytes(bytes);
-                answer = new Response(
+                fullResponse = new Response(
                         bytes,
                         head.headers().get(HttpHeaderNames.CONTENT_TYPE),
                         current.responseHandler.wantsErrorBody() ? head.headers() : null);
@@ -668,40 +678,40 @@
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
             if (outcome != null) {
-                deliver();
+                deliverResponse();
             }
         }
 
-        private void deliver() {
-            Attempt ended = current;
-            Outcome how = outcome;
-            Response what = answer;
+        private void deliverResponse() {
+            Attempt attempt = current;
+            Outcome attemptOutcome = outcome;
+            Response response = fullResponse;
             current = null;
             outcome = null;
-            answer = null;
-            interim = 0;
+            fullResponse = null;
+            interimResponses = 0;
             streaming = false;
             channel.config().setAutoRead(true);
             body.clear();
-            if (reusable && !decoder.holdsMore() && endpoint.ready && channel.isActive()) {
-                idleAt = System.nanoTime();
-                endpoint.idle.push(this);
-                idle.add(this);
+            if (reusable && !decoder.hasBufferedInput() && endpoint.ready && channel.isActive()) {
+                idleSinceNanos = System.nanoTime();
+                endpoint.idleConnections.push(this);
+                idleConnections.add(this);
             } else {
                 channel.close();
             }
-            if (ended != null) {
-                ended.learnIdle();
-                ended.connection = null;
-                ended.finish(how, what);
+            if (attempt != null) {
+                attempt.updateIdleTimeout();
+                attempt.connection = null;
+                attempt.finish(attemptOutcome, response);
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            leaveIdle();
+            removeFromIdle();
             if (outcome != null) {
-                deliver();
+                deliverResponse();
             } else if (current != null) {
                 current.onConnectionLost();
             }
--- a/src/main/java/quartzspan/http/HttpFraming.java
+++ b/src/main/java/quartzspan/http/HttpFraming.java
@@ -22,7 +22,7 @@
     /** The codec's own bound of a head. */
     public static final int MAX_HEADER_BYTES = 8 * 1024;
 
-    private static HttpDecoderConfig strict(int maxHeaderBytes) {
+    private static HttpDecoderConfig strictConfig(int maxHeaderBytes) {
         return new HttpDecoderConfig()
                 .setStrictLineParsing(true)
                 .setAllowDuplicateContentLengths(false)
@@ -35,7 +35,7 @@
     /** Decodes requests of clients; an ambiguous message ends the connection. */
     static class RequestDecoder extends HttpRequestDecoder {
         RequestDecoder(int maxHeaderBytes) {
-            super(strict(maxHeaderBytes));
+            super(strictConfig(maxHeaderBytes));
         }
 
         @Override
@@ -45,7 +45,7 @@
 
         @Override
         protected AsciiString splitHeaderName(byte[] line, int start, int length) {
-            needColon(line, start + length);
+            requireColon(line, start + length);
             return super.splitHeaderName(line, start, length);
         }
     }
@@ -53,11 +53,11 @@
     /** Decodes responses of servers; an ambiguous message ends the connection. */
     static class ResponseDecoder extends HttpResponseDecoder {
         ResponseDecoder() {
-            super(strict(MAX_HEADER_BYTES));
+            super(strictConfig(MAX_HEADER_BYTES));
         }
 
         /** Whether it holds the beginning of something that it could not yet make a message of. */
-        boolean holdsMore() {
+        boolean hasBufferedInput() {
             return actualReadableBytes() > 0;
         }
 
@@ -68,30 +68,30 @@
 
         @Override
         protected AsciiString splitHeaderName(byte[] line, int start, int length) {
-            needColon(line, start + length);
+            requireColon(line, start + length);
             return super.splitHeaderName(line, start, length);
         }
     }
 
     /** The codec takes a line without a colon for the name of an empty header. */
-    private static void needColon(byte[] line, int at) {
+    private static void requireColon(byte[] line, int at) {
         if (at >= line.length || line[at] != ':') {
             throw new IllegalArgumentException("a header without a colon");
         }
     }
 
     /** Whether a head can be read in one way only, as HTTP/1; says nothing of a body that is yet to come. */
-    static boolean sound(HttpMessage head) {
+    static boolean isUnambiguous(HttpMessage head) {
         HttpVersion version = head.protocolVersion();
         HttpHeaders headers = head.headers();
         if (head.decoderResult().isFailure()
                 || !version.equals(HttpVersion.HTTP_1_1) && !version.equals(HttpVersion.HTTP_1_0)) {
             return false;
         }
-        for (Map.Entry<String, String> h : headers) {
-            if (h.getKey().isEmpty()
-                    || HttpHeaderValidationUtil.validateToken(h.getKey()) >= 0
-                    || HttpHeaderValidationUtil.validateValidHeaderValue(h.getValue()) >= 0) {
+        for (Map.Entry<String, String> header : headers) {
+            if (header.getKey().isEmpty()
+                    || HttpHeaderValidationUtil.validateToken(header.getKey()) >= 0
+                    || HttpHeaderValidationUtil.validateValidHeaderValue(header.getValue()) >= 0) {
                 return false;
             }
         }
@@ -103,17 +103,17 @@
                     && version.equals(HttpVersion.HTTP_1_1)
                     && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(encodings.get(0));
         }
-        return lengths.isEmpty() || lengths.size() == 1 && number(lengths.get(0)) >= 0;
+        return lengths.isEmpty() || lengths.size() == 1 && parseNumber(lengths.get(0)) >= 0;
     }
 
     /** Whether a sound head says how long its body is. */
-    static boolean statesLength(HttpHeaders headers) {
+    static boolean declaresLength(HttpHeaders headers) {
         return headers.contains(HttpHeaderNames.CONTENT_LENGTH) || headers.contains(HttpHeaderNames.TRANSFER_ENCODING);
     }
 
     /** Whether a sound head states a body larger than any may be. */
-    static boolean tooLong(HttpHeaders headers, int most) {
-        return number(headers.get(HttpHeaderNames.CONTENT_LENGTH)) > most;
+    static boolean exceedsLength(HttpHeaders headers, int maxBytes) {
+        return parseNumber(headers.get(HttpHeaderNames.CONTENT_LENGTH)) > maxBytes;
     }
 
     /** The idle time that a Keep-Alive header grants, in whole seconds; -1 if there is none. */
@@ -121,14 +121,14 @@
         for (String parameter : headers.get("Keep-Alive", "").split(",")) {
             String[] parts = parameter.trim().split("=", 2);
             if (parts.length == 2 && parts[0].trim().equalsIgnoreCase("timeout")) {
-                return number(parts[1].trim());
+                return parseNumber(parts[1].trim());
             }
         }
         return -1;
     }
 
     /** A number of digits alone; -1 if it is none: no sign, no fraction, no list, nothing that overflows. */
-    public static long number(String text) {
+    public static long parseNumber(String text) {
         if (text == null
                 || text.isEmpty()
                 || text.length() > 18
--- a/src/main/java/quartzspan/http/HttpServer.java
+++ b/src/main/java/quartzspan/http/HttpServer.java
@@ -54,8 +54,8 @@
         /** The present time, microseconds. */
         long now();
 
-        /** A complete request, received at {@code at} (microseconds); it is to be answered once, now or later. */
-        void onRequest(ClientConnection client, HttpRequest in, byte[] body, long at);
+        /** A complete request, received at {@code receivedAtUs} (microseconds); it is to be answered once, now or later. */
+        void onRequest(ClientConnection client, HttpRequest request, byte[] body, long receivedAtUs);
 
         /** The limits of clients; read again for each connection. */
         ConnectionLimits limits();
@@ -100,7 +100,7 @@
     private static final long MIN_DRAIN_MS = 400;
 
     private static final long CLOSE_MARGIN_MS = 900;
-    private static final long LAST_REQUEST_MS = 300;
+    private static final long LAST_REQUEST_GRACE_MS = 300;
 
     private final RequestHandler handler;
     private final EventLoop loop;
@@ -133,7 +133,7 @@
 
     /** Listens at an address; idle connections are not closed before {@link #listen} was called once. */
     public ChannelFuture bind(InetSocketAddress address) {
-        ChannelFuture bound = new ServerBootstrap()
+        ChannelFuture bindFuture = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.ALLOCATOR, ConnectionPool.BUFFERS)
@@ -159,16 +159,16 @@
                     }
                 })
                 .bind(address);
-        listener = bound.channel();
-        return bound;
+        listener = bindFuture.channel();
+        return bindFuture;
     }
 
     /** At the maximum the longest idle connection is closed; where all have a request in flight, a new one has to wait. */
     private void admit(SocketChannel ch, ClientConnection client) {
         if (clients.size() >= limits.maxConnections() && !idleConnections.isEmpty()) {
-            ClientConnection longest = idleConnections.iterator().next();
-            idleConnections.remove(longest);
-            longest.channel.close();
+            ClientConnection longestIdle = idleConnections.iterator().next();
+            idleConnections.remove(longestIdle);
+            longestIdle.channel.close();
         }
         clients.add(ch);
         client.markIdle();
@@ -181,11 +181,11 @@
 
     private void sweep() {
         long now = System.nanoTime();
-        closeIdleTooLong(now);
-        endReceivingTooLong(now);
+        closeTimedOutIdleConnections(now);
+        timeOutSlowRequests(now);
     }
 
-    private void closeIdleTooLong(long now) {
+    private void closeTimedOutIdleConnections(long now) {
         long timeoutNanos = TimeUnit.MILLISECONDS.toNanos(limits.idleTimeoutMs());
         while (!idleConnections.isEmpty()) {
             ClientConnection longestIdle = idleConnections.iterator().next();
@@ -196,20 +196,20 @@
         }
     }
 
-    private void endReceivingTooLong(long now) {
+    private void timeOutSlowRequests(long now) {
         long timeoutNanos = TimeUnit.MILLISECONDS.toNanos(limits.requestTimeoutMs());
         while (!receivingConnections.isEmpty()) {
-            ClientConnection longest = receivingConnections.iterator().next();
-            if (now - longest.receivingSinceNanos <= timeoutNanos) {
+            ClientConnection longestReceiving = receivingConnections.iterator().next();
+            if (now - longestReceiving.receivingSinceNanos <= timeoutNanos) {
                 return;
             }
-            receivingConnections.remove(longest);
-            if (longest.responding) {
+            receivingConnections.remove(longestReceiving);
+            if (longestReceiving.responding) {
                 // Its next request has all its time again: the one in flight must not end with it.
-                longest.receivingSinceNanos = now;
-                receivingConnections.add(longest);
+                longestReceiving.receivingSinceNanos = now;
+                receivingConnections.add(longestReceiving);
             } else {
-                longest.onTimeout();
+                longestReceiving.onTimeout();
             }
         }
     }
@@ -222,18 +222,18 @@
      * Serves on; from some time before the end each response closes its connection; then stops listening and accepting
      * requests, closes idle connections and runs {@code done} when the last client has its response.
      *
-     * @param leftMs time until the process may be killed
+     * @param remainingMs time until the process may be killed
      */
-    public void drain(long leftMs, Runnable done) {
+    public void drain(long remainingMs, Runnable done) {
         draining = true;
-        long leaveMs = Math.max(MIN_DRAIN_MS, leftMs - CLOSE_MARGIN_MS);
-        loop.schedule(() -> closingAfterResponses = true, leaveMs, TimeUnit.MILLISECONDS);
+        long closeDelayMs = Math.max(MIN_DRAIN_MS, remainingMs - CLOSE_MARGIN_MS);
+        loop.schedule(() -> closingAfterResponses = true, closeDelayMs, TimeUnit.MILLISECONDS);
         loop.schedule(
                 () -> {
                     close();
                     clients.newCloseFuture().addListener((Future<Void> f) -> done.run());
                 },
-                leaveMs + LAST_REQUEST_MS,
+                closeDelayMs + LAST_REQUEST_GRACE_MS,
                 TimeUnit.MILLISECONDS);
     }
 
@@ -277,10 +277,10 @@
         private ByteBuf body;
         private boolean expectsContinue;
         /** Set by input that can't be read: nothing after it is read. */
-        private boolean inputUnreadable;
+        private boolean inputRejected;
 
         private boolean responding;
-        private boolean served;
+        private boolean hasServedRequest;
         private boolean handlingQueued;
         private boolean peekScheduled;
         private boolean keepAlive;
@@ -291,7 +291,7 @@
         private Runnable writableListener;
 
         /** A complete request, or the error of one that can't be read. */
-        private record QueuedRequest(HttpRequest head, byte[] body, long at, HttpResponseStatus error) {}
+        private record QueuedRequest(HttpRequest head, byte[] body, long receivedAtUs, HttpResponseStatus error) {}
 
         ClientConnection(Channel channel) {
             this.channel = channel;
@@ -300,26 +300,26 @@
         // ---- reading ---------------------------------------------------------------------------------
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, HttpObject in) {
-            if (inputUnreadable || closed) {
+        protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
+            if (inputRejected || closed) {
                 return;
             }
-            if (in.decoderResult().isFailure()) {
-                Throwable why = in.decoderResult().cause();
-                unreadable(
-                        why instanceof TooLongHttpLineException
+            if (message.decoderResult().isFailure()) {
+                Throwable cause = message.decoderResult().cause();
+                rejectInput(
+                        cause instanceof TooLongHttpLineException
                                 ? HttpResponseStatus.REQUEST_URI_TOO_LONG
-                                : why instanceof TooLongHttpHeaderException
+                                : cause instanceof TooLongHttpHeaderException
                                         ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
                                         : HttpResponseStatus.BAD_REQUEST);
                 return;
             }
-            if (in instanceof HttpRequest request) {
+            if (message instanceof HttpRequest request) {
                 startRequest(request);
             }
-            if (in instanceof HttpContent content && !inputUnreadable) {
-                append(content.content());
-                if (in instanceof LastHttpContent && !inputUnreadable) {
+            if (message instanceof HttpContent content && !inputRejected) {
+                appendBody(content.content());
+                if (message instanceof LastHttpContent && !inputRejected) {
                     finishRequest();
                 }
             }
@@ -328,12 +328,12 @@
         private void startRequest(HttpRequest request) {
             String expected = request.headers().get(HttpHeaderNames.EXPECT);
             expectsContinue = expected != null;
-            if (!HttpFraming.sound(request)) {
-                unreadable(HttpResponseStatus.BAD_REQUEST);
-            } else if (HttpFraming.tooLong(request.headers(), limits.maxBodyBytes())) {
-                unreadable(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+            if (!HttpFraming.isUnambiguous(request)) {
+                rejectInput(HttpResponseStatus.BAD_REQUEST);
+            } else if (HttpFraming.exceedsLength(request.headers(), limits.maxBodyBytes())) {
+                rejectInput(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
             } else if (expectsContinue && !HttpHeaderValues.CONTINUE.contentEqualsIgnoreCase(expected)) {
-                unreadable(HttpResponseStatus.EXPECTATION_FAILED);
+                rejectInput(HttpResponseStatus.EXPECTATION_FAILED);
             } else {
                 head = request;
                 receivingSinceNanos = System.nanoTime();
@@ -352,12 +352,12 @@
             }
         }
 
-        private void append(ByteBuf more) {
-            if (body.readableBytes() + more.readableBytes() > limits.maxBodyBytes()) {
-                unreadable(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+        private void appendBody(ByteBuf content) {
+            if (body.readableBytes() + content.readableBytes() > limits.maxBodyBytes()) {
+                rejectInput(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
             } else {
-                addBuffered(more.readableBytes());
-                body.writeBytes(more);
+                addBuffered(content.readableBytes());
+                body.writeBytes(content);
             }
         }
 
@@ -371,8 +371,8 @@
         }
 
         /** The last input that is read of this client: the requests before it are answered, then it gets the error. */
-        private void unreadable(HttpResponseStatus error) {
-            inputUnreadable = true;
+        private void rejectInput(HttpResponseStatus error) {
+            inputRejected = true;
             head = null;
             receivingConnections.remove(this);
             enqueue(new QueuedRequest(null, new byte[0], 0, error));
@@ -399,13 +399,13 @@
 
         /** Reading stops while enough requests wait. Only a read shows that a client has disconnected: one is made at times. */
         private void updateAutoRead() {
-            boolean enough = (responding || !queuedRequests.isEmpty())
-                    && !inputUnreadable
+            boolean queueFull = (responding || !queuedRequests.isEmpty())
+                    && !inputRejected
                     && (queuedRequests.size() >= MAX_PIPELINED_REQUESTS
                             || queuedBytes >= MAX_PIPELINED_BYTES
                             || bufferedBytes >= MAX_BUFFERED_BYTES);
-            channel.config().setAutoRead(!enough);
-            if (enough && !peekScheduled) {
+            channel.config().setAutoRead(!queueFull);
+            if (queueFull && !peekScheduled) {
                 peekScheduled = true;
                 loop.schedule(this::peek, PEEK_INTERVAL_MS, TimeUnit.MILLISECONDS);
             }
@@ -441,14 +441,14 @@
 
         private void handle(QueuedRequest next) {
             responding = true;
-            served = true;
+            hasServedRequest = true;
             respondingConnections++;
-            HttpRequest in = next.head();
-            keepAlive = in != null && HttpUtil.isKeepAlive(in);
-            if (in == null) {
+            HttpRequest request = next.head();
+            keepAlive = request != null && HttpUtil.isKeepAlive(request);
+            if (request == null) {
                 answer(next.error());
             } else {
-                handler.onRequest(this, in, next.body(), next.at());
+                handler.onRequest(this, request, next.body(), next.receivedAtUs());
             }
         }
 
@@ -462,34 +462,34 @@
         }
 
         /** Sends the complete response to the current request; the next request is handled when it is written. */
-        public void answer(HttpResponseStatus status, ConnectionPool.Response what, long retryAfterUs) {
+        public void answer(HttpResponseStatus status, ConnectionPool.Response response, long retryAfterUs) {
             disconnectListener = null;
-            DefaultFullHttpResponse out =
-                    new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(what.body()));
-            out.headers().set(HttpHeaderNames.CONTENT_LENGTH, what.body().length);
-            if (what.contentType() != null) {
-                out.headers().set(HttpHeaderNames.CONTENT_TYPE, what.contentType());
+            DefaultFullHttpResponse message =
+                    new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(response.body()));
+            message.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.body().length);
+            if (response.contentType() != null) {
+                message.headers().set(HttpHeaderNames.CONTENT_TYPE, response.contentType());
             }
             if (retryAfterUs > 0) {
-                out.headers()
+                message.headers()
                         .set(
                                 HttpHeaderNames.RETRY_AFTER,
                                 BigDecimal.valueOf(retryAfterUs, 6)
                                         .stripTrailingZeros()
                                         .toPlainString());
             }
-            if (what.headers() != null) {
-                out.headers().add(what.headers());
+            if (response.headers() != null) {
+                message.headers().add(response.headers());
             }
-            boolean last = markIfLast(out);
+            boolean last = markIfLast(message);
             markIdle();
-            channel.writeAndFlush(out).addListener(written -> onResponseWritten(last, written));
+            channel.writeAndFlush(message).addListener(written -> onResponseWritten(last, written));
         }
 
-        private boolean markIfLast(HttpResponse head) {
+        private boolean markIfLast(HttpResponse responseHead) {
             boolean last = !keepAlive || closingAfterResponses && queuedRequests.isEmpty();
             if (last) {
-                head.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+                responseHead.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             }
             return last;
         }
@@ -507,9 +507,9 @@
         }
 
         /** Starts a response whose body comes in chunks; {@link #finishResponse} ends it, {@link #abort} breaks it off. */
-        public void startResponse(HttpResponse out) {
-            lastResponse = markIfLast(out);
-            channel.writeAndFlush(out);
+        public void startResponse(HttpResponse responseHead) {
+            lastResponse = markIfLast(responseHead);
+            channel.writeAndFlush(responseHead);
         }
 
         /** Writes a chunk of the body. Takes ownership of the buffer. */
@@ -556,7 +556,7 @@
         }
 
         private boolean isIdle() {
-            return served && !responding && head == null && queuedRequests.isEmpty();
+            return hasServedRequest && !responding && head == null && queuedRequests.isEmpty();
         }
 
         private void onTimeout() {
--- a/src/main/java/quartzspan/http/IdleTimeout.java
+++ b/src/main/java/quartzspan/http/IdleTimeout.java
@@ -14,7 +14,7 @@
 
     private final long maxNanos;
     private long nanos;
-    private long staleAt;
+    private long lastStaleNanos;
 
     IdleTimeout(long maxNanos) {
         this.maxNanos = maxNanos;
@@ -32,17 +32,17 @@
     }
 
     /** A connection was stale after this idleness. */
-    void stale(long now, long idleFor) {
-        if (idleFor > MIN_NANOS) {
-            staleAt = now;
-            nanos = Math.min(nanos, Math.max(MIN_NANOS, (long) (DECREASE_FACTOR * idleFor)));
+    void onStale(long nowNanos, long idleNanos) {
+        if (idleNanos > MIN_NANOS) {
+            lastStaleNanos = nowNanos;
+            nanos = Math.min(nanos, Math.max(MIN_NANOS, (long) (DECREASE_FACTOR * idleNanos)));
         }
     }
 
     /** A connection was still good after this idleness; {@code cautious} as it was chosen. */
-    void good(long now, long idleFor, boolean cautious) {
-        boolean growthPaused = cautious && now - staleAt < GROWTH_PAUSE_NANOS;
-        if (!growthPaused && idleFor > (cautious ? cautiousNanos() : nanos) / 2) {
+    void onUsable(long nowNanos, long idleNanos, boolean cautious) {
+        boolean growthPaused = cautious && nowNanos - lastStaleNanos < GROWTH_PAUSE_NANOS;
+        if (!growthPaused && idleNanos > (cautious ? cautiousNanos() : nanos) / 2) {
             nanos = Math.min(maxNanos, (long) (INCREASE_FACTOR * nanos));
         }
     }
--- a/src/main/java/quartzspan/http/OutgoingRequest.java
+++ b/src/main/java/quartzspan/http/OutgoingRequest.java
@@ -14,10 +14,10 @@
 
 /** A request as it is forwarded to a server: without the headers that concern the client's own connection. */
 public record OutgoingRequest(String method, String uri, HttpHeaders headers, byte[] body) {
-    public static final AsciiString DEADLINE = AsciiString.cached("x-deadline-ms");
+    public static final AsciiString DEADLINE_HEADER = AsciiString.cached("x-deadline-ms");
 
     /** Hop-by-hop headers (RFC 9110, 7.6.1), and those that are written anew for each attempt. */
-    private static final List<AsciiString> DEFAULT_HANDLER = List.of(
+    private static final List<AsciiString> NOT_FORWARDED_HEADERS = List.of(
             HttpHeaderNames.CONNECTION,
             AsciiString.cached("keep-alive"),
             AsciiString.cached("proxy-connection"),
@@ -27,19 +27,19 @@
             HttpHeaderNames.UPGRADE,
             HttpHeaderNames.EXPECT,
             HttpHeaderNames.CONTENT_LENGTH,
-            DEADLINE);
+            DEADLINE_HEADER);
 
     /** A client's request without the headers that concern the client's own connection. */
-    public static OutgoingRequest of(HttpRequest in, byte[] body) {
-        HttpHeaders headers = new DefaultHttpHeaders().set(in.headers());
-        in.headers().getAll(HttpHeaderNames.CONNECTION).forEach(names -> List.of(names.split(","))
+    public static OutgoingRequest of(HttpRequest clientRequest, byte[] body) {
+        HttpHeaders headers = new DefaultHttpHeaders().set(clientRequest.headers());
+        clientRequest.headers().getAll(HttpHeaderNames.CONNECTION).forEach(names -> List.of(names.split(","))
                 .forEach(name -> headers.remove(name.trim())));
-        DEFAULT_HANDLER.forEach(headers::remove);
-        return new OutgoingRequest(in.method().name(), in.uri(), headers, body);
+        NOT_FORWARDED_HEADERS.forEach(headers::remove);
+        return new OutgoingRequest(clientRequest.method().name(), clientRequest.uri(), headers, body);
     }
 
     /** A health check. */
-    public static OutgoingRequest health() {
+    public static OutgoingRequest healthCheck() {
         return new OutgoingRequest(
                 "GET", "/-/healthy", new DefaultHttpHeaders().set(HttpHeaderNames.HOST, "origin.svc"), new byte[0]);
     }
@@ -51,8 +51,8 @@
     ByteBuf encode(long deadlineMs) {
         StringBuilder head = new StringBuilder(256);
         head.append(method).append(' ').append(uri).append(" HTTP/1.1\r\n");
-        for (Map.Entry<String, String> h : headers) {
-            head.append(h.getKey()).append(": ").append(h.getValue()).append("\r\n");
+        for (Map.Entry<String, String> header : headers) {
+            head.append(header.getKey()).append(": ").append(header.getValue()).append("\r\n");
         }
         head.append("X-Deadline-Ms: ").append(deadlineMs).append("\r\n");
         if (body.length > 0 || !method.equals("GET")) {
@@ -62,9 +62,9 @@
         return Unpooled.wrappedBuffer(concat(head.toString().getBytes(StandardCharsets.ISO_8859_1), body));
     }
 
-    private static byte[] concat(byte[] a, byte[] b) {
-        byte[] all = Arrays.copyOf(a, a.length + b.length);
-        System.arraycopy(b, 0, all, a.length, b.length);
+    private static byte[] concat(byte[] head, byte[] body) {
+        byte[] all = Arrays.copyOf(head, head.length + body.length);
+        System.arraycopy(body, 0, all, head.length, body.length);
         return all;
     }
 }
