--- a/src/test/java/quartzspan/clientproxy/ClientProxyFixture.java
+++ b/src/test/java/quartzspan/clientproxy/ClientProxyFixture.java
@@ -15,7 +15,7 @@
 import quartzspan.http.LoopbackPeers;
 import quartzspan.http.LoopbackPeers.Client;
 import quartzspan.http.LoopbackPeers.Discovery;
-import quartzspan.http.LoopbackPeers.Seen;
+import quartzspan.http.LoopbackPeers.ReceivedRequest;
 import quartzspan.http.LoopbackPeers.Server;
 import quartzspan.loadbalancing.LoadBalancer;
 import quartzspan.loadbalancing.LoadBalancer.Actions;
@@ -108,7 +108,7 @@
         assertTrue(LoopbackPeers.next(module.lists, "the list known").startsWith("CACHED"));
     }
 
-    Server host(Consumer<Seen> script) throws Exception {
+    Server host(Consumer<ReceivedRequest> script) throws Exception {
         return keep(new Server(script));
     }
 
@@ -138,7 +138,7 @@
         module.onRequest = r -> {
             stands.countDown();
             try {
-                assertTrue(goOn.await(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
+                assertTrue(goOn.await(LoopbackPeers.TIMEOUT_S, TimeUnit.SECONDS));
             } catch (InterruptedException e) {
                 throw new AssertionError(e);
             }
@@ -146,12 +146,12 @@
             module.actions.refuse(r.id(), 0);
         };
         client.unsafe("stand", 20_000);
-        assertTrue(stands.await(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(stands.await(LoopbackPeers.TIMEOUT_S, TimeUnit.SECONDS));
         return goOn;
     }
 
     /** One request sent once to a host with this script; returns how the attempt ended. */
-    AttemptEnd outcome(Consumer<Seen> script, long timeoutUs) throws Exception {
+    AttemptEnd outcome(Consumer<ReceivedRequest> script, long timeoutUs) throws Exception {
         Server host = host(script);
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", timeoutUs);
@@ -161,7 +161,7 @@
         int status = client.read().status();
         assertEquals(end.outcome() == Outcome.OK ? 200 : 502, status);
         assertEquals(end.outcome() == Outcome.OK, end.requestDone());
-        assertEquals(1, host.seen.size(), "sent once and no more");
+        assertEquals(1, host.received.size(), "sent once and no more");
         return end;
     }
 }
--- a/src/test/java/quartzspan/clientproxy/ClientProxyProcessTest.java
+++ b/src/test/java/quartzspan/clientproxy/ClientProxyProcessTest.java
@@ -25,7 +25,7 @@
 import quartzspan.http.LoopbackPeers.Client;
 import quartzspan.http.LoopbackPeers.Discovery;
 import quartzspan.http.LoopbackPeers.Message;
-import quartzspan.http.LoopbackPeers.Seen;
+import quartzspan.http.LoopbackPeers.ReceivedRequest;
 import quartzspan.http.LoopbackPeers.Server;
 
 /** The whole program, started as it is deployed, with the real module. */
@@ -51,8 +51,8 @@
                         "",
                         LoopbackPeers.list(1, true, known.toArray(String[]::new))),
                 ProcessBuilder.Redirect.INHERIT);
-        Discovery.push(discovery.asked(), LoopbackPeers.list(2, true, known.toArray(String[]::new)));
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackPeers.PATIENCE_S);
+        Discovery.push(discovery.awaitWatch(), LoopbackPeers.list(2, true, known.toArray(String[]::new)));
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackPeers.TIMEOUT_S);
         while (System.nanoTime() < end) {
             try (Client client = new Client(port)) {
                 if (client.write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -96,7 +96,7 @@
         process = builder.start();
     }
 
-    private Server host(Consumer<Seen> script) throws Exception {
+    private Server host(Consumer<ReceivedRequest> script) throws Exception {
         return keep(new Server(script));
     }
 
@@ -118,7 +118,7 @@
     @Test
     void anUnsafeRequestIsTriedAgainOnlyWhenItSurelyDidNotRun() throws Exception {
         AtomicInteger attempts = new AtomicInteger();
-        Consumer<Seen> script = s -> {
+        Consumer<ReceivedRequest> script = s -> {
             boolean first = attempts.getAndIncrement() == 0;
             switch (s.message().header("x-request-id")) {
                 case "not-run" -> {
@@ -161,10 +161,10 @@
             // Enough of them for the module to know that an answer takes less than the time until SIGKILL.
             for (int i = 0; i < 200; i++) {
                 assertEquals(200, kept.unsafe("before" + i, 20_000).read().status());
-                LoopbackPeers.next(host.seen, "a request before");
+                LoopbackPeers.next(host.received, "a request before");
             }
             out.unsafe("out", 20_000);
-            Seen waiting = LoopbackPeers.next(host.seen, "the request that is out");
+            ReceivedRequest waiting = LoopbackPeers.next(host.received, "the request that is out");
             long told = System.nanoTime();
             process.destroy();
             try {
@@ -191,7 +191,7 @@
             assertTrue(process.isAlive(), "one request is out");
             waiting.served("late");
             assertEquals("late", out.read().text());
-            assertTrue(process.waitFor(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
+            assertTrue(process.waitFor(LoopbackPeers.TIMEOUT_S, TimeUnit.SECONDS));
         }
     }
 
@@ -208,11 +208,12 @@
         hangUp();
         hangUp();
         Discovery.push(
-                other.asked(), LoopbackPeers.list(1, true, LoopbackPeers.host("s0", host.address(), "in_service")));
+                other.awaitWatch(),
+                LoopbackPeers.list(1, true, LoopbackPeers.host("s0", host.address(), "in_service")));
         try (Client client = new Client(port)) {
             assertEquals(200, client.unsafe("after", 20_000).read().status());
         }
-        assertEquals(0, other.server.seen.size(), "one watch for two signals with the same file");
+        assertEquals(0, other.server.received.size(), "one watch for two signals with the same file");
     }
 
     private void hangUp() throws Exception {
@@ -240,7 +241,7 @@
         }
         File errors = folder.resolve("errors").toFile();
         launch(good.replace("\"effect\":\"retryable\"", "\"effect\":\"odd\""), ProcessBuilder.Redirect.to(errors));
-        assertTrue(process.waitFor(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(process.waitFor(LoopbackPeers.TIMEOUT_S, TimeUnit.SECONDS));
         assertEquals(1, process.exitValue());
         assertEquals("quartzspan: settings: safe: unknown effect odd\n", Files.readString(errors.toPath()));
     }
@@ -252,7 +253,7 @@
             launch(
                     LoopbackPeers.config(taken.getLocalPort(), "127.0.0.1:1", "", "null"),
                     ProcessBuilder.Redirect.to(errors));
-            assertTrue(process.waitFor(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
+            assertTrue(process.waitFor(LoopbackPeers.TIMEOUT_S, TimeUnit.SECONDS));
             assertFalse(process.exitValue() == 0);
             List<String> lines = Files.readAllLines(errors.toPath());
             assertEquals(1, lines.size(), lines.toString());
--- a/src/test/java/quartzspan/clientproxy/DiscoveryTest.java
+++ b/src/test/java/quartzspan/clientproxy/DiscoveryTest.java
@@ -18,7 +18,7 @@
 import quartzspan.http.LoopbackPeers;
 import quartzspan.http.LoopbackPeers.Client;
 import quartzspan.http.LoopbackPeers.Discovery;
-import quartzspan.http.LoopbackPeers.Seen;
+import quartzspan.http.LoopbackPeers.ReceivedRequest;
 import quartzspan.http.LoopbackPeers.Server;
 import quartzspan.loadbalancing.LoadBalancer.Endpoint;
 import quartzspan.loadbalancing.LoadBalancer.Source;
@@ -33,7 +33,7 @@
                 client().write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
                         .read()
                         .status());
-        Seen watch = discovery.asked();
+        ReceivedRequest watch = discovery.awaitWatch();
         String asked = watch.message().first();
         assertTrue(asked.startsWith("GET /api/targets?watch=1&after=1 "), asked);
         Discovery.push(watch, LoopbackPeers.list(2, true, LoopbackPeers.host("t", "127.0.0.1:2", "in_service")));
@@ -49,13 +49,13 @@
         Discovery.push(watch, "{\"version\":4,\"servers\":[{\"id\":7");
         assertEquals("failed", LoopbackPeers.next(module.lists, "the bad line's failure"));
         watch.awaitEnd();
-        assertEquals(0, discovery.server.seen.size(), "asked again only when the module says so");
+        assertEquals(0, discovery.server.received.size(), "asked again only when the module says so");
         module.onRequest = r -> {
             module.actions.subscribe();
             module.actions.fail(r.id());
         };
         client().unsafe("id1", 20_000).read();
-        Seen again = discovery.asked();
+        ReceivedRequest again = discovery.awaitWatch();
         assertTrue(again.message().first().contains("after=3 "), again.message().first());
         again.reset();
         assertEquals("failed", LoopbackPeers.next(module.lists, "the break"));
@@ -72,12 +72,12 @@
                 ClientProxyConfig.parse(config.getBytes(StandardCharsets.UTF_8)),
                 (settings, seed, now, actions) -> module,
                 starting -> {});
-        Seen watch = discovery.asked();
+        ReceivedRequest watch = discovery.awaitWatch();
         assertTrue(
                 watch.message().first().startsWith("GET /api/targets?watch=1 "),
                 watch.message().first());
         watch.reset();
-        Discovery.push(discovery.asked(), LoopbackPeers.list(1, true));
+        Discovery.push(discovery.awaitWatch(), LoopbackPeers.list(1, true));
         assertEquals("FULL []", LoopbackPeers.next(module.lists, "the list"));
     }
 
@@ -113,20 +113,20 @@
         Server after = host(s -> s.served("x"));
         start("", LoopbackPeers.host("s", before.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
-        Seen watch = discovery.asked();
+        ReceivedRequest watch = discovery.awaitWatch();
         Client client = client();
         assertEquals(200, client.unsafe("id1", 20_000).read().status());
         Discovery.push(watch, LoopbackPeers.list(2, false, LoopbackPeers.host("s", after.address(), "in_service")));
-        LoopbackPeers.next(before.seen, "the first request").awaitEnd();
+        LoopbackPeers.next(before.received, "the first request").awaitEnd();
         assertEquals(200, client.unsafe("id2", 20_000).read().status());
         Discovery.push(watch, LoopbackPeers.list(3, false, LoopbackPeers.host("s", after.address(), "terminating")));
-        LoopbackPeers.next(after.seen, "the second request").awaitEnd();
+        LoopbackPeers.next(after.received, "the second request").awaitEnd();
     }
 
     @Test
     void aSilentWatchIsAFailedCall() throws Exception {
         start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
-        Seen watch = discovery.asked();
+        ReceivedRequest watch = discovery.awaitWatch();
         assertEquals("failed", LoopbackPeers.next(module.lists, "the silence"));
         watch.awaitEnd();
     }
@@ -141,12 +141,12 @@
         // Guards the numbering: another discovery counts its versions in its own way.
         Discovery other = keep(new Discovery());
         start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
-        Seen watch = discovery.asked();
+        ReceivedRequest watch = discovery.awaitWatch();
         Discovery.push(watch, LoopbackPeers.list(7, true, LoopbackPeers.host("s", "127.0.0.1:1", "in_service")));
         assertEquals("FULL [s 1 READY]", LoopbackPeers.next(module.lists, "the first list"));
         move(other.server.address());
         watch.awaitEnd();
-        Seen moved = other.asked();
+        ReceivedRequest moved = other.awaitWatch();
         assertTrue(
                 moved.message().first().startsWith("GET /api/targets?watch=1 "),
                 moved.message().first());
@@ -159,19 +159,20 @@
         move(other.server.address());
         Discovery.push(moved, LoopbackPeers.list(2, true, LoopbackPeers.host("t", "127.0.0.1:1", "in_service")));
         assertEquals("FULL [t 1 READY]", LoopbackPeers.next(module.lists, "the other's list, and no failure before"));
-        assertEquals(0, other.server.seen.size(), "the same address is no move");
+        assertEquals(0, other.server.received.size(), "the same address is no move");
     }
 
     @Test
     void aMoveToWhereNobodyAnswersFailsWithinWhatCountsAsTold() throws Exception {
         Discovery mute = keep(new Discovery());
         start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
-        discovery.asked();
+        discovery.awaitWatch();
         move(mute.server.address());
-        LoopbackPeers.next(mute.server.seen, "the watch that is not answered").awaitEnd();
+        LoopbackPeers.next(mute.server.received, "the watch that is not answered")
+                .awaitEnd();
         assertEquals("failed", LoopbackPeers.next(module.lists, "the failure"));
         move(discovery.server.address());
-        Discovery.push(discovery.asked(), LoopbackPeers.list(9, true));
+        Discovery.push(discovery.awaitWatch(), LoopbackPeers.list(9, true));
         assertEquals("FULL []", LoopbackPeers.next(module.lists, "the list after moving back"));
     }
 
@@ -194,13 +195,13 @@
             LoopbackPeers.list(9, true, host, "7"),
             LoopbackPeers.list(9, true, host).substring(0, 60)
         }) {
-            Seen watch = discovery.asked();
+            ReceivedRequest watch = discovery.awaitWatch();
             Discovery.push(watch, bad);
             assertEquals("failed", LoopbackPeers.next(module.lists, bad));
             watch.awaitEnd();
             assertEquals(200, client().unsafe("id" + ids++, 20_000).read().status(), bad);
         }
-        Discovery.push(discovery.asked(), LoopbackPeers.list(9, true, host, host));
+        Discovery.push(discovery.awaitWatch(), LoopbackPeers.list(9, true, host, host));
         assertEquals("FULL [s 1 READY, s 1 READY]", LoopbackPeers.next(module.lists, "a host named twice"));
         assertEquals(200, client().unsafe("last", 20_000).read().status());
     }
@@ -215,7 +216,7 @@
     @Test
     void aListMayComeIndentedOrBesideAnotherOrCutAtAnyByte() throws Exception {
         start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
-        Seen watch = discovery.asked();
+        ReceivedRequest watch = discovery.awaitWatch();
         String braces = LoopbackPeers.host("t}{\\\"]", "127.0.0.1:2", "in_service");
         Discovery.push(
                 watch, indented(LoopbackPeers.list(2, true, LoopbackPeers.host("s", "127.0.0.1:1", "in_service"))));
@@ -238,7 +239,7 @@
     @Test
     void aListThatComesALittleAtATimeAndHasNoEndIsSilence() throws Exception {
         start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
-        Seen watch = discovery.asked();
+        ReceivedRequest watch = discovery.awaitWatch();
         watch.write("1\r\n{\r\n");
         Thread drip = new Thread(() -> {
             while (!watch.ended().isDone()) {
@@ -263,7 +264,7 @@
     void emptyLinesKeepAWatchThatHasNothingToTell() throws Exception {
         // Longer than silence is borne; the list that comes in the end comes on the same watch.
         start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
-        Seen watch = discovery.asked();
+        ReceivedRequest watch = discovery.awaitWatch();
         for (int i = 0; i < 12; i++) {
             assertNull(module.lists.poll(500, TimeUnit.MILLISECONDS));
             Discovery.push(watch, "");
@@ -307,7 +308,7 @@
             keep(new Client(each.server.socket.getLocalPort())).write("GET /last HTTP/1.1\r\n\r\n");
             assertEquals(
                     "GET /last HTTP/1.1",
-                    LoopbackPeers.next(each.server.seen, "ours").message().first());
+                    LoopbackPeers.next(each.server.received, "ours").message().first());
             assertEquals(1, each.server.connections.size());
         }
     }
--- a/src/test/java/quartzspan/clientproxy/EndpointDrainingTest.java
+++ b/src/test/java/quartzspan/clientproxy/EndpointDrainingTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.api.Test;
 import quartzspan.http.LoopbackPeers;
 import quartzspan.http.LoopbackPeers.Client;
-import quartzspan.http.LoopbackPeers.Deaf;
 import quartzspan.http.LoopbackPeers.Discovery;
-import quartzspan.http.LoopbackPeers.Seen;
+import quartzspan.http.LoopbackPeers.FullBacklogServer;
+import quartzspan.http.LoopbackPeers.ReceivedRequest;
 import quartzspan.http.LoopbackPeers.Server;
 import quartzspan.loadbalancing.LoadBalancer.AttemptEnd;
 import quartzspan.loadbalancing.LoadBalancer.Outcome;
@@ -38,8 +38,9 @@
 
     private void onlyTheLastCame(Server host) throws Exception {
         assertEquals(200, client().unsafe("last", 20_000).read().status());
-        assertEquals("last", LoopbackPeers.next(host.seen, "the last").message().header("x-request-id"));
-        assertTrue(host.seen.isEmpty());
+        assertEquals(
+                "last", LoopbackPeers.next(host.received, "the last").message().header("x-request-id"));
+        assertTrue(host.received.isEmpty());
     }
 
     @Test
@@ -50,7 +51,7 @@
         Client reset = client();
         assertEquals(200, kept.unsafe("first", 20_000).read().status());
         assertEquals(200, reset.unsafe("second", 20_000).read().status());
-        host.seen.clear();
+        host.received.clear();
         Client standing = client();
         CountDownLatch goOn = stand(standing, () -> module.onRequest = next -> module.actions.send(next.id(), "s", 0));
         kept.unsafe("on a kept connection", 20_000).close();
@@ -92,7 +93,7 @@
     void whileItsConnectionComesUpLate() throws Exception {
         // Also where the settings forbid to cancel.
         for (boolean cancels : new boolean[] {true, false}) {
-            try (Deaf deaf = new Deaf()) {
+            try (FullBacklogServer deaf = new FullBacklogServer()) {
                 module.cancels = cancels;
                 start("", LoopbackPeers.host("s", deaf.address(), "in_service"));
                 CountDownLatch sent = new CountDownLatch(1);
@@ -101,7 +102,7 @@
                     sent.countDown();
                 };
                 Client client = client().unsafe("late", 20_000);
-                assertTrue(sent.await(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
+                assertTrue(sent.await(LoopbackPeers.TIMEOUT_S, TimeUnit.SECONDS));
                 client.close();
                 assertEquals("late", LoopbackPeers.next(module.gone, "the client's leaving"));
                 if (cancels) {
@@ -109,8 +110,8 @@
                             Outcome.CANCELED,
                             LoopbackPeers.next(module.ends, "the end").outcome());
                 } else {
-                    deaf.hear();
-                    assertTrue(deaf.silent(), "nothing was written");
+                    deaf.acceptAll();
+                    assertTrue(deaf.closedWithoutInput(), "nothing was written");
                     assertEquals(
                             Outcome.IGNORED,
                             LoopbackPeers.next(module.ends, "the end").outcome());
@@ -123,9 +124,9 @@
     @Test
     void betweenTwoAttempts() throws Exception {
         Server host = serving();
-        BlockingQueue<Seen> out = new LinkedBlockingQueue<>();
+        BlockingQueue<ReceivedRequest> out = new LinkedBlockingQueue<>();
         Server first = host(out::add);
-        Seen watch = discovery.asked();
+        ReceivedRequest watch = discovery.awaitWatch();
         Discovery.push(
                 watch,
                 LoopbackPeers.list(
--- a/src/test/java/quartzspan/clientproxy/EventOrderingTest.java
+++ b/src/test/java/quartzspan/clientproxy/EventOrderingTest.java
@@ -11,7 +11,7 @@
 import quartzspan.http.LoopbackPeers;
 import quartzspan.http.LoopbackPeers.Client;
 import quartzspan.http.LoopbackPeers.Discovery;
-import quartzspan.http.LoopbackPeers.Seen;
+import quartzspan.http.LoopbackPeers.ReceivedRequest;
 import quartzspan.http.LoopbackPeers.Server;
 import quartzspan.loadbalancing.LoadBalancer.AttemptEnd;
 import quartzspan.loadbalancing.LoadBalancer.Outcome;
@@ -24,12 +24,12 @@
     @Test
     void anAnswerThatMeetsTheCancelOfItsAttemptIsOneEnd() throws Exception {
         // The answer is there when the loop, which stood still, carries out the cancel.
-        BlockingQueue<Seen> out = new LinkedBlockingQueue<>();
+        BlockingQueue<ReceivedRequest> out = new LinkedBlockingQueue<>();
         Server host = host(out::add);
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         Client client = client().unsafe("met", 20_000);
-        Seen attempt = LoopbackPeers.next(out, "the attempt");
+        ReceivedRequest attempt = LoopbackPeers.next(out, "the attempt");
         Client other = client();
         module.onEnd = e -> module.actions.fail(e.requestId());
         CountDownLatch goOn = stand(other, () -> module.actions.cancel("met", 0));
@@ -41,12 +41,12 @@
         assertEquals(Outcome.CANCELED, end.outcome());
         attempt.awaitEnd();
         assertTrue(module.ends.isEmpty(), "one end");
-        assertEquals(1, host.seen.size(), "no second copy");
+        assertEquals(1, host.received.size(), "no second copy");
     }
 
     @Test
     void anAttemptThatTimesOutAsItsAnswerComesIsOneEnd() throws Exception {
-        BlockingQueue<Seen> out = new LinkedBlockingQueue<>();
+        BlockingQueue<ReceivedRequest> out = new LinkedBlockingQueue<>();
         Server host = host(out::add);
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 300_000);
@@ -56,7 +56,7 @@
             }
         };
         Client client = client().unsafe("met", 20_000);
-        Seen attempt = LoopbackPeers.next(out, "the attempt");
+        ReceivedRequest attempt = LoopbackPeers.next(out, "the attempt");
         Client other = client();
         CountDownLatch goOn = stand(other, () -> {});
         Thread.sleep(400); // the attempt's time runs out while nothing is looked at
@@ -68,7 +68,7 @@
         assertTrue(end.outcome() == Outcome.OK || end.outcome() == Outcome.TIMED_OUT, end.toString());
         assertEquals(503, other.read().status());
         assertTrue(module.ends.isEmpty(), "one end");
-        assertEquals(1, host.seen.size());
+        assertEquals(1, host.received.size());
     }
 
     @Test
@@ -76,7 +76,7 @@
         // The module chose the host before it was told, and the send is carried out after.
         Server host = host(s -> s.served("x"));
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
-        Seen watch = discovery.asked();
+        ReceivedRequest watch = discovery.awaitWatch();
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         Client client = client();
         assertEquals(200, client.unsafe("first", 20_000).read().status());
@@ -87,7 +87,7 @@
         };
         client.unsafe("second", 20_000);
         assertEquals("DELTA [s 1 DRAINING]", LoopbackPeers.next(module.lists, "the drain"));
-        LoopbackPeers.next(host.seen, "the first request").awaitEnd();
+        LoopbackPeers.next(host.received, "the first request").awaitEnd();
         module.onRequest = r -> {
             module.actions.send(late, "s", 0);
             module.actions.refuse(r.id(), 0);
@@ -98,7 +98,7 @@
                 Outcome.OK, LoopbackPeers.next(module.ends, "the first end").outcome());
         assertEquals(
                 Outcome.IGNORED, LoopbackPeers.next(module.ends, "the second").outcome());
-        assertTrue(host.seen.isEmpty(), "nothing new");
+        assertTrue(host.received.isEmpty(), "nothing new");
     }
 
     @Test
@@ -112,18 +112,18 @@
         assertEquals(408, half.read().status());
         assertTrue(half.closed());
         assertEquals(200, client().unsafe("same", 20_000).read().status());
-        assertEquals(1, host.seen.size());
+        assertEquals(1, host.received.size());
     }
 
     @Test
     void aRequestOnceMoreAfterItsClientLeftRunsOnceAtATime() throws Exception {
         // The first copy is out when its client goes; the second is sent on a connection of its own, after.
-        BlockingQueue<Seen> out = new LinkedBlockingQueue<>();
+        BlockingQueue<ReceivedRequest> out = new LinkedBlockingQueue<>();
         Server host = host(out::add);
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         Client first = client().safe("same", 20_000);
-        Seen one = LoopbackPeers.next(out, "the first copy");
+        ReceivedRequest one = LoopbackPeers.next(out, "the first copy");
         first.close();
         assertEquals("same", LoopbackPeers.next(module.gone, "the client's leaving"));
         one.awaitEnd();
@@ -139,12 +139,12 @@
 
     @Test
     void requestsBehindAnOpenOneAreAnsweredInADrain() throws Exception {
-        BlockingQueue<Seen> out = new LinkedBlockingQueue<>();
+        BlockingQueue<ReceivedRequest> out = new LinkedBlockingQueue<>();
         Server host = host(out::add);
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         Client client = client().unsafe("a", 20_000).unsafe("b", 20_000);
-        Seen first = LoopbackPeers.next(out, "the first");
+        ReceivedRequest first = LoopbackPeers.next(out, "the first");
         proxy.drain();
         assertEquals(503, client().write(READY).read().status(), "the drain has begun");
         first.served("one");
@@ -156,12 +156,12 @@
     @Test
     void aMoveWhileACallConnectsAndOneBackGiveUpTheOldCalls() throws Exception {
         start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
-        Seen watch = discovery.asked();
-        try (LoopbackPeers.Deaf deaf = new LoopbackPeers.Deaf()) {
+        ReceivedRequest watch = discovery.awaitWatch();
+        try (LoopbackPeers.FullBacklogServer deaf = new LoopbackPeers.FullBacklogServer()) {
             move(deaf.address());
             watch.awaitEnd();
             move(discovery.server.address());
-            Seen back = discovery.asked();
+            ReceivedRequest back = discovery.awaitWatch();
             Discovery.push(back, LoopbackPeers.list(7, true, LoopbackPeers.host("t", "127.0.0.1:1", "in_service")));
             assertEquals("FULL [t 1 READY]", LoopbackPeers.next(module.lists, "the list, and no failure before"));
         }
@@ -171,13 +171,13 @@
     void aMoveInADrainIsTakenUp() throws Exception {
         Discovery other = keep(new Discovery());
         start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
-        discovery.asked();
+        discovery.awaitWatch();
         module.onRequest = r -> {};
         client().unsafe("open", 20_000);
         proxy.drain();
         move(other.server.address());
         Discovery.push(
-                other.asked(), LoopbackPeers.list(2, true, LoopbackPeers.host("t", "127.0.0.1:1", "in_service")));
+                other.awaitWatch(), LoopbackPeers.list(2, true, LoopbackPeers.host("t", "127.0.0.1:1", "in_service")));
         assertEquals("FULL [t 1 READY]", LoopbackPeers.next(module.lists, "the other's list"));
     }
 
@@ -185,7 +185,7 @@
     void aWatchResetHalfWayThroughAListIsAFailedCallAndNothingOfItHolds() throws Exception {
         Server server = host(s -> s.served("x"));
         start("", LoopbackPeers.host("s", server.address(), "in_service"));
-        Seen watch = discovery.asked();
+        ReceivedRequest watch = discovery.awaitWatch();
         String list = LoopbackPeers.list(9, true, LoopbackPeers.host("t", "127.0.0.1:1", "in_service"));
         watch.write("f00\r\n" + list.substring(0, list.length() - 1));
         watch.reset();
@@ -195,7 +195,7 @@
             module.actions.send(r.id(), "s", 0);
         };
         assertEquals(200, client().unsafe("id1", 20_000).read().status(), "the list held stays");
-        String asked = discovery.asked().message().first();
+        String asked = discovery.awaitWatch().message().first();
         assertTrue(asked.contains("after=1 "), asked);
     }
 
@@ -203,7 +203,7 @@
     void aListToldTwiceChangesNothing() throws Exception {
         Server server = host(s -> s.served("x"));
         start("", LoopbackPeers.host("s", server.address(), "in_service"));
-        Seen watch = discovery.asked();
+        ReceivedRequest watch = discovery.awaitWatch();
         String same = LoopbackPeers.list(2, true, LoopbackPeers.host("s", server.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         Client client = client();
@@ -220,7 +220,7 @@
     @Test
     void aRequestWhoseTimePassedWhileTheProcessStoodStillIsNotWritten() throws Exception {
         // As after a freeze: the connection is up before the timer is looked at, and the deadline is long past.
-        try (LoopbackPeers.Deaf deaf = new LoopbackPeers.Deaf()) {
+        try (LoopbackPeers.FullBacklogServer deaf = new LoopbackPeers.FullBacklogServer()) {
             start("", LoopbackPeers.host("s", deaf.address(), "in_service"));
             module.onRequest = r -> module.actions.send(r.id(), "s", 700_000);
             module.onEnd = e -> module.actions.refuse(e.requestId(), 0);
@@ -229,13 +229,13 @@
             client().write(READY).read();
             CountDownLatch thaw = stand(client(), () -> {});
             // The connection comes up when its opening is repeated, after a second.
-            deaf.hear();
+            deaf.acceptAll();
             thaw.countDown();
             assertTrue(LoopbackPeers.next(module.ends, "the attempt's end")
                     .outcome()
                     .neverRan());
             assertEquals(503, client.read().status());
-            assertTrue(deaf.silent(), "nothing was written");
+            assertTrue(deaf.closedWithoutInput(), "nothing was written");
         }
     }
 
--- a/src/test/java/quartzspan/clientproxy/FaultyClientsTest.java
+++ b/src/test/java/quartzspan/clientproxy/FaultyClientsTest.java
@@ -15,7 +15,7 @@
 import quartzspan.http.LoopbackPeers;
 import quartzspan.http.LoopbackPeers.Client;
 import quartzspan.http.LoopbackPeers.Message;
-import quartzspan.http.LoopbackPeers.Seen;
+import quartzspan.http.LoopbackPeers.ReceivedRequest;
 import quartzspan.http.LoopbackPeers.Server;
 import quartzspan.loadbalancing.LoadBalancer.AttemptEnd;
 import quartzspan.loadbalancing.LoadBalancer.Outcome;
@@ -124,7 +124,7 @@
         CountDownLatch told = new CountDownLatch(1);
         module.onRequest = r -> told.countDown();
         Client first = client().unsafe("same", 20_000);
-        assertTrue(told.await(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(told.await(LoopbackPeers.TIMEOUT_S, TimeUnit.SECONDS));
         assertEquals(400, client().unsafe("same", 20_000).read().status());
         module.onRequest = r -> {
             module.actions.fail("same");
@@ -137,7 +137,7 @@
     @Test
     void anErrorWaitsForItsTurn() throws Exception {
         // Guards the order: an error written past an open request would be taken for that one's answer.
-        BlockingQueue<Seen> out = new LinkedBlockingQueue<>();
+        BlockingQueue<ReceivedRequest> out = new LinkedBlockingQueue<>();
         Server host = host(out::add);
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
@@ -151,7 +151,7 @@
 
     @Test
     void aClientThatAsksFirstIsToldToGoOnInItsTurn() throws Exception {
-        BlockingQueue<Seen> out = new LinkedBlockingQueue<>();
+        BlockingQueue<ReceivedRequest> out = new LinkedBlockingQueue<>();
         Server host = host(out::add);
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
@@ -163,7 +163,7 @@
         assertEquals("mine", client.read().text());
         assertEquals(100, client.read().status());
         client.write("body");
-        Seen second = LoopbackPeers.next(out, "the second request");
+        ReceivedRequest second = LoopbackPeers.next(out, "the second request");
         assertEquals("body", second.message().text());
         second.served("too");
         assertEquals("too", client.read().text());
@@ -172,7 +172,7 @@
     @Test
     void manyRequestsSentAheadAreAllAnsweredInOrder() throws Exception {
         // Guards memory: reading stops and goes on again, and no request is closed on.
-        BlockingQueue<Seen> out = new LinkedBlockingQueue<>();
+        BlockingQueue<ReceivedRequest> out = new LinkedBlockingQueue<>();
         Server host = host(out::add);
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
@@ -181,7 +181,7 @@
             client.unsafe("id" + i, 20_000);
         }
         for (int i = 0; i < 300; i++) {
-            Seen one = LoopbackPeers.next(out, "request " + i);
+            ReceivedRequest one = LoopbackPeers.next(out, "request " + i);
             assertEquals("id" + i, one.message().header("x-request-id"));
             one.served("id" + i);
             assertEquals("id" + i, client.read().text());
@@ -197,7 +197,7 @@
         for (int i = 0; i < 40; i++) {
             client.unsafe("id" + i, 20_000);
         }
-        Seen first = LoopbackPeers.next(host.seen, "the first request");
+        ReceivedRequest first = LoopbackPeers.next(host.received, "the first request");
         client.close();
         assertEquals("id0", LoopbackPeers.next(module.gone, "the client's leaving"));
         first.awaitEnd();
@@ -224,7 +224,7 @@
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         Client client = client().unsafe("id1", 20_000);
-        Seen seen = LoopbackPeers.next(host.seen, "the request");
+        ReceivedRequest seen = LoopbackPeers.next(host.received, "the request");
         client.close();
         assertEquals("id1", LoopbackPeers.next(module.gone, "the client's leaving"));
         AttemptEnd end = LoopbackPeers.next(module.ends, "the end");
--- a/src/test/java/quartzspan/clientproxy/FaultyEndpointsTest.java
+++ b/src/test/java/quartzspan/clientproxy/FaultyEndpointsTest.java
@@ -18,7 +18,7 @@
 import quartzspan.http.LoopbackPeers;
 import quartzspan.http.LoopbackPeers.Client;
 import quartzspan.http.LoopbackPeers.Message;
-import quartzspan.http.LoopbackPeers.Seen;
+import quartzspan.http.LoopbackPeers.ReceivedRequest;
 import quartzspan.http.LoopbackPeers.Server;
 import quartzspan.loadbalancing.LoadBalancer.Outcome;
 
@@ -37,7 +37,7 @@
 
     @Test
     void turnedAwayIsKnownNotToHaveRun() throws Exception {
-        assertEquals(Outcome.QUEUE_FULL, outcome(Seen::notRun, 0).outcome());
+        assertEquals(Outcome.QUEUE_FULL, outcome(ReceivedRequest::notRun, 0).outcome());
     }
 
     @Test
@@ -56,7 +56,7 @@
 
     @Test
     void aResetAfterTheRequestMayHaveRun() throws Exception {
-        assertEquals(Outcome.RESET, outcome(Seen::reset, 0).outcome());
+        assertEquals(Outcome.RESET, outcome(ReceivedRequest::reset, 0).outcome());
     }
 
     @Test
@@ -114,7 +114,7 @@
             assertEquals(502, client.unsafe("" + i, 20_000).read().status(), what);
             assertEquals(
                     Outcome.FAILED, LoopbackPeers.next(module.ends, "an end").outcome(), what);
-            LoopbackPeers.next(host.seen, "the request").awaitEnd();
+            LoopbackPeers.next(host.received, "the request").awaitEnd();
         }
     }
 
@@ -149,7 +149,7 @@
         for (String late : List.of("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray", "no", "\r\n")) {
             String id = "id" + late.length();
             assertEquals(id, client.unsafe(id, 20_000).read().text());
-            Seen seen = LoopbackPeers.next(host.seen, "the request");
+            ReceivedRequest seen = LoopbackPeers.next(host.received, "the request");
             seen.write(late);
             seen.awaitEnd();
         }
@@ -158,7 +158,7 @@
 
     @Test
     void silenceTimesOutAndTheConnectionCloses() throws Exception {
-        BlockingQueue<Seen> seen = new LinkedBlockingQueue<>();
+        BlockingQueue<ReceivedRequest> seen = new LinkedBlockingQueue<>();
         assertEquals(Outcome.TIMED_OUT, outcome(seen::add, 50_000).outcome());
         LoopbackPeers.next(seen, "the request").awaitEnd();
     }
--- a/src/test/java/quartzspan/clientproxy/ProxyTest.java
+++ b/src/test/java/quartzspan/clientproxy/ProxyTest.java
@@ -19,10 +19,10 @@
 import org.junit.jupiter.api.Test;
 import quartzspan.http.LoopbackPeers;
 import quartzspan.http.LoopbackPeers.Client;
-import quartzspan.http.LoopbackPeers.Deaf;
 import quartzspan.http.LoopbackPeers.Discovery;
+import quartzspan.http.LoopbackPeers.FullBacklogServer;
 import quartzspan.http.LoopbackPeers.Message;
-import quartzspan.http.LoopbackPeers.Seen;
+import quartzspan.http.LoopbackPeers.ReceivedRequest;
 import quartzspan.http.LoopbackPeers.Server;
 import quartzspan.loadbalancing.LoadBalancer.AttemptEnd;
 import quartzspan.loadbalancing.LoadBalancer.Outcome;
@@ -123,7 +123,7 @@
         start(starting -> end.add(starting.drain()), "", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         assertEquals(200, client().unsafe("id1", 20_000).read().status());
-        assertTrue(end.get(0).await(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS), "it ends");
+        assertTrue(end.get(0).await(LoopbackPeers.TIMEOUT_S, TimeUnit.SECONDS), "it ends");
     }
 
     @Test
@@ -159,7 +159,7 @@
     @Test
     void aTimeOutCoversConnecting() throws Exception {
         // Guards against an attempt that hangs where no connection ever comes up: it never ran.
-        try (Deaf deaf = new Deaf()) {
+        try (FullBacklogServer deaf = new FullBacklogServer()) {
             start("", LoopbackPeers.host("s", deaf.address(), "in_service"));
             module.onRequest = r -> module.actions.send(r.id(), "s", 100_000);
             module.onEnd = e -> module.actions.refuse(e.requestId(), 0);
@@ -173,9 +173,9 @@
     @Test
     void nothingIsWrittenToAHostToldToDrainWhileConnecting() throws Exception {
         // Guards rule 3: the decision was made before the drain, the connection comes up after it.
-        try (Deaf deaf = new Deaf()) {
+        try (FullBacklogServer deaf = new FullBacklogServer()) {
             start("", LoopbackPeers.host("s", deaf.address(), "in_service"));
-            Seen watch = discovery.asked();
+            ReceivedRequest watch = discovery.awaitWatch();
             BlockingQueue<String> sent = new LinkedBlockingQueue<>();
             module.onRequest = r -> {
                 module.actions.send(r.id(), "s", 0);
@@ -186,11 +186,11 @@
             LoopbackPeers.next(sent, "the decision");
             Discovery.push(watch, LoopbackPeers.list(2, false, LoopbackPeers.host("s", deaf.address(), "terminating")));
             assertEquals("DELTA [s 1 DRAINING]", LoopbackPeers.next(module.lists, "the drain"));
-            deaf.hear();
+            deaf.acceptAll();
             assertEquals(
                     Outcome.IGNORED, LoopbackPeers.next(module.ends, "the end").outcome());
             assertEquals(503, client.read().status());
-            assertTrue(deaf.silent(), "nothing was written");
+            assertTrue(deaf.closedWithoutInput(), "nothing was written");
         }
     }
 
@@ -207,7 +207,7 @@
                         + "Idempotency-Key: i-k\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 1\r\n"
                         + "Content-Length: " + body.length() + "\r\n\r\n" + body)
                 .read();
-        Message seen = LoopbackPeers.next(host.seen, "the request").message();
+        Message seen = LoopbackPeers.next(host.received, "the request").message();
         assertEquals("POST /api/x?q=%20a&b HTTP/1.1", seen.first());
         assertEquals("id1", seen.header("x-request-id"));
         assertEquals("i-k", seen.header("idempotency-key"));
@@ -241,7 +241,7 @@
         assertEquals(
                 Outcome.RESET, LoopbackPeers.next(module.ends, "the second end").outcome());
         assertEquals(1, host.connections.size());
-        assertEquals(2, host.seen.size(), "sent once and no more");
+        assertEquals(2, host.received.size(), "sent once and no more");
     }
 
     @Test
@@ -250,7 +250,7 @@
         start(",\"connIdleUs\":400000", LoopbackPeers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         assertEquals(200, client().unsafe("id1", 20_000).read().status());
-        LoopbackPeers.next(host.seen, "the request").awaitEnd();
+        LoopbackPeers.next(host.received, "the request").awaitEnd();
     }
 
     @Test
@@ -269,8 +269,8 @@
             }
         };
         assertEquals(200, client().safe("id1", 20_000).read().status());
-        LoopbackPeers.next(silent.seen, "the first attempt").awaitEnd();
-        assertEquals(1, other.seen.size());
+        LoopbackPeers.next(silent.received, "the first attempt").awaitEnd();
+        assertEquals(1, other.received.size());
     }
 
     @Test
@@ -289,7 +289,7 @@
         AttemptEnd end = LoopbackPeers.next(module.ends, "the second copy's end");
         assertEquals(1, end.attempt());
         assertEquals(Outcome.IGNORED, end.outcome());
-        assertEquals(0, other.seen.size());
+        assertEquals(0, other.received.size());
     }
 
     @Test
@@ -345,7 +345,7 @@
         AttemptEnd end = LoopbackPeers.next(module.ends, "the end");
         assertEquals(Outcome.IGNORED, end.outcome());
         assertTrue(end.requestDone());
-        assertEquals(0, host.seen.size());
+        assertEquals(0, host.received.size());
     }
 
     @Test
--- a/src/test/java/quartzspan/frontend/FleetFixture.java
+++ b/src/test/java/quartzspan/frontend/FleetFixture.java
@@ -20,7 +20,7 @@
 import quartzspan.http.LoopbackPeers;
 import quartzspan.http.LoopbackPeers.Client;
 import quartzspan.http.LoopbackPeers.Message;
-import quartzspan.http.LoopbackPeers.Seen;
+import quartzspan.http.LoopbackPeers.ReceivedRequest;
 import quartzspan.http.LoopbackPeers.Server;
 
 /**
@@ -176,16 +176,17 @@
      * Starts a model server of this test's service. Returns once the proxy forwards to it; the script receives only requests of
      * the test, and the proxy has no open connection to the server.
      */
-    Server startServer(String id, Consumer<Seen> script) throws Exception {
+    Server startServer(String id, Consumer<ReceivedRequest> script) throws Exception {
         return startServer(id, "", script);
     }
 
     /** Starts a model server that reports a weights version of a model. */
-    Server startServerWithWeights(String id, String model, long version, Consumer<Seen> script) throws Exception {
+    Server startServerWithWeights(String id, String model, long version, Consumer<ReceivedRequest> script)
+            throws Exception {
         return startServer(id, ",\"models\":[{\"name\":\"" + model + "\",\"version\":" + version + "}]", script);
     }
 
-    private Server startServer(String id, String models, Consumer<Seen> script) throws Exception {
+    private Server startServer(String id, String models, Consumer<ReceivedRequest> script) throws Exception {
         Server server = closeAfterTest(new Server(seen -> {
             if ("warm".equals(seen.message().header("x-attempt-id"))) {
                 seen.answer(200, "X-Attempt-Id: warm\r\nX-Server-Seal: w\r\nConnection: close\r\n", "");
@@ -194,11 +195,11 @@
             }
         }));
         sendHeartbeat(id, server.address(), models);
-        for (int calls = 0; server.seen.isEmpty(); calls++) {
+        for (int calls = 0; server.received.isEmpty(); calls++) {
             assertTrue(calls < MAX_CALLS, "the proxy forwards no request to " + id);
             call(frontendPort, "POST /once" + service + "/warm", "X-Attempt-Id: warm\r\n", "");
         }
-        server.seen.clear();
+        server.received.clear();
         server.connections.clear();
         return server;
     }
@@ -252,7 +253,7 @@
         return response(status, "X-Attempt-Id: " + attemptId + "\r\nX-Not-Executed: 1\r\n", "");
     }
 
-    static String attemptId(Seen seen) {
+    static String attemptId(ReceivedRequest seen) {
         return seen.message().header("x-attempt-id");
     }
 
@@ -275,7 +276,7 @@
         }
     }
 
-    static Seen nextRequest(Server server, String what) throws InterruptedException {
-        return LoopbackPeers.next(server.seen, what);
+    static ReceivedRequest nextRequest(Server server, String what) throws InterruptedException {
+        return LoopbackPeers.next(server.received, what);
     }
 }
--- a/src/test/java/quartzspan/frontend/GracefulShutdownTest.java
+++ b/src/test/java/quartzspan/frontend/GracefulShutdownTest.java
@@ -50,10 +50,10 @@
         assertEquals("done", idle.write(request("read", "a1")).read().text());
         proxy.signal("TERM");
         assertTrue(idle.closed(), "idle connections are closed once clients have seen that the proxy is not ready");
-        server.seen.clear();
+        server.received.clear();
         assertRejected(
                 closeAfterTest(proxy.client()).write(request("read", "a2")).read());
-        assertEquals(0, server.seen.size(), "the rejected request is not forwarded");
+        assertEquals(0, server.received.size(), "the rejected request is not forwarded");
         Message inTime = closeAfterTest(proxy.client())
                 .write(request("POST", "read", "a3", "", 1_000))
                 .read();
@@ -77,10 +77,10 @@
         assertNoResponse(closeAfterTest(proxy.client()).write("GET /nowhere HTTP/1.1\r\nHost: h.example\r\n\r\n"));
         proxy.signal("CONT");
         proxy.awaitReadiness(503);
-        server.seen.clear();
+        server.received.clear();
         assertRejected(
                 closeAfterTest(proxy.client()).write(request("read", "a2")).read());
-        assertEquals(0, server.seen.size(), "the rejected request is not forwarded");
+        assertEquals(0, server.received.size(), "the rejected request is not forwarded");
         streamMayEnd.countDown();
         assertTrue(proxy.exitsInTime());
     }
--- a/src/test/java/quartzspan/frontend/LoadingServerTest.java
+++ b/src/test/java/quartzspan/frontend/LoadingServerTest.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import org.junit.jupiter.api.Test;
-import quartzspan.http.LoopbackPeers.Seen;
+import quartzspan.http.LoopbackPeers.ReceivedRequest;
 
 /** Requests to a server that was ordered to load another weights version. */
 class LoadingServerTest extends FleetFixture {
@@ -15,7 +15,7 @@
     private final BlockingQueue<String> expectedVersions = new LinkedBlockingQueue<>();
 
     /** Accepts the order but never completes the load; executes requests that don't expect version 2 on version 1. */
-    private void serve(Seen seen) {
+    private void serve(ReceivedRequest seen) {
         String path = seen.message().first().split(" ")[1];
         if (path.equals("/quartzspan/order")) {
             seen.answer(202, "", "");
--- a/src/test/java/quartzspan/frontend/ProxyProcess.java
+++ b/src/test/java/quartzspan/frontend/ProxyProcess.java
@@ -34,7 +34,7 @@
 
     /** Polls the readiness endpoint until it returns a status; fails after a timeout. */
     void awaitReadiness(int status) {
-        long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackPeers.PATIENCE_S);
+        long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackPeers.TIMEOUT_S);
         while (readiness() != status) {
             if (System.nanoTime() > endNanos) {
                 throw new AssertionError("the readiness endpoint never returned " + status);
@@ -61,7 +61,7 @@
 
     /** Whether the process exits by itself before a timeout. */
     boolean exitsInTime() throws InterruptedException {
-        return process.waitFor(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS);
+        return process.waitFor(LoopbackPeers.TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     @Override
--- a/src/test/java/quartzspan/frontend/RequestResendTest.java
+++ b/src/test/java/quartzspan/frontend/RequestResendTest.java
@@ -20,7 +20,7 @@
 import quartzspan.http.LoopbackPeers;
 import quartzspan.http.LoopbackPeers.Client;
 import quartzspan.http.LoopbackPeers.Message;
-import quartzspan.http.LoopbackPeers.Seen;
+import quartzspan.http.LoopbackPeers.ReceivedRequest;
 import quartzspan.http.LoopbackPeers.Server;
 
 /** A non-idempotent request is sent only once, however its connection fails; and the responses that clients get after failures. */
@@ -28,7 +28,7 @@
     private static final String CHUNKS = "3\r\n1st\r\n3\r\n2nd\r\n0\r\n\r\n";
 
     /** Script of a server whose idle connections become stale: it resets a connection at the second request. */
-    private static void resetReusedConnection(Seen seen, Set<Socket> connections) {
+    private static void resetReusedConnection(ReceivedRequest seen, Set<Socket> connections) {
         if (connections.add(seen.socket())) {
             seen.write(response(attemptId(seen), "for " + attemptId(seen)));
         } else {
@@ -43,7 +43,7 @@
         assertEquals("for a1", client().write(request("once", "a1")).read().text());
         waitUntilConnectionsAreReusable();
         assertMayHaveBeenExecuted(client().write(request("once", "a2")).read());
-        assertEquals(2, server.seen.size(), "a1 and a2 are sent once each");
+        assertEquals(2, server.received.size(), "a1 and a2 are sent once each");
         assertEquals(1, server.connections.size(), "the idle connection is reused");
     }
 
@@ -85,10 +85,10 @@
                 s.reset();
             });
             for (; length[0] < complete.length(); length[0]++) {
-                server.seen.clear();
+                server.received.clear();
                 Client client = client().write(request("once", "b"));
                 assertTrue(isTruncated(client), "after " + length[0] + " bytes");
-                assertEquals(1, server.seen.size(), "after " + length[0] + " bytes");
+                assertEquals(1, server.received.size(), "after " + length[0] + " bytes");
             }
             server.close();
         }
@@ -115,7 +115,7 @@
         Message response =
                 client().write(request("POST", "once", "a1", "", 300)).read();
         assertEquals(504, response.status());
-        assertEquals(1, server.seen.size());
+        assertEquals(1, server.received.size());
     }
 
     @Test
@@ -125,10 +125,10 @@
         Server a = startServer("other-a", s -> s.write(versionMismatch("other-a", attemptId(s))));
         Server b = startServer("other-b", s -> s.write(versionMismatch("other-b", attemptId(s))));
         for (int i = 0; i < 16; i++) {
-            a.seen.clear();
-            b.seen.clear();
+            a.received.clear();
+            b.received.clear();
             assertEquals(503, client().write(request("single", "m" + i)).read().status());
-            assertTrue(a.seen.isEmpty() || b.seen.isEmpty(), "the request was sent to both servers");
+            assertTrue(a.received.isEmpty() || b.received.isEmpty(), "the request was sent to both servers");
         }
     }
 
@@ -141,11 +141,11 @@
     void requestRejectedByAnotherInstanceIsExecutedElsewhere() throws Exception {
         Server otherInstance = startServer("reused", s -> s.write(notExecutedResponse(421, attemptId(s))));
         startServer("there", s -> s.write(response(attemptId(s), "ran")));
-        otherInstance.seen.clear();
+        otherInstance.received.clear();
         for (int i = 0; i < 8; i++) {
             assertEquals("ran", client().write(request("once", "a" + i)).read().text());
         }
-        assertTrue(otherInstance.seen.size() <= 1, "the server is skipped after its first rejection");
+        assertTrue(otherInstance.received.size() <= 1, "the server is skipped after its first rejection");
     }
 
     @Test
@@ -176,7 +176,7 @@
                     List.copyOf(rejected),
                     "each attempt reaches the server on one connection");
         }
-        assertEquals(6, server.seen.size());
+        assertEquals(6, server.received.size());
     }
 
     private static void rejectAfterHeads(ServerSocket early, Queue<String> rejected) {
@@ -211,7 +211,7 @@
             }
         });
         Client client = client().write(request("once", "p1") + request("read", "p2") + request("once", "p3"));
-        Seen first = nextRequest(server, "the first pipelined request");
+        ReceivedRequest first = nextRequest(server, "the first pipelined request");
         assertEquals("p1", attemptId(first));
         first.write(response("p1", "for p1"));
         for (String id : List.of("p1", "p2", "p3")) {
@@ -229,7 +229,7 @@
             }
         });
         Client disconnecting = client().write(request("once", "gone"));
-        Seen pending = nextRequest(server, "the request of the client that disconnects");
+        ReceivedRequest pending = nextRequest(server, "the request of the client that disconnects");
         disconnecting.close();
         pending.awaitEnd();
         pending.write(response("gone", "late"));
@@ -269,13 +269,13 @@
         // If one server rejects the request and the other resets its connection, the rejection doesn't imply
         // non-execution.
         Server full = startServer("full", s -> s.write(notExecutedResponse(503, attemptId(s))));
-        Server broken = startServer("broken", Seen::reset);
+        Server broken = startServer("broken", ReceivedRequest::reset);
         for (int i = 0; i < 8; i++) {
-            full.seen.clear();
-            broken.seen.clear();
+            full.received.clear();
+            broken.received.clear();
             int status = client().write(request("once", "f" + i)).read().status();
-            assertEquals(broken.seen.isEmpty() ? 503 : 502, status);
-            assertTrue(broken.seen.size() <= 1);
+            assertEquals(broken.received.isEmpty() ? 503 : 502, status);
+            assertTrue(broken.received.size() <= 1);
         }
     }
 
@@ -288,6 +288,6 @@
         assertThrows(IOException.class, client::read);
         assertEquals(
                 "for after", client().write(request("once", "after")).read().text());
-        assertEquals(1, server.seen.size());
+        assertEquals(1, server.received.size());
     }
 }
--- a/src/test/java/quartzspan/frontend/ResponseMatchingTest.java
+++ b/src/test/java/quartzspan/frontend/ResponseMatchingTest.java
@@ -41,7 +41,7 @@
                 s -> s.write("HTTP/1.1 503 x\r\nX-Attempt-Id: a0\r\nX-Not-Executed: 1\r\n\r\n"
                         + response(attemptId(s), "ran")));
         assertMayHaveBeenExecuted(client().write(request("once", "a2")).read());
-        assertEquals(1, server.seen.size(), "the request is sent once");
+        assertEquals(1, server.received.size(), "the request is sent once");
     }
 
     @Test
@@ -92,7 +92,7 @@
             Message response = client().write(request("once", "a" + status)).read();
             assertMayHaveBeenExecuted(response);
             assertEquals(null, response.header("retry-after"));
-            assertEquals(1, server.seen.size());
+            assertEquals(1, server.received.size());
             server.close();
         }
     }
@@ -120,6 +120,6 @@
         });
         Message response = client().write(request("once", "a1")).read();
         assertEquals("ran", response.text(), response.first());
-        assertEquals(2, server.seen.size());
+        assertEquals(2, server.received.size());
     }
 }
--- a/src/test/java/quartzspan/http/LoopbackPeers.java
+++ b/src/test/java/quartzspan/http/LoopbackPeers.java
@@ -25,13 +25,13 @@
 /** The other ends of a client proxy, as small as they can be: plain sockets that do what a test says. */
 public final class LoopbackPeers {
     /** Bound of every wait; a test that passes waits for no more than it needs. */
-    public static final long PATIENCE_S = 30;
+    public static final long TIMEOUT_S = 30;
 
     private LoopbackPeers() {}
 
     /** The next element of a queue; fails if none comes in time. */
     public static <T> T next(BlockingQueue<T> queue, String what) throws InterruptedException {
-        T got = queue.poll(PATIENCE_S, TimeUnit.SECONDS);
+        T got = queue.poll(TIMEOUT_S, TimeUnit.SECONDS);
         if (got == null) {
             throw new AssertionError("never came: " + what);
         }
@@ -60,14 +60,14 @@
 
     /** Reads one message with a Content-Length or none; an end of the stream is an {@link IOException}. */
     public static Message read(InputStream in) throws IOException {
-        Message bare = readHead(in);
-        String stated = bare.header("content-length");
-        int length = stated == null ? 0 : Integer.parseInt(stated);
+        Message head = readHead(in);
+        String declaredLength = head.header("content-length");
+        int length = declaredLength == null ? 0 : Integer.parseInt(declaredLength);
         byte[] body = in.readNBytes(length);
         if (body.length < length) {
             throw new EOFException("ended in the body");
         }
-        return new Message(bare.first(), bare.headers(), body);
+        return new Message(head.first(), head.headers(), body);
     }
 
     /** Reads a head, and nothing after it. */
@@ -88,11 +88,11 @@
     /** A listening peer: each message that comes is noted, then the script deals with it. */
     public static final class Server implements AutoCloseable {
         public final ServerSocket socket;
-        public final BlockingQueue<Seen> seen = new LinkedBlockingQueue<>();
+        public final BlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
         public final List<Socket> connections = new CopyOnWriteArrayList<>();
-        private final Consumer<Seen> script;
+        private final Consumer<ReceivedRequest> script;
 
-        public Server(Consumer<Seen> script) throws IOException {
+        public Server(Consumer<ReceivedRequest> script) throws IOException {
             this.script = script;
             this.socket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
             start(this::accept);
@@ -125,9 +125,9 @@
             try {
                 InputStream in = new BufferedInputStream(s.getInputStream());
                 while (true) {
-                    Seen one = new Seen(read(in), s, ended);
-                    seen.add(one);
-                    script.accept(one);
+                    ReceivedRequest request = new ReceivedRequest(read(in), s, ended);
+                    received.add(request);
+                    script.accept(request);
                 }
             } catch (IOException e) {
                 ended.complete(null);
@@ -144,7 +144,7 @@
     }
 
     /** A message that a server got; {@code ended} is done when its connection is. */
-    public record Seen(Message message, Socket socket, CompletableFuture<Void> ended) {
+    public record ReceivedRequest(Message message, Socket socket, CompletableFuture<Void> ended) {
         /** Writes text as it is. */
         public void write(String text) {
             try {
@@ -186,7 +186,7 @@
         }
 
         public void awaitEnd() throws Exception {
-            ended.get(PATIENCE_S, TimeUnit.SECONDS);
+            ended.get(TIMEOUT_S, TimeUnit.SECONDS);
         }
     }
 
@@ -201,7 +201,7 @@
 
         public Client(InetAddress address, int port) throws IOException {
             socket = new Socket(address, port);
-            socket.setSoTimeout((int) PATIENCE_S * 1000);
+            socket.setSoTimeout((int) TIMEOUT_S * 1000);
             in = new BufferedInputStream(socket.getInputStream());
         }
 
@@ -245,14 +245,14 @@
         }
     }
 
-    /** A host whose queue of connections is full, so that none comes up until {@link #hear}. */
-    public static final class Deaf implements AutoCloseable {
+    /** A host whose queue of connections is full, so that none comes up until {@link #acceptAll}. */
+    public static final class FullBacklogServer implements AutoCloseable {
         private final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        private final List<Socket> fill = new ArrayList<>();
+        private final List<Socket> backlog = new ArrayList<>();
         private Socket last;
 
         /** Listens with a full queue of connections. */
-        public Deaf() throws Exception {
+        public FullBacklogServer() throws Exception {
             for (int i = 0; i < 8; i++) {
                 Socket s = new Socket();
                 try {
@@ -261,7 +261,7 @@
                     s.close();
                     return;
                 }
-                fill.add(s);
+                backlog.add(s);
             }
             throw new AssertionError("the queue never filled");
         }
@@ -271,22 +271,22 @@
         }
 
         /** Takes the connections that fill the queue, and then the one that waited. */
-        public void hear() throws Exception {
-            server.setSoTimeout((int) LoopbackPeers.PATIENCE_S * 1000);
-            for (int i = 0; i <= fill.size(); i++) {
+        public void acceptAll() throws Exception {
+            server.setSoTimeout((int) LoopbackPeers.TIMEOUT_S * 1000);
+            for (int i = 0; i <= backlog.size(); i++) {
                 last = server.accept();
             }
         }
 
-        public boolean silent() throws Exception {
-            last.setSoTimeout((int) LoopbackPeers.PATIENCE_S * 1000);
+        public boolean closedWithoutInput() throws Exception {
+            last.setSoTimeout((int) LoopbackPeers.TIMEOUT_S * 1000);
             return last.getInputStream().read() < 0;
         }
 
         @Override
         public void close() throws IOException {
             server.close();
-            for (Socket s : fill) {
+            for (Socket s : backlog) {
                 s.close();
             }
         }
@@ -294,17 +294,17 @@
 
     /** Discovery: answers a watch when the test asks for it, and leaves it open for {@link #push}. */
     public static final class Discovery implements AutoCloseable {
-        public final Server server = new Server(seen -> {});
+        public final Server server = new Server(request -> {});
 
         public Discovery() throws IOException {}
 
-        public Seen asked() throws InterruptedException {
-            Seen watch = next(server.seen, "a watch");
+        public ReceivedRequest awaitWatch() throws InterruptedException {
+            ReceivedRequest watch = next(server.received, "a watch");
             watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             return watch;
         }
 
-        public static void push(Seen watch, String line) {
+        public static void push(ReceivedRequest watch, String line) {
             watch.write(Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
         }
 
