--- a/src/test/java/quartzspan/http/HttpServerTest.java
+++ b/src/test/java/quartzspan/http/HttpServerTest.java
@@ -23,11 +23,11 @@
 class HttpServerTest {
     /** A next request that is slow in coming is its own affair: what is open on its connection is answered. */
     @Test
-    void aHalfSentNextRequestDoesNotEndTheOpenOne() throws Exception {
+    void receiveTimeoutOfPipelinedRequestDoesNotEndInFlightRequest() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
         try {
-            HttpServer frontend = loop.submit(() -> new HttpServer(
+            HttpServer server = loop.submit(() -> new HttpServer(
                             new HttpServer.RequestHandler() {
                                 @Override
                                 public long now() {
@@ -36,7 +36,10 @@
 
                                 @Override
                                 public void onRequest(
-                                        HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
+                                        HttpServer.ClientConnection client,
+                                        HttpRequest request,
+                                        byte[] body,
+                                        long receivedAtUs) {
                                     // Long after the slow one's time is up.
                                     loop.schedule(
                                             () -> client.answer(HttpResponseStatus.OK), 900, TimeUnit.MILLISECONDS);
@@ -49,17 +52,17 @@
                             },
                             loop))
                     .get();
-            loop.submit(() -> frontend.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)))
+            loop.submit(() -> server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)))
                     .get()
                     .await();
-            try (Socket s = new Socket(InetAddress.getLoopbackAddress(), frontend.port())) {
-                s.setSoTimeout(10_000);
-                s.getOutputStream()
+            try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), server.port())) {
+                socket.setSoTimeout(10_000);
+                socket.getOutputStream()
                         .write(("GET /a HTTP/1.1\r\nHost: h\r\n\r\nPOST /b HTTP/1.1\r\nHost: h\r\n"
                                         + "Content-Length: 10\r\n\r\n12345")
                                 .getBytes(StandardCharsets.US_ASCII));
                 BufferedReader in =
-                        new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII));
+                        new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
                 assertEquals("HTTP/1.1 200 OK", in.readLine());
             }
         } finally {
@@ -68,13 +71,13 @@
     }
 
     @Test
-    void nothingIsReadAfterTheEndWasDecided() throws Exception {
+    void requestsThatArriveAfterCloseAreNotHandled() throws Exception {
         // The process goes on for some milliseconds: what it took in them would be lost.
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
-        AtomicInteger taken = new AtomicInteger();
+        AtomicInteger handledRequests = new AtomicInteger();
         try {
-            HttpServer frontend = loop.submit(() -> new HttpServer(
+            HttpServer server = loop.submit(() -> new HttpServer(
                             new HttpServer.RequestHandler() {
                                 @Override
                                 public long now() {
@@ -83,8 +86,11 @@
 
                                 @Override
                                 public void onRequest(
-                                        HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
-                                    taken.incrementAndGet();
+                                        HttpServer.ClientConnection client,
+                                        HttpRequest request,
+                                        byte[] body,
+                                        long receivedAtUs) {
+                                    handledRequests.incrementAndGet();
                                     client.answer(HttpResponseStatus.OK);
                                 }
 
@@ -95,21 +101,21 @@
                             },
                             loop))
                     .get();
-            loop.submit(() -> frontend.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)))
+            loop.submit(() -> server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)))
                     .get()
                     .await();
-            try (LoopbackPeers.Client kept = new LoopbackPeers.Client(frontend.port())) {
+            try (LoopbackPeers.Client client = new LoopbackPeers.Client(server.port())) {
                 String request = "GET /a HTTP/1.1\r\nHost: h\r\n\r\n";
-                assertEquals(200, kept.write(request).read().status());
+                assertEquals(200, client.write(request).read().status());
                 loop.submit(() -> {
                             // The request is there before the loop reads again.
-                            kept.write(request);
-                            frontend.close();
+                            client.write(request);
+                            server.close();
                             return null;
                         })
                         .get();
-                assertTrue(kept.closed());
-                assertEquals(1, taken.get());
+                assertTrue(client.closed());
+                assertEquals(1, handledRequests.get());
             }
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
--- a/src/test/java/quartzspan/http/IdleTimeoutTest.java
+++ b/src/test/java/quartzspan/http/IdleTimeoutTest.java
@@ -11,13 +11,13 @@
     private final IdleTimeout idleTimeout = new IdleTimeout(6_000 * MS);
 
     @Test
-    void allIsAllowedWhileNothingWasStale() {
+    void limitIsMaximalWhileNoConnectionWasStale() {
         assertEquals(6_000 * MS, idleTimeout.nanos());
         assertEquals(6_000 * MS, idleTimeout.cautiousNanos());
     }
 
     @Test
-    void requestsThatRunOnceStayWellBelowWhatWasStale() {
+    void nonRetryableRequestsStayWellBelowTheStaleIdleTime() {
         idleTimeout.onStale(0, 375 * MS);
         assertEquals(300 * MS, idleTimeout.nanos());
         assertEquals(150 * MS, idleTimeout.cautiousNanos());
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void theLimitGrowsBackWithRequestsThatRunOnceAlone() {
+    void limitRecoversWithNonRetryableRequestsOnly() {
         idleTimeout.onStale(0, 375 * MS);
         for (int i = 0; i < 100; i++) {
             idleTimeout.onUsable(6_000 * MS, idleTimeout.cautiousNanos(), true);
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void aResetOfAConnectionInUseTeachesNothing() {
+    void resetAfterShortIdleTimeDoesNotReduceTheLimit() {
         idleTimeout.onStale(0, 90 * MS);
         assertEquals(6_000 * MS, idleTimeout.nanos());
         idleTimeout.onStale(0, 101 * MS);
