--- a/src/main/java/quartzspan/http/Clock.java
+++ b/src/main/java/quartzspan/http/Clock.java
@@ -1,13 +1,14 @@
 package quartzspan.http;
 
 /**
- * The module's clock: microseconds since the epoch, so that a host's {@code started_ms} compares with it.
- * The epoch is read once; from there on time is {@link System#nanoTime}, which never runs back or jumps.
+ * Time in microseconds since the Unix epoch, comparable with a server's {@code started_ms}. The wall clock is read once; from
+ * then on the time advances with {@link System#nanoTime}, which is monotonic and unaffected by clock adjustments.
  */
 public final class Clock {
     private final long startUs = System.currentTimeMillis() * 1000;
     private final long startNanos = System.nanoTime();
 
+    /** The current time, microseconds since the epoch. */
     public long now() {
         return startUs + (System.nanoTime() - startNanos) / 1000;
     }
--- a/src/main/java/quartzspan/http/ConnectionPool.java
+++ b/src/main/java/quartzspan/http/ConnectionPool.java
@@ -36,36 +36,40 @@
 import quartzspan.loadbalancing.LoadBalancer.Outcome;
 
 /**
- * Connections to endpoints, one request at a time on each, and the attempts made on them. It retries nothing: an attempt is
- * written completely once at most, and ends exactly once, with the outcome that can be vouched for.
+ * Pool of keep-alive connections to endpoints, with at most one in-flight request on each. The pool retries nothing: the
+ * request of an attempt is completely written at most once, and the attempt ends exactly once, with the strongest outcome that is
+ * certain.
  *
- * <p>Owned by one event loop; all calls and callbacks are made on it. Example:
+ * <p>Confined to one event loop; all calls and callbacks are made on it. Example:
  *
  * <pre>
  * pool.attempt(endpoint, request, timeoutUs, () -> true, responseHandler, listener).start(Reuse.ANY);
  * </pre>
  */
 public final class ConnectionPool {
-    /** Fraction of the idle timeout after which this side closes first: a server closes after all of it. */
+    /** Idle connections are closed after this fraction of the server's idle timeout, before the server closes them. */
     private static final double IDLE_TIMEOUT_FRACTION = 0.75;
 
     private static final long SWEEP_INTERVAL_MS = 100;
-    /** How long a connection stays idle after a response: unsolicited input that follows must not meet a new request. */
+    /**
+     * A connection is not reused this soon after a response, so that unsolicited input that follows the response is not taken
+     * for the response to the next request.
+     */
     private static final long MIN_IDLE_NANOS = 3_000_000;
-    /** Interim responses (1xx) to one request; more of them are an error. */
+    /** Interim responses (1xx) accepted for one request; more of them fail the attempt. */
     private static final int MAX_INTERIM_RESPONSES = 16;
-    /** New connections for one attempt, as long as they are reset before the request is written completely. */
+    /** New connections that one attempt may open if they are reset before the request is completely written. */
     private static final int MAX_NEW_CONNECTIONS = 3;
     /**
-     * A connection that is reset this soon after a request was written to it had been stale: its server had closed it while it
-     * was idle, without a sign.
+     * A reused connection that is lost this soon after the request was written is considered stale: the server had closed it
+     * while it was idle, unnoticed by this side.
      */
     private static final long STALE_RESET_NANOS = 20_000_000;
 
-    /** Buffers count as heap, which is bounded once and for all, and need no pool at this traffic. */
+    /** Unpooled heap buffers: the heap size is bounded, and pooling brings no gain at this rate of traffic. */
     public static final UnpooledByteBufAllocator BUFFERS = new UnpooledByteBufAllocator(false);
 
-    /** The meaning of servers' responses where the caller gives no handler. */
+    /** Used where the caller gives no handler: 200 succeeds; 503 or 504 with {@code X-Not-Run: 1} means the queue was full. */
     private static final ResponseHandler DEFAULT_HANDLER = new ResponseHandler() {
         @Override
         public Outcome outcome(HttpResponse head) {
@@ -80,17 +84,17 @@
     private final Bootstrap bootstrap;
     private final IdleTimeout idleTimeout;
     private final int maxConnections;
-    /** Idle connections to all endpoints, the longest idle first. */
+    /** Idle connections to all endpoints, least recently used first. */
     private final LinkedHashSet<Connection> idleConnections = new LinkedHashSet<>();
 
     private int connectionCount;
 
     /**
-     * An empty pool.
+     * Creates an empty pool.
      *
      * @param dialTimeoutUs time within which a connection must be established
      * @param connIdleUs time after which servers close idle connections
-     * @param maxConnections connections to all servers at once
+     * @param maxConnections maximum number of connections to all servers together
      */
     public ConnectionPool(EventLoop loop, long dialTimeoutUs, long connIdleUs, int maxConnections) {
         this.loop = loop;
@@ -104,14 +108,14 @@
     }
 
     /**
-     * From now on closing a connection discards what the other side has not received yet. A request that was abandoned can't
-     * arrive late then, after a partition.
+     * Makes new connections discard unsent data on close (SO_LINGER of 0), so that an abandoned request can't arrive late, after
+     * a network partition.
      */
     public void discardUnsentOnClose() {
         bootstrap.option(ChannelOption.SO_LINGER, 0);
     }
 
-    /** Closes connections that have been idle for long, from now on. */
+    /** Starts the periodic task that closes connections whose idle timeout has passed. */
     public void startIdleEviction() {
         loop.scheduleWithFixedDelay(
                 () -> {
@@ -126,18 +130,20 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** A server as last listed by discovery. */
+    /** A server that connections are opened to, as last reported by service discovery. */
     public static final class Endpoint {
-        /** No bound of connections but that of all together. */
+        /** No limit of its own; only the limit of the pool applies. */
         public static final int UNBOUNDED = Integer.MAX_VALUE;
 
         final String id;
         InetSocketAddress address;
         boolean ready;
-        /** Connections of this process that it may have at once. */
+        /** Maximum number of connections from this process to the endpoint. */
         private int maxConnections = UNBOUNDED;
 
+        /** Connections that are open or being established. */
         private int connectionCount;
+
         private final ArrayDeque<Connection> idleConnections = new ArrayDeque<>();
 
         public Endpoint(String id) {
@@ -148,56 +154,61 @@
             return id;
         }
 
-        /** Where it is reached; null before it is listed. */
+        /** The address to connect to; null before the first {@link #update}. */
         public InetSocketAddress address() {
             return address;
         }
 
-        /** From now on nothing more is sent to it. */
+        /** Stops sending new requests to the endpoint. */
         public void drain() {
             ready = false;
         }
 
-        /** Updates what is known of it. */
+        /**
+         * Applies the endpoint's state from discovery.
+         *
+         * @param ready whether requests may be sent to it
+         * @param maxConnections maximum number of connections from this process to it
+         */
         public void update(InetSocketAddress address, boolean ready, int maxConnections) {
             this.address = address;
             this.ready = ready;
             this.maxConnections = maxConnections;
         }
 
-        /** Whether a connection to it is at hand. */
+        /** Whether an idle connection exists. */
         public boolean isConnected() {
             return !idleConnections.isEmpty();
         }
 
-        /** Whether a connection is at hand or may be made. */
+        /** Whether an idle connection exists or a new one may be opened. */
         public boolean isReachable() {
             return !idleConnections.isEmpty() || connectionCount < maxConnections;
         }
     }
 
-    /** A complete response; {@code headers} where the handler wants error bodies, else null. */
+    /** A complete response; {@code headers} is null unless the handler wants error bodies. */
     public record Response(byte[] body, String contentType, HttpHeaders headers) {
         /** A response without a body. */
         public static final Response EMPTY = new Response(new byte[0], null, null);
     }
 
-    /** Called once when an attempt ends; {@code response} is null unless there is a response to pass on. */
+    /** Called once when an attempt ends; {@code response} is null unless there is a response to forward. */
     public interface CompletionListener {
         void onComplete(Outcome outcome, Response response);
     }
 
-    /** Which request a response belongs to that came while one was in flight. */
+    /** Which request a response that arrived while one was in flight belongs to. */
     public enum ResponseMatch {
-        /** To the request in flight. */
+        /** The request in flight. */
         CURRENT,
-        /** To an earlier request: it is skipped, and the current one is still to come. */
+        /** An earlier request: the response is skipped, and the one to the request in flight is still expected. */
         EARLIER,
-        /** Unknown: the connection is closed, and the request in flight may have been executed. */
+        /** Unknown: the attempt fails and the connection is closed; the request in flight may have been executed. */
         UNKNOWN
     }
 
-    /** Interprets responses, and takes bodies as they come. */
+    /** Maps responses to outcomes, and receives streamed bodies. */
     public interface ResponseHandler {
         Outcome outcome(HttpResponse head);
 
@@ -206,26 +217,30 @@
             return ResponseMatch.CURRENT;
         }
 
-        /** The head of a response; true if its body is to come in chunks, to {@link #onChunk}. */
+        /** Whether the body of this successful response is to be passed to {@link #onChunk} as it arrives. */
         default boolean streamsBody(HttpResponse head) {
             return false;
         }
 
-        /** A chunk of the body; the caller keeps ownership of the buffer. False to stop reading until {@link Attempt#resumeReading}. */
+        /**
+         * Handles a chunk of the body. The caller keeps ownership of the buffer.
+         *
+         * @return false to stop reading from the channel until {@link Attempt#resumeReading} (backpressure)
+         */
         default boolean onChunk(ByteBuf bytes) {
             return true;
         }
 
-        /** Whether responses other than 2xx come with headers and body. */
+        /** Whether responses other than 200 are delivered with headers and body. */
         default boolean wantsErrorBody() {
             return false;
         }
     }
 
     /**
-     * An attempt, to be started at once.
+     * Creates an attempt whose timeout runs from now; the caller starts it at once.
      *
-     * @param stillWanted whether the request still waits for a response
+     * @param stillWanted whether the request still waits for a response; checked before the request is written
      */
     public Attempt attempt(
             Endpoint endpoint,
@@ -236,7 +251,7 @@
         return attempt(endpoint, request, timeoutUs, stillWanted, DEFAULT_HANDLER, listener);
     }
 
-    /** An attempt with a handler of its own. */
+    /** As above, with a handler that interprets the response. */
     public Attempt attempt(
             Endpoint endpoint,
             OutgoingRequest request,
@@ -247,24 +262,30 @@
         return new Attempt(endpoint, request, timeoutUs, stillWanted, responseHandler, listener);
     }
 
-    /** Closes the idle connections to an endpoint; those in use close after their response. */
+    /** Closes the idle connections to an endpoint. Connections in use are closed after their response if it is not ready by then. */
     public void closeIdle(Endpoint endpoint) {
         for (Connection connection; (connection = endpoint.idleConnections.peek()) != null; ) {
             connection.close();
         }
     }
 
-    /** Which connections a request may be written to. */
+    /** Which pooled connections a request may reuse. */
     public enum Reuse {
-        /** Any that is at hand. */
+        /** Any idle connection. */
         ANY,
-        /** One that was idle for a short time only, else a new one: the request is lost if its connection turns out to be stale. */
+        /**
+         * A connection that was idle for a short time only, else a new one. For requests that can't be retried if the connection
+         * turns out to be stale.
+         */
         RECENT,
-        /** A new one: no response to an earlier request can come on it. */
+        /** Always a new connection, on which no response to an earlier request can arrive. */
         NONE
     }
 
-    /** The most recently used idle connection that shows no input; null if there is none. */
+    /**
+     * Takes the most recently used idle connection without unread input from the pool; null if there is none. One that is idle
+     * for longer than {@code reuse} allows is taken only if the endpoint's connection limit rules out a new one.
+     */
     private Connection acquireIdle(Endpoint endpoint, Reuse reuse) {
         if (reuse == Reuse.NONE) {
             return null;
@@ -293,7 +314,7 @@
         return null;
     }
 
-    /** One request written to one server, until its end. */
+    /** One attempt to send a request to one endpoint, until its outcome is known. */
     public final class Attempt {
         private final Endpoint endpoint;
         private final OutgoingRequest request;
@@ -387,10 +408,10 @@
         }
 
         /**
-         * The one place where a request is written. While the connection was established the endpoint may have started to
-         * drain, the request may have ended, or its deadline may have passed if this process was frozen: then nothing is
-         * written, and that is known. A connection that does not take all of it says little about the server: a new one is
-         * tried.
+         * Writes the request; the only place that does. While the connection was being established the endpoint may have started
+         * to drain, the request may have ended, or its deadline may have passed if this process was suspended: then nothing is
+         * written, and the outcome says so. A connection that fails before the complete request is written says little about the
+         * server, so a new one is tried.
          */
         private void write(Connection acquired, boolean reused) {
             connection = acquired;
@@ -418,7 +439,7 @@
             });
         }
 
-        /** Reads on after {@link ResponseHandler#onChunk} stopped it. */
+        /** Resumes reading after {@link ResponseHandler#onChunk} returned false. */
         public void resumeReading() {
             if (connection != null) {
                 connection.channel.config().setAutoRead(true);
@@ -429,7 +450,7 @@
             return request.method().equals("HEAD");
         }
 
-        /** Whether its pooled connection was reset at once: the server had closed it while it was idle. */
+        /** Whether the reused connection was lost right after the write: the server had closed it while it was idle. */
         public boolean isStale() {
             return stale;
         }
@@ -439,7 +460,7 @@
             return writeFuture != null && writeFuture.isSuccess();
         }
 
-        /** Stops waiting: the connection is closed, so that the server stops too. */
+        /** Cancels the attempt and closes its connection, so that the server can stop working on the request. */
         public void cancel() {
             abandon(Outcome.CANCELED);
         }
@@ -449,14 +470,14 @@
             finish(outcome == Outcome.TIMED_OUT && !completelyWritten ? Outcome.CONNECT_ERROR : outcome, null);
         }
 
-        /** The connection is lost. Only if the last byte was not written the request was surely not executed. */
+        /** Ends the attempt of a lost connection. The request is certain not to have run only if its last byte was not written. */
         private void onConnectionLost() {
             stale = idleNanos > 0 && System.nanoTime() - writtenAtNanos < STALE_RESET_NANOS;
             updateIdleTimeout();
             finish(writeFuture.isSuccess() ? Outcome.RESET : Outcome.CONNECT_ERROR, null);
         }
 
-        /** Learns from a reused connection whether it had been idle for too long. */
+        /** Adjusts the idle timeout by whether the reused connection was stale. */
         private void updateIdleTimeout() {
             if (stale) {
                 idleTimeout.onStale(System.nanoTime(), idleNanos);
@@ -465,7 +486,7 @@
             }
         }
 
-        /** Whether the server is there and refused this connection only. */
+        /** Whether the server is reachable and only this connection was reset while it was established. */
         private static boolean isConnectionReset(Throwable cause) {
             return cause instanceof SocketException
                     && !(cause instanceof ConnectException)
@@ -483,7 +504,7 @@
             }
         }
 
-        /** Closes the attempt's connection before the listener is called, which may start another attempt. */
+        /** Ends the attempt. Closes its connection before calling the listener, which may start another attempt. */
         private void finish(Outcome outcome, Response response) {
             if (ended) {
                 return;
@@ -495,8 +516,9 @@
         }
     }
 
-    /** A socket that can be checked for input: the loop may not have seen it yet. */
+    /** A channel that can be checked for input or a close that the event loop has not processed yet. */
     private static final class PeekableChannel extends NioSocketChannel {
+        /** Whether the connection is open without unread input. Input that is found is consumed: the channel must be closed. */
         boolean hasNoInput() {
             try {
                 return isActive() && javaChannel().read(ByteBuffer.allocate(1)) == 0;
@@ -506,14 +528,14 @@
         }
     }
 
-    /** One connection to an endpoint: in use by one attempt, or idle in the pool, or closed. */
+    /** One connection to an endpoint: in use by one attempt, idle in the pool, or closed. */
     private final class Connection extends SimpleChannelInboundHandler<HttpObject> {
         private final Endpoint endpoint;
         private final PeekableChannel channel = new PeekableChannel();
         private final ByteBuf body = BUFFERS.buffer();
         private Attempt current;
         private long idleSinceNanos;
-        /** How long it may be idle by the server's Keep-Alive header. */
+        /** Idle timeout derived from the server's Keep-Alive header. */
         private long keepAliveNanos = Long.MAX_VALUE;
 
         private HttpResponse head;
@@ -521,12 +543,12 @@
         private boolean reusable = true;
         private Outcome outcome;
         private Response fullResponse;
-        /** Whether the body of the current response goes to its handler in chunks. */
+        /** Whether the body of the current response is passed to the handler in chunks. */
         private boolean streaming;
-        /** Whether the current response belongs to an earlier request. */
+        /** Whether the current response belongs to an earlier request and is discarded. */
         private boolean skippingResponse;
 
-        /** Input while no request is in flight belongs to no request: it closes the connection. */
+        /** Closes the connection on input while no request is in flight. */
         private final HttpFraming.ResponseDecoder decoder = new HttpFraming.ResponseDecoder() {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object in) throws Exception {
@@ -573,8 +595,8 @@
         }
 
         /**
-         * A response is complete only if it states its length; the codec would also accept one that ends with its connection,
-         * or has two lengths. A request whose response can't be read may have been executed all the same.
+         * Accepts a successful response only if it declares its length; the codec would also accept one that ends with the
+         * connection, or that has two lengths. A request whose response is rejected may still have been executed.
          */
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject in) {
@@ -642,7 +664,10 @@
             }
         }
 
-        /** Whether the response belongs to the request in flight; an earlier one's can be skipped only if its end is known. */
+        /**
+         * Whether the response belongs to the request in flight. A response to an earlier request can be skipped only if its
+         * length is declared.
+         */
         private boolean belongsToCurrent(HttpResponse response, boolean lengthDeclared) {
             ResponseMatch match = current.responseHandler.match(response);
             if (match == ResponseMatch.EARLIER && lengthDeclared) {
@@ -658,7 +683,7 @@
             reusable = false;
         }
 
-        /** Keeps the response until the read is complete: unsolicited input that follows it closes the connection. */
+        /** Keeps the response until the read is complete, because unsolicited input after it makes the connection unusable. */
         private void completeResponse() {
             outcome = current.responseHandler.outcome(head);
             reusable = HttpUtil.isKeepAlive(head) && current.writeFuture.isSuccess();
@@ -717,7 +742,7 @@
             }
         }
 
-        /** A reset, for instance: it costs this connection and its attempt only. */
+        /** An exception, such as a reset, ends only this connection and its attempt. */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (current != null && outcome == null) {
--- a/src/main/java/quartzspan/http/HttpFraming.java
+++ b/src/main/java/quartzspan/http/HttpFraming.java
@@ -14,12 +14,12 @@
 import java.util.Map;
 
 /**
- * Where a message begins and ends, strictly by RFC 9112. The codec repairs ambiguous messages and reads on; a proxy must not:
- * what its two sides read differently hides a second request (request smuggling) or a truncated response.
+ * Strict message framing by RFC 9112. Netty's codec repairs ambiguous messages and continues; a proxy must reject them: if its
+ * client and its server parse a message differently, it can hide a second request (request smuggling) or a truncated response.
  */
 public final class HttpFraming {
     public static final int MAX_BODY_BYTES = 64 * 1024;
-    /** The codec's own bound of a head. */
+    /** Largest message head; the same as the codec's default. */
     public static final int MAX_HEADER_BYTES = 8 * 1024;
 
     private static HttpDecoderConfig strictConfig(int maxHeaderBytes) {
@@ -32,7 +32,7 @@
 
     private HttpFraming() {}
 
-    /** Decodes requests of clients; an ambiguous message ends the connection. */
+    /** Decodes client requests; an ambiguous message is a decoding error. */
     static class RequestDecoder extends HttpRequestDecoder {
         RequestDecoder(int maxHeaderBytes) {
             super(strictConfig(maxHeaderBytes));
@@ -40,7 +40,7 @@
 
         @Override
         protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-            throw new IllegalArgumentException("two lengths");
+            throw new IllegalArgumentException("message has both Transfer-Encoding and Content-Length");
         }
 
         @Override
@@ -50,20 +50,20 @@
         }
     }
 
-    /** Decodes responses of servers; an ambiguous message ends the connection. */
+    /** Decodes server responses; an ambiguous message is a decoding error. */
     static class ResponseDecoder extends HttpResponseDecoder {
         ResponseDecoder() {
             super(strictConfig(MAX_HEADER_BYTES));
         }
 
-        /** Whether it holds the beginning of something that it could not yet make a message of. */
+        /** Whether undecoded input is buffered, such as the start of another message. */
         boolean hasBufferedInput() {
             return actualReadableBytes() > 0;
         }
 
         @Override
         protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-            throw new IllegalArgumentException("two lengths");
+            throw new IllegalArgumentException("message has both Transfer-Encoding and Content-Length");
         }
 
         @Override
@@ -73,14 +73,14 @@
         }
     }
 
-    /** The codec takes a line without a colon for the name of an empty header. */
+    /** Rejects header lines without a colon, which the codec accepts as a header with an empty value. */
     private static void requireColon(byte[] line, int at) {
         if (at >= line.length || line[at] != ':') {
-            throw new IllegalArgumentException("a header without a colon");
+            throw new IllegalArgumentException("header line has no colon after the name");
         }
     }
 
-    /** Whether a head can be read in one way only, as HTTP/1; says nothing of a body that is yet to come. */
+    /** Whether a message head is valid HTTP/1 with unambiguous framing. The body is not checked. */
     static boolean isUnambiguous(HttpMessage head) {
         HttpVersion version = head.protocolVersion();
         HttpHeaders headers = head.headers();
@@ -106,17 +106,17 @@
         return lengths.isEmpty() || lengths.size() == 1 && parseNumber(lengths.get(0)) >= 0;
     }
 
-    /** Whether a sound head says how long its body is. */
+    /** Whether an unambiguous head declares the length of its body, by Content-Length or Transfer-Encoding. */
     static boolean declaresLength(HttpHeaders headers) {
         return headers.contains(HttpHeaderNames.CONTENT_LENGTH) || headers.contains(HttpHeaderNames.TRANSFER_ENCODING);
     }
 
-    /** Whether a sound head states a body larger than any may be. */
+    /** Whether an unambiguous head declares a body of more than {@code maxBytes}. */
     static boolean exceedsLength(HttpHeaders headers, int maxBytes) {
         return parseNumber(headers.get(HttpHeaderNames.CONTENT_LENGTH)) > maxBytes;
     }
 
-    /** The idle time that a Keep-Alive header grants, in whole seconds; -1 if there is none. */
+    /** The idle timeout of a Keep-Alive header, in seconds; -1 if there is none. */
     static long keepAliveSeconds(HttpHeaders headers) {
         for (String parameter : headers.get("Keep-Alive", "").split(",")) {
             String[] parts = parameter.trim().split("=", 2);
@@ -127,7 +127,7 @@
         return -1;
     }
 
-    /** A number of digits alone; -1 if it is none: no sign, no fraction, no list, nothing that overflows. */
+    /** Parses a number of 1 to 18 decimal digits; -1 for anything else, such as a sign, a fraction, a list or an overflow. */
     public static long parseNumber(String text) {
         if (text == null
                 || text.isEmpty()
--- a/src/main/java/quartzspan/http/HttpServer.java
+++ b/src/main/java/quartzspan/http/HttpServer.java
@@ -38,10 +38,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The server that clients connect to: reads requests, hands them to a {@link RequestHandler}, and writes final responses, one at a
- * time on each connection. Nothing that a client sends, or does not send, may cost more than its own connection.
+ * HTTP/1.1 server for client connections: decodes requests, passes them to a {@link RequestHandler}, and writes responses, one at a
+ * time on each connection. Whatever a client sends or fails to send affects only its own connection.
  *
- * <p>Owned by one event loop; all calls and callbacks are made on it. Example:
+ * <p>Confined to one event loop; all calls and callbacks are made on it. Example:
  *
  * <pre>
  * HttpServer server = new HttpServer(handler, loop);
@@ -49,53 +49,54 @@
  * </pre>
  */
 public final class HttpServer {
-    /** Answers requests. All calls come on the event loop. */
+    /** Handles requests. All methods are called on the event loop. */
     public interface RequestHandler {
-        /** The present time, microseconds. */
+        /** The current time, microseconds. */
         long now();
 
-        /** A complete request, received at {@code receivedAtUs} (microseconds); it is to be answered once, now or later. */
+        /** Handles a complete request, which must be answered exactly once, immediately or later. */
         void onRequest(ClientConnection client, HttpRequest request, byte[] body, long receivedAtUs);
 
-        /** The limits of clients; read again for each connection. */
+        /** The limits on client connections; read again for each new connection. */
         ConnectionLimits limits();
     }
 
     /**
-     * The limits of clients.
+     * Limits on client connections.
      *
-     * @param maxConnections connections at once
-     * @param maxHeaderBytes bytes of a head
-     * @param maxBodyBytes bytes of a body
-     * @param idleTimeoutMs how long a connection may be without a request
-     * @param requestTimeoutMs how long a request may take until it is received completely
+     * @param maxConnections maximum number of open connections
+     * @param maxHeaderBytes maximum size of a request head
+     * @param maxBodyBytes maximum size of a request body
+     * @param idleTimeoutMs how long a connection may have no request in flight
+     * @param requestTimeoutMs how long receiving a complete request may take
      */
     public record ConnectionLimits(
             int maxConnections, int maxHeaderBytes, int maxBodyBytes, long idleTimeoutMs, long requestTimeoutMs) {}
 
     /**
-     * How many requests, and bytes of bodies, a client may pipeline before reading stops. All clients together may pipeline
-     * {@code MAX_BUFFERED_BYTES}; above that only requests that are not complete yet are read on.
+     * Limits on pipelined requests and body bytes of one client; reading from it pauses at either (backpressure). All clients
+     * together may have {@code MAX_BUFFERED_BYTES}; above that, reading continues only where no complete request is pending.
      */
     private static final int MAX_PIPELINED_REQUESTS = 16;
 
     private static final int MAX_PIPELINED_BYTES = HttpFraming.MAX_BODY_BYTES;
     private static final int MAX_BUFFERED_BYTES = 8 * 1024 * 1024;
     /**
-     * Size of one read, so that little is decoded after reading was stopped. Reads go on until there is nothing more, or
-     * other connections have their turn: only the last of them shows that a client has disconnected behind its request.
+     * Size of one read; small, so that little more is decoded after reading was paused. Up to {@code MAX_READS} reads are made
+     * in one turn of the event loop, because only the last one reveals that a client disconnected right after its request.
      */
     private static final int READ_BYTES = 8 * 1024;
 
     private static final int MAX_READS = 16;
-    /** While reading is stopped, one read at this interval detects a client that has disconnected. */
+    /** While reading is paused, one read at this interval detects a client that has disconnected. */
     private static final long PEEK_INTERVAL_MS = 200;
 
     private static final long SWEEP_INTERVAL_MS = 100;
     /**
-     * The drain of the client proxy. Its clients have nowhere else to go, so they are served as long as there is time: new
-     * connections are accepted for 0.4 s after SIGTERM at least; responses close their connection from some time before
-     * SIGKILL on, and when each client has had time for one more request, none is accepted any more.
+     * Connection draining of the client proxy. Its clients have no other proxy, so they are served for as long as possible: new
+     * connections are accepted for at least 0.4 s after SIGTERM. From {@code CLOSE_MARGIN_MS} before SIGKILL on, each response
+     * closes its connection; {@code LAST_REQUEST_GRACE_MS} later, after time for one more request of each client, no more requests
+     * are accepted.
      */
     private static final long MIN_DRAIN_MS = 400;
 
@@ -106,9 +107,9 @@
     private final EventLoop loop;
     private final ChannelGroup clients;
     private ConnectionLimits limits;
-    /** Connections without a request in flight, the longest idle first. */
+    /** Connections without a request in flight, longest idle first. */
     private final LinkedHashSet<ClientConnection> idleConnections = new LinkedHashSet<>();
-    /** Connections of which a request is being received, the longest first. */
+    /** Connections with a partly received request, oldest request first. */
     private final LinkedHashSet<ClientConnection> receivingConnections = new LinkedHashSet<>();
 
     private long bufferedBytes;
@@ -118,7 +119,7 @@
     private boolean closed;
     private int respondingConnections;
 
-    /** A server that does not listen yet; to be called on the event loop. */
+    /** Creates a server that does not listen yet. Must be called on the event loop. */
     public HttpServer(RequestHandler handler, EventLoop loop) {
         this.handler = handler;
         this.loop = loop;
@@ -126,12 +127,13 @@
         this.clients = new DefaultChannelGroup(loop);
     }
 
+    /** Binds to an address and starts the periodic task that enforces idle and request timeouts. */
     public ChannelFuture listen(InetSocketAddress address) {
         loop.scheduleWithFixedDelay(this::sweep, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
         return bind(address);
     }
 
-    /** Listens at an address; idle connections are not closed before {@link #listen} was called once. */
+    /** Binds to an address without starting the timeout task; see {@link #listen}. */
     public ChannelFuture bind(InetSocketAddress address) {
         ChannelFuture bindFuture = new ServerBootstrap()
                 .group(loop)
@@ -163,7 +165,10 @@
         return bindFuture;
     }
 
-    /** At the maximum the longest idle connection is closed; where all have a request in flight, a new one has to wait. */
+    /**
+     * Registers a new connection. At the connection limit the longest idle connection is closed; if none is idle, accepting
+     * pauses.
+     */
     private void admit(SocketChannel ch, ClientConnection client) {
         if (clients.size() >= limits.maxConnections() && !idleConnections.isEmpty()) {
             ClientConnection longestIdle = idleConnections.iterator().next();
@@ -205,7 +210,7 @@
             }
             receivingConnections.remove(longestReceiving);
             if (longestReceiving.responding) {
-                // Its next request has all its time again: the one in flight must not end with it.
+                // Restart the timeout of the next request: closing now would also end the request in flight.
                 longestReceiving.receivingSinceNanos = now;
                 receivingConnections.add(longestReceiving);
             } else {
@@ -214,13 +219,14 @@
         }
     }
 
+    /** The local port that the server listens on. */
     public int port() {
         return ((InetSocketAddress) listener.localAddress()).getPort();
     }
 
     /**
-     * Serves on; from some time before the end each response closes its connection; then stops listening and accepting
-     * requests, closes idle connections and runs {@code done} when the last client has its response.
+     * Drains connections: first continues to serve; later lets each response close its connection; finally stops listening and
+     * accepting requests, closes idle connections, and runs {@code done} when the last client connection is closed.
      *
      * @param remainingMs time until the process may be killed
      */
@@ -237,17 +243,17 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Whether a drain has begun. */
+    /** Whether {@link #drain} was called. */
     public boolean draining() {
         return draining;
     }
 
-    /** From now on each response closes its connection; new connections are served the same way. */
+    /** Makes each response close its connection from now on, including those on new connections. */
     public void closeAfterResponses() {
         closingAfterResponses = true;
     }
 
-    /** Accepts nothing more: stops listening and closes idle connections. The process is about to end. */
+    /** Stops listening, accepts no more requests and closes idle connections. The process is about to exit. */
     public void close() {
         closed = true;
         if (listener != null) {
@@ -256,7 +262,7 @@
         clients.forEach(c -> c.pipeline().get(ClientConnection.class).closeIfIdle());
     }
 
-    /** Closes the connections that were used before and have nothing in flight: a request that crosses that is not taken. */
+    /** Closes idle connections that have served a request. A request that arrives at the same time is not handled. */
     public void closeIdle() {
         idleConnections.stream().filter(ClientConnection::isIdle).toList().forEach(client -> client.channel.close());
     }
@@ -266,17 +272,20 @@
         return respondingConnections == 0 && receivingConnections.isEmpty();
     }
 
-    /** One connection of a client. */
+    /** One client connection: the last handler of its pipeline. */
     public final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
         private final Channel channel;
         private final ArrayDeque<QueuedRequest> queuedRequests = new ArrayDeque<>();
         private int queuedBytes;
-        /** The request being received, its body so far, and whether the client waits for {@code 100 Continue}. */
+        /**
+         * The head of the request being received, or null. {@code body} is what has arrived of its body, {@code expectsContinue}
+         * whether the client waits for {@code 100 Continue}.
+         */
         private HttpRequest head;
 
         private ByteBuf body;
         private boolean expectsContinue;
-        /** Set by input that can't be read: nothing after it is read. */
+        /** Set by invalid input: all input after it is ignored. */
         private boolean inputRejected;
 
         private boolean responding;
@@ -290,15 +299,13 @@
         private Runnable disconnectListener;
         private Runnable writableListener;
 
-        /** A complete request, or the error of one that can't be read. */
+        /** A complete request, or the error status for invalid input. */
         private record QueuedRequest(HttpRequest head, byte[] body, long receivedAtUs, HttpResponseStatus error) {}
 
         ClientConnection(Channel channel) {
             this.channel = channel;
         }
 
-        // ---- reading ---------------------------------------------------------------------------------
-
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
             if (inputRejected || closed) {
@@ -370,7 +377,7 @@
             enqueue(new QueuedRequest(request, completeBody, handler.now(), null));
         }
 
-        /** The last input that is read of this client: the requests before it are answered, then it gets the error. */
+        /** Ignores all further input of this client. Responds with the error after the responses to earlier requests. */
         private void rejectInput(HttpResponseStatus error) {
             inputRejected = true;
             head = null;
@@ -378,7 +385,7 @@
             enqueue(new QueuedRequest(null, new byte[0], 0, error));
         }
 
-        /** A request is handled when all input has been read, and never if its client has disconnected. */
+        /** Queues a request. It is handled after the current read completes, and not at all if its client has disconnected. */
         private void enqueue(QueuedRequest next) {
             idleConnections.remove(this);
             queuedRequests.add(next);
@@ -397,7 +404,10 @@
             bufferedBytes += bytes;
         }
 
-        /** Reading stops while enough requests wait. Only a read shows that a client has disconnected: one is made at times. */
+        /**
+         * Pauses reading while the queue is full. Only a read reveals that a client has disconnected, so one is made every
+         * {@link #PEEK_INTERVAL_MS}.
+         */
         private void updateAutoRead() {
             boolean queueFull = (responding || !queuedRequests.isEmpty())
                     && !inputRejected
@@ -421,9 +431,7 @@
             }
         }
 
-        // ---- answering -------------------------------------------------------------------------------
-
-        /** Handles requests in their order, one at a time. */
+        /** Handles queued requests in order, one at a time. */
         private void handleQueued() {
             if (handlingQueued) {
                 return;
@@ -457,11 +465,16 @@
             this.disconnectListener = listener;
         }
 
+        /** Sends a response without a body to the current request. */
         public void answer(HttpResponseStatus status) {
             answer(status, ConnectionPool.Response.EMPTY, 0);
         }
 
-        /** Sends the complete response to the current request; the next request is handled when it is written. */
+        /**
+         * Sends the complete response to the current request; the next request is handled when it is written.
+         *
+         * @param retryAfterUs value of the Retry-After header, microseconds; 0 for none
+         */
         public void answer(HttpResponseStatus status, ConnectionPool.Response response, long retryAfterUs) {
             disconnectListener = null;
             DefaultFullHttpResponse message =
@@ -506,18 +519,18 @@
             }
         }
 
-        /** Starts a response whose body comes in chunks; {@link #finishResponse} ends it, {@link #abort} breaks it off. */
+        /** Starts a streamed response, which {@link #finishResponse} completes and {@link #abort} truncates. */
         public void startResponse(HttpResponse responseHead) {
             lastResponse = markIfLast(responseHead);
             channel.writeAndFlush(responseHead);
         }
 
-        /** Writes a chunk of the body. Takes ownership of the buffer. */
+        /** Writes a chunk of a streamed response. Takes ownership of the buffer. */
         public void writeChunk(ByteBuf bytes) {
             channel.writeAndFlush(new DefaultHttpContent(bytes));
         }
 
-        /** The response is complete. */
+        /** Completes a streamed response. */
         public void finishResponse() {
             disconnectListener = null;
             markIdle();
@@ -526,13 +539,13 @@
                     .addListener(written -> onResponseWritten(last, written));
         }
 
-        /** The response can't be completed, or none can be given: the client sees the connection's end. */
+        /** Closes the connection because the response can't be completed, or none can be given. */
         public void abort() {
             disconnectListener = null;
             channel.close();
         }
 
-        /** Whether more can be written without buffering; the listener runs when it can be after it could not. */
+        /** Whether the channel is writable. The listener replaces the previous one and runs when the channel becomes writable again. */
         public boolean isWritable(Runnable listener) {
             writableListener = listener;
             return channel.isWritable();
@@ -545,7 +558,7 @@
             }
         }
 
-        /** From here on the connection counts as idle: also one whose client does not read its response. */
+        /** Starts the idle timeout, even if the client has not read its response yet. */
         private void markIdle() {
             if (channel.isActive()) {
                 idleSinceNanos = System.nanoTime();
@@ -571,7 +584,7 @@
             }
         }
 
-        /** A request in flight gets its response first; reading only shows whether its client is still there. */
+        /** Closes the connection unless a request is in flight or queued; those get their response first. */
         private void closeIfIdle() {
             if (!responding && queuedRequests.isEmpty()) {
                 channel.close();
@@ -594,7 +607,7 @@
             }
         }
 
-        /** Any failure costs this connection; the client has to retry the request in flight. */
+        /** Any exception closes the connection; the client has to retry a request in flight. */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             ctx.close();
--- a/src/main/java/quartzspan/http/OutgoingRequest.java
+++ b/src/main/java/quartzspan/http/OutgoingRequest.java
@@ -12,11 +12,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** A request as it is forwarded to a server: without the headers that concern the client's own connection. */
+/** A request to an upstream server, without the hop-by-hop headers of the client's connection. */
 public record OutgoingRequest(String method, String uri, HttpHeaders headers, byte[] body) {
     public static final AsciiString DEADLINE_HEADER = AsciiString.cached("x-deadline-ms");
 
-    /** Hop-by-hop headers (RFC 9110, 7.6.1), and those that are written anew for each attempt. */
+    /** Hop-by-hop headers (RFC 9110, section 7.6.1), and headers that are set for each attempt. */
     private static final List<AsciiString> NOT_FORWARDED_HEADERS = List.of(
             HttpHeaderNames.CONNECTION,
             AsciiString.cached("keep-alive"),
@@ -29,7 +29,7 @@
             HttpHeaderNames.CONTENT_LENGTH,
             DEADLINE_HEADER);
 
-    /** A client's request without the headers that concern the client's own connection. */
+    /** Copies a client's request without its hop-by-hop headers, including those listed in its Connection header. */
     public static OutgoingRequest of(HttpRequest clientRequest, byte[] body) {
         HttpHeaders headers = new DefaultHttpHeaders().set(clientRequest.headers());
         clientRequest.headers().getAll(HttpHeaderNames.CONNECTION).forEach(names -> List.of(names.split(","))
@@ -38,15 +38,15 @@
         return new OutgoingRequest(clientRequest.method().name(), clientRequest.uri(), headers, body);
     }
 
-    /** A health check. */
+    /** A health check request. */
     public static OutgoingRequest healthCheck() {
         return new OutgoingRequest(
                 "GET", "/-/healthy", new DefaultHttpHeaders().set(HttpHeaderNames.HOST, "origin.svc"), new byte[0]);
     }
 
     /**
-     * The complete request in one buffer, so that its write either reaches the last byte or surely did not: an
-     * encoder's head and body apart could end between the two.
+     * Encodes the complete request into one buffer, so that a successful write means that the last byte was written, and a
+     * failed one that it was not. A codec writes head and body separately, and could fail between the two.
      */
     ByteBuf encode(long deadlineMs) {
         StringBuilder head = new StringBuilder(256);
--- a/src/main/java/quartzspan/http/package-info.java
+++ b/src/main/java/quartzspan/http/package-info.java
@@ -1,6 +1,7 @@
 /**
- * HTTP/1.1 for proxies: a server for clients, a connection pool for servers, strict framing.
+ * HTTP/1.1 for proxies: a server for client connections, a connection pool for upstream servers, and strict message framing.
  *
- * <p>Each object is owned by one event loop. May import {@code loadbalancing}, for the outcome of an attempt.
+ * <p>Each object is confined to one event loop. The only package this one may import is {@code loadbalancing}, for the outcome of
+ * an attempt.
  */
 package quartzspan.http;
