--- a/src/test/java/quartzspan/http/HttpServerTest.java
+++ b/src/test/java/quartzspan/http/HttpServerTest.java
@@ -19,9 +19,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** What clients connect to, by itself. */
+/** {@link HttpServer} with a scripted request handler. */
 class HttpServerTest {
-    /** A next request that is slow in coming is its own affair: what is open on its connection is answered. */
+    /** A pipelined request that times out while it is received must not end the in-flight request before it. */
     @Test
     void receiveTimeoutOfPipelinedRequestDoesNotEndInFlightRequest() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -40,7 +40,7 @@
                                         HttpRequest request,
                                         byte[] body,
                                         long receivedAtUs) {
-                                    // Long after the slow one's time is up.
+                                    // Long after the 100 ms request timeout of the second request.
                                     loop.schedule(
                                             () -> client.answer(HttpResponseStatus.OK), 900, TimeUnit.MILLISECONDS);
                                 }
@@ -70,9 +70,9 @@
         }
     }
 
+    /** The process runs on for some milliseconds after the close: requests accepted then would be lost. */
     @Test
     void requestsThatArriveAfterCloseAreNotHandled() throws Exception {
-        // The process goes on for some milliseconds: what it took in them would be lost.
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
         AtomicInteger handledRequests = new AtomicInteger();
@@ -108,7 +108,7 @@
                 String request = "GET /a HTTP/1.1\r\nHost: h\r\n\r\n";
                 assertEquals(200, client.write(request).read().status());
                 loop.submit(() -> {
-                            // The request is there before the loop reads again.
+                            // The request arrives before the event loop reads again.
                             client.write(request);
                             server.close();
                             return null;
--- a/src/test/java/quartzspan/http/IdleTimeoutTest.java
+++ b/src/test/java/quartzspan/http/IdleTimeoutTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How idle a kept connection may be, by what lately became of others. */
+/** How the idle timeout of pooled connections adapts to stale and usable connections. */
 class IdleTimeoutTest {
     private static final long MS = 1_000_000;
     private final IdleTimeout idleTimeout = new IdleTimeout(6_000 * MS);
@@ -22,9 +22,12 @@
         assertEquals(300 * MS, idleTimeout.nanos());
         assertEquals(150 * MS, idleTimeout.cautiousNanos());
         idleTimeout.onUsable(1_000 * MS, 140 * MS, true);
-        assertEquals(300 * MS, idleTimeout.nanos(), "they do not try out more so soon");
+        assertEquals(
+                300 * MS,
+                idleTimeout.nanos(),
+                "cautious requests do not raise the limit right after a stale connection");
         idleTimeout.onUsable(1_000 * MS, 280 * MS, false);
-        assertEquals(330 * MS, idleTimeout.nanos(), "others do");
+        assertEquals(330 * MS, idleTimeout.nanos(), "retryable requests raise the limit");
     }
 
     @Test
--- a/src/test/java/quartzspan/http/LoopbackPeers.java
+++ b/src/test/java/quartzspan/http/LoopbackPeers.java
@@ -22,23 +22,23 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** The other ends of a client proxy, as small as they can be: plain sockets that do what a test says. */
+/** Minimal peers of a proxy (servers, clients and discovery) on plain loopback sockets, scripted by the tests. */
 public final class LoopbackPeers {
-    /** Bound of every wait; a test that passes waits for no more than it needs. */
+    /** Timeout of every wait. A passing test never waits that long. */
     public static final long TIMEOUT_S = 30;
 
     private LoopbackPeers() {}
 
-    /** The next element of a queue; fails if none comes in time. */
+    /** Takes the next element of a queue; fails if none arrives within {@link #TIMEOUT_S}. */
     public static <T> T next(BlockingQueue<T> queue, String what) throws InterruptedException {
         T got = queue.poll(TIMEOUT_S, TimeUnit.SECONDS);
         if (got == null) {
-            throw new AssertionError("never came: " + what);
+            throw new AssertionError("not received within " + TIMEOUT_S + " s: " + what);
         }
         return got;
     }
 
-    /** A message as it came: its first line and headers in lower case names, and its body. */
+    /** A received message: its first line, its headers as sent, and its body. */
     public record Message(String first, List<String> headers, byte[] body) {
         /** The value of a header, by its name in lower case; null if there is none. */
         public String header(String name) {
@@ -58,25 +58,25 @@
         }
     }
 
-    /** Reads one message with a Content-Length or none; an end of the stream is an {@link IOException}. */
+    /** Reads one message with or without a Content-Length; throws {@link EOFException} at the end of the stream. */
     public static Message read(InputStream in) throws IOException {
         Message head = readHead(in);
         String declaredLength = head.header("content-length");
         int length = declaredLength == null ? 0 : Integer.parseInt(declaredLength);
         byte[] body = in.readNBytes(length);
         if (body.length < length) {
-            throw new EOFException("ended in the body");
+            throw new EOFException("stream ended after " + body.length + " of " + length + " bytes of the body");
         }
         return new Message(head.first(), head.headers(), body);
     }
 
-    /** Reads a head, and nothing after it. */
+    /** Reads the head of a message only. */
     public static Message readHead(InputStream in) throws IOException {
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         while (!head.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
             int b = in.read();
             if (b < 0) {
-                throw new EOFException("ended after '" + head + "'");
+                throw new EOFException("stream ended within the message head, after '" + head + "'");
             }
             head.write(b);
         }
@@ -85,7 +85,7 @@
         return new Message(lines.get(0), lines.subList(1, lines.size()), new byte[0]);
     }
 
-    /** A listening peer: each message that comes is noted, then the script deals with it. */
+    /** A listening peer: adds each request to {@link #received}, then passes it to the script. */
     public static final class Server implements AutoCloseable {
         public final ServerSocket socket;
         public final BlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
@@ -116,7 +116,7 @@
                     start(() -> serve(s));
                 }
             } catch (IOException e) {
-                // closed: the test is over
+                // The server socket was closed: the test is over.
             }
         }
 
@@ -143,14 +143,14 @@
         }
     }
 
-    /** A message that a server got; {@code ended} is done when its connection is. */
+    /** A request that a server received; {@code ended} completes when its connection ends. */
     public record ReceivedRequest(Message message, Socket socket, CompletableFuture<Void> ended) {
-        /** Writes text as it is. */
+        /** Writes raw text to the connection. */
         public void write(String text) {
             try {
                 socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
             } catch (IOException e) {
-                // the peer has closed
+                // The peer has closed the connection.
             }
         }
 
@@ -166,7 +166,7 @@
             answer(503, "X-Not-Run: 1\r\n", "");
         }
 
-        /** Ends the stream of this side. */
+        /** Shuts down the output of the connection (half-close). */
         public void finish() {
             try {
                 socket.shutdownOutput();
@@ -190,7 +190,7 @@
         }
     }
 
-    /** The application's end of one connection. */
+    /** A client with one connection to the proxy. */
     public static final class Client implements AutoCloseable {
         public final Socket socket;
         private final InputStream in;
@@ -225,12 +225,12 @@
             return LoopbackPeers.read(in);
         }
 
-        /** The head of an answer, whose body is not read. */
+        /** Reads the head of a response only. */
         public Message readHead() throws IOException {
             return LoopbackPeers.readHead(in);
         }
 
-        /** Whether the proxy has closed, with nothing more sent. */
+        /** Waits for the next byte or the close; whether the proxy closed the connection without sending more. */
         public boolean closed() throws IOException {
             try {
                 return in.read() < 0;
@@ -245,13 +245,13 @@
         }
     }
 
-    /** A host whose queue of connections is full, so that none comes up until {@link #acceptAll}. */
+    /** A server whose accept backlog is full, so that no new connection is established until {@link #acceptAll}. */
     public static final class FullBacklogServer implements AutoCloseable {
         private final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         private final List<Socket> backlog = new ArrayList<>();
         private Socket last;
 
-        /** Listens with a full queue of connections. */
+        /** Listens, and fills the backlog. */
         public FullBacklogServer() throws Exception {
             for (int i = 0; i < 8; i++) {
                 Socket s = new Socket();
@@ -263,14 +263,14 @@
                 }
                 backlog.add(s);
             }
-            throw new AssertionError("the queue never filled");
+            throw new AssertionError("accept backlog not full after 8 connections");
         }
 
         public String address() {
             return "127.0.0.1:" + server.getLocalPort();
         }
 
-        /** Takes the connections that fill the queue, and then the one that waited. */
+        /** Accepts the connections of the backlog, and then the one that was waiting. */
         public void acceptAll() throws Exception {
             server.setSoTimeout((int) LoopbackPeers.TIMEOUT_S * 1000);
             for (int i = 0; i <= backlog.size(); i++) {
@@ -278,6 +278,7 @@
             }
         }
 
+        /** Whether the connection that was waiting is closed without any data received. */
         public boolean closedWithoutInput() throws Exception {
             last.setSoTimeout((int) LoopbackPeers.TIMEOUT_S * 1000);
             return last.getInputStream().read() < 0;
@@ -292,18 +293,20 @@
         }
     }
 
-    /** Discovery: answers a watch when the test asks for it, and leaves it open for {@link #push}. */
+    /** A discovery service. */
     public static final class Discovery implements AutoCloseable {
         public final Server server = new Server(request -> {});
 
         public Discovery() throws IOException {}
 
+        /** Waits for a watch request and starts the response, which stays open for {@link #push}. */
         public ReceivedRequest awaitWatch() throws InterruptedException {
             ReceivedRequest watch = next(server.received, "a watch");
             watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             return watch;
         }
 
+        /** Sends one line as a chunk of the response to a watch. */
         public static void push(ReceivedRequest watch, String line) {
             watch.write(Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
         }
@@ -314,16 +317,18 @@
         }
     }
 
+    /** An endpoint as discovery lists it. */
     public static String host(String id, String address, String state) {
         return "{\"id\":\"" + id + "\",\"addr\":\"" + address + "\",\"zone\":\"east\","
                 + "\"kind\":\"m\",\"cell\":1,\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":0}";
     }
 
+    /** An endpoint list of discovery. */
     public static String list(int version, boolean full, String... hosts) {
         return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + String.join(",", hosts) + "]}";
     }
 
-    /** A configuration; {@code limits} are further ones, each with a comma before it. */
+    /** A client proxy configuration; {@code limits} are additional limits, each preceded by a comma. */
     public static String config(int port, String discovery, String limits, String known) {
         String one = "{\"name\":\"%s\",\"effect\":\"%s\",\"dedupScope\":\"zone\",\"dedupWindowUs\":20000000,"
                 + "\"onTimeUs\":20000000,\"deadlineUs\":20000000,\"worth\":1}";
