--- a/src/main/java/quartzspan/http/ConnectionPool.java
+++ b/src/main/java/quartzspan/http/ConnectionPool.java
@@ -66,7 +66,7 @@
      */
     private static final long STALE_RESET_NANOS = 20_000_000;
 
-    /** Unpooled heap buffers: the heap size is bounded, and pooling brings no gain at this rate of traffic. */
+    /** Unpooled buffers on the heap, whose size is bounded; this rate of traffic needs no buffer pool. */
     public static final UnpooledByteBufAllocator BUFFERS = new UnpooledByteBufAllocator(false);
 
     /** Used where the caller gives no handler: 200 succeeds; 503 or 504 with {@code X-Not-Run: 1} means the queue was full. */
@@ -231,7 +231,7 @@
             return true;
         }
 
-        /** Whether responses other than 200 are delivered with headers and body. */
+        /** Whether the body of unsuccessful responses and the headers of all responses are delivered. */
         default boolean wantsErrorBody() {
             return false;
         }
@@ -262,7 +262,7 @@
         return new Attempt(endpoint, request, timeoutUs, stillWanted, responseHandler, listener);
     }
 
-    /** Closes the idle connections to an endpoint. Connections in use are closed after their response if it is not ready by then. */
+    /** Closes the idle connections to an endpoint. Those in use close after their response unless the endpoint is ready then. */
     public void closeIdle(Endpoint endpoint) {
         for (Connection connection; (connection = endpoint.idleConnections.peek()) != null; ) {
             connection.close();
--- a/src/main/java/quartzspan/http/HttpServer.java
+++ b/src/main/java/quartzspan/http/HttpServer.java
@@ -82,8 +82,9 @@
     private static final int MAX_PIPELINED_BYTES = HttpFraming.MAX_BODY_BYTES;
     private static final int MAX_BUFFERED_BYTES = 8 * 1024 * 1024;
     /**
-     * Size of one read; small, so that little more is decoded after reading was paused. Up to {@code MAX_READS} reads are made
-     * in one turn of the event loop, because only the last one reveals that a client disconnected right after its request.
+     * Size of one read; small, so that little more is decoded after reading was paused. Reads are repeated until the input is
+     * used up, because only the last one reveals that a client disconnected right after its request, but at most
+     * {@code MAX_READS} times before other connections get their turn.
      */
     private static final int READ_BYTES = 8 * 1024;
 
