--- a/src/main/java/quartzspan/http/ConnectionPool.java
+++ b/src/main/java/quartzspan/http/ConnectionPool.java
@@ -417,13 +417,13 @@
             connection = acquired;
             connectFuture = null;
             writtenAtNanos = System.nanoTime();
-            long leftNanos = deadlineNanos - writtenAtNanos;
-            if (!endpoint.ready || !stillWanted.getAsBoolean() || leftNanos <= 0) {
+            long remainingNanos = deadlineNanos - writtenAtNanos;
+            if (!endpoint.ready || !stillWanted.getAsBoolean() || remainingNanos <= 0) {
                 finish(Outcome.IGNORED, null);
                 return;
             }
             acquired.current = this;
-            writeFuture = acquired.channel.writeAndFlush(request.encode(Math.max(1, leftNanos / 1_000_000)));
+            writeFuture = acquired.channel.writeAndFlush(request.encode(Math.max(1, remainingNanos / 1_000_000)));
             writeFuture.addListener(f -> {
                 boolean responded = acquired.current != this;
                 if (f.isSuccess() || ended || responded) {
