--- a/src/main/java/quartzspan/clientproxy/ClientProxy.java
+++ b/src/main/java/quartzspan/clientproxy/ClientProxy.java
@@ -249,7 +249,7 @@
     }
 
     private void initialize() {
-        upstream.begin();
+        upstream.startIdleEviction();
         balancer = balancerFactory.create(config.settings(), config.seed(), now(), this);
         if (config.cachedList() != null) {
             discovery.applyList(config.cachedList(), Source.CACHED);
@@ -371,7 +371,7 @@
         HttpHeaders headers = in.headers();
         String id = singleValue(headers, "X-Request-Id");
         Integer classIndex = classIndexes.get(singleValue(headers, "X-Class"));
-        long deadlineMs = HttpFraming.number(singleValue(headers, OutgoingRequest.DEADLINE));
+        long deadlineMs = HttpFraming.parseNumber(singleValue(headers, OutgoingRequest.DEADLINE_HEADER));
         String tenantName = singleValue(headers, "X-Tenant");
         int tenant = config.tenants().indexOf(tenantName);
         boolean knownTenant = !headers.contains("X-Tenant") || config.tenants().isEmpty() || tenant >= 0;
@@ -400,7 +400,7 @@
                 classIndex,
                 key,
                 budgetUs,
-                Math.max(0, HttpFraming.number(headers.get("X-Cost-Hint"))),
+                Math.max(0, HttpFraming.parseNumber(headers.get("X-Cost-Hint"))),
                 tenant,
                 "1".equals(headers.get("X-Retry")));
         Exchange exchange = new Exchange(client, request, requestClass, OutgoingRequest.of(in, body), now() + budgetUs);
@@ -573,9 +573,9 @@
             ConnectionPool.CompletionListener end = (outcome, answer) ->
                     execute(() -> balancer.onProbeEnded(now(), endpointId, outcome, now() - sentAt));
             if (endpoint == null) {
-                end.ended(Outcome.IGNORED, null);
+                end.onComplete(Outcome.IGNORED, null);
             } else {
-                upstream.attempt(endpoint, OutgoingRequest.health(), config.dialTimeoutUs(), () -> true, end)
+                upstream.attempt(endpoint, OutgoingRequest.healthCheck(), config.dialTimeoutUs(), () -> true, end)
                         .start();
             }
         });
--- a/src/main/java/quartzspan/clientproxy/Discovery.java
+++ b/src/main/java/quartzspan/clientproxy/Discovery.java
@@ -175,7 +175,7 @@
             boolean addressChanged =
                     endpoint.address() != null && !endpoint.address().equals(entry.address());
             boolean ready = entry.availability() == Availability.READY;
-            endpoint.listed(entry.address(), ready, ConnectionPool.Endpoint.UNBOUNDED);
+            endpoint.update(entry.address(), ready, ConnectionPool.Endpoint.UNBOUNDED);
             if (addressChanged || !ready) {
                 upstream.closeIdle(endpoint);
             }
--- a/src/main/java/quartzspan/controlplane/RolloutPlanner.java
+++ b/src/main/java/quartzspan/controlplane/RolloutPlanner.java
@@ -96,8 +96,8 @@
         long withdrawalHorizon = now + deadlines.fractionOfApplyTime(WITHDRAWAL_FRACTION);
         List<Order> withdrawals = new ArrayList<>();
         targets.forEach((model, version) -> loadableServers(model, servers).stream()
-                .filter(server ->
-                        server.loadingVersion() == 0 && deadlines.deadlineOf(model, server.weightsVersion()) <= withdrawalHorizon)
+                .filter(server -> server.loadingVersion() == 0
+                        && deadlines.deadlineOf(model, server.weightsVersion()) <= withdrawalHorizon)
                 .forEach(server -> withdrawals.add(new Order(server, model, version))));
         return withdrawals;
     }
--- a/src/main/java/quartzspan/http/ConnectionPool.java
+++ b/src/main/java/quartzspan/http/ConnectionPool.java
@@ -36,36 +36,40 @@
 import quartzspan.loadbalancing.LoadBalancer.Outcome;
 
 /**
- * Connections to endpoints, one request at a time on each, and the attempts made on them. It retries nothing: an attempt is
- * written completely once at most, and ends exactly once, with the outcome that can be vouched for.
+ * Pool of keep-alive connections to endpoints, with at most one in-flight request on each. The pool retries nothing: the
+ * request of an attempt is completely written at most once, and the attempt ends exactly once, with the strongest outcome that is
+ * certain.
  *
- * <p>Owned by one event loop; all calls and callbacks are made on it. Example:
+ * <p>Confined to one event loop; all calls and callbacks are made on it. Example:
  *
  * <pre>
  * pool.attempt(endpoint, request, timeoutUs, () -> true, responseHandler, listener).start(Reuse.ANY);
  * </pre>
  */
 public final class ConnectionPool {
-    /** Fraction of the idle timeout after which this side closes first: a server closes after all of it. */
+    /** Idle connections are closed after this fraction of the server's idle timeout, before the server closes them. */
     private static final double IDLE_TIMEOUT_FRACTION = 0.75;
 
     private static final long SWEEP_INTERVAL_MS = 100;
-    /** How long a connection stays idle after a response: unsolicited input that follows must not meet a new request. */
+    /**
+     * A connection is not reused this soon after a response, so that unsolicited input that follows the response is not taken
+     * for the response to the next request.
+     */
     private static final long MIN_IDLE_NANOS = 3_000_000;
-    /** Interim responses (1xx) to one request; more of them are an error. */
+    /** Interim responses (1xx) accepted for one request; more of them fail the attempt. */
     private static final int MAX_INTERIM_RESPONSES = 16;
-    /** New connections for one attempt, as long as they are reset before the request is written completely. */
+    /** New connections that one attempt may open if they are reset before the request is completely written. */
     private static final int MAX_NEW_CONNECTIONS = 3;
     /**
-     * A connection that is reset this soon after a request was written to it had been stale: its server had closed it while it
-     * was idle, without a sign.
+     * A reused connection that is lost this soon after the request was written is considered stale: the server had closed it
+     * while it was idle, unnoticed by this side.
      */
     private static final long STALE_RESET_NANOS = 20_000_000;
 
-    /** Buffers count as heap, which is bounded once and for all, and need no pool at this traffic. */
+    /** Unpooled buffers on the heap, whose size is bounded; this rate of traffic needs no buffer pool. */
     public static final UnpooledByteBufAllocator BUFFERS = new UnpooledByteBufAllocator(false);
 
-    /** The meaning of servers' responses where the caller gives no handler. */
+    /** Used where the caller gives no handler: 200 succeeds; 503 or 504 with {@code X-Not-Run: 1} means the queue was full. */
     private static final ResponseHandler DEFAULT_HANDLER = new ResponseHandler() {
         @Override
         public Outcome outcome(HttpResponse head) {
@@ -78,24 +82,24 @@
 
     private final EventLoop loop;
     private final Bootstrap bootstrap;
-    private final IdleTimeout idleLimit;
+    private final IdleTimeout idleTimeout;
     private final int maxConnections;
-    /** Idle connections to all endpoints, the longest idle first. */
-    private final LinkedHashSet<Connection> idle = new LinkedHashSet<>();
+    /** Idle connections to all endpoints, least recently used first. */
+    private final LinkedHashSet<Connection> idleConnections = new LinkedHashSet<>();
 
-    private int connections;
+    private int connectionCount;
 
     /**
-     * An empty pool.
+     * Creates an empty pool.
      *
      * @param dialTimeoutUs time within which a connection must be established
      * @param connIdleUs time after which servers close idle connections
-     * @param maxConnections connections to all servers at once
+     * @param maxConnections maximum number of connections to all servers together
      */
     public ConnectionPool(EventLoop loop, long dialTimeoutUs, long connIdleUs, int maxConnections) {
         this.loop = loop;
         this.maxConnections = maxConnections;
-        this.idleLimit = new IdleTimeout((long) (connIdleUs * 1000 * IDLE_TIMEOUT_FRACTION));
+        this.idleTimeout = new IdleTimeout((long) (connIdleUs * 1000 * IDLE_TIMEOUT_FRACTION));
         this.bootstrap = new Bootstrap()
                 .group(loop)
                 .option(ChannelOption.ALLOCATOR, BUFFERS)
@@ -104,38 +108,43 @@
     }
 
     /**
-     * From now on closing a connection discards what the other side has not received yet. A request that was abandoned can't
-     * arrive late then, after a partition.
+     * Makes new connections discard unsent data on close (SO_LINGER of 0), so that an abandoned request can't arrive late, after
+     * a network partition.
      */
     public void discardUnsentOnClose() {
         bootstrap.option(ChannelOption.SO_LINGER, 0);
     }
 
-    /** Closes connections that have been idle for long, from now on. */
-    public void begin() {
+    /** Starts the periodic task that closes connections whose idle timeout has passed. */
+    public void startIdleEviction() {
         loop.scheduleWithFixedDelay(
                 () -> {
                     long now = System.nanoTime();
-                    idle.stream().filter(c -> c.idleTooLong(now)).toList().forEach(Connection::close);
+                    idleConnections.stream()
+                            .filter(c -> c.idleTooLong(now))
+                            .toList()
+                            .forEach(Connection::close);
                 },
                 SWEEP_INTERVAL_MS,
                 SWEEP_INTERVAL_MS,
                 TimeUnit.MILLISECONDS);
     }
 
-    /** A server as last listed by discovery. */
+    /** A server that connections are opened to, as last reported by service discovery. */
     public static final class Endpoint {
-        /** No bound of connections but that of all together. */
+        /** No limit of its own; only the limit of the pool applies. */
         public static final int UNBOUNDED = Integer.MAX_VALUE;
 
         final String id;
         InetSocketAddress address;
         boolean ready;
-        /** Connections of this process that it may have at once. */
-        private int most = UNBOUNDED;
+        /** Maximum number of connections from this process to the endpoint. */
+        private int maxConnections = UNBOUNDED;
 
-        private int made;
-        private final ArrayDeque<Connection> idle = new ArrayDeque<>();
+        /** Connections that are open or being established. */
+        private int connectionCount;
+
+        private final ArrayDeque<Connection> idleConnections = new ArrayDeque<>();
 
         public Endpoint(String id) {
             this.id = id;
@@ -145,56 +154,61 @@
             return id;
         }
 
-        /** Where it is reached; null before it is listed. */
+        /** The address to connect to; null before the first {@link #update}. */
         public InetSocketAddress address() {
             return address;
         }
 
-        /** From now on nothing more is sent to it. */
+        /** Stops sending new requests to the endpoint. */
         public void drain() {
             ready = false;
         }
 
-        /** Updates what is known of it. */
-        public void listed(InetSocketAddress at, boolean isReady, int maxConnections) {
-            address = at;
-            ready = isReady;
-            most = maxConnections;
+        /**
+         * Applies the endpoint's state from discovery.
+         *
+         * @param ready whether requests may be sent to it
+         * @param maxConnections maximum number of connections from this process to it
+         */
+        public void update(InetSocketAddress address, boolean ready, int maxConnections) {
+            this.address = address;
+            this.ready = ready;
+            this.maxConnections = maxConnections;
         }
 
-        /** Whether a connection to it is at hand. */
-        public boolean connected() {
-            return !idle.isEmpty();
+        /** Whether an idle connection exists. */
+        public boolean isConnected() {
+            return !idleConnections.isEmpty();
         }
 
-        /** Whether a connection is at hand or may be made. */
-        public boolean reachable() {
-            return !idle.isEmpty() || made < most;
+        /** Whether an idle connection exists or a new one may be opened. */
+        public boolean isReachable() {
+            return !idleConnections.isEmpty() || connectionCount < maxConnections;
         }
     }
 
-    /** A complete response; {@code headers} where the handler wants error bodies, else null. */
+    /** A complete response; {@code headers} is null unless the handler wants error bodies. */
     public record Response(byte[] body, String contentType, HttpHeaders headers) {
         /** A response without a body. */
         public static final Response EMPTY = new Response(new byte[0], null, null);
     }
 
-    /** Called once when an attempt ends; {@code answer} is null unless there is a response to pass on. */
+    /** Called once when an attempt ends; {@code response} is null unless there is a response to forward. */
     public interface CompletionListener {
-        void ended(Outcome outcome, Response answer);
+        void onComplete(Outcome outcome, Response response);
     }
 
-    /** Which request a response belongs to that came while one was in flight. */
+    /** Which request a response that arrived while one was in flight belongs to. */
     public enum ResponseMatch {
-        /** To the request in flight. */
+        /** The request in flight. */
         CURRENT,
-        /** To an earlier request: it is skipped, and the current one is still to come. */
+        /** An earlier request: the response is skipped, and the one to the request in flight is still expected. */
         EARLIER,
-        /** Unknown: the connection is closed, and the request in flight may have been executed. */
+        /** Unknown: the attempt fails and the connection is closed; the request in flight may have been executed. */
         UNKNOWN
     }
 
-    /** Interprets responses, and takes bodies as they come. */
+    /** Maps responses to outcomes, and receives streamed bodies. */
     public interface ResponseHandler {
         Outcome outcome(HttpResponse head);
 
@@ -203,121 +217,135 @@
             return ResponseMatch.CURRENT;
         }
 
-        /** The head of a response; true if its body is to come in chunks, to {@link #onChunk}. */
+        /** Whether the body of this successful response is to be passed to {@link #onChunk} as it arrives. */
         default boolean streamsBody(HttpResponse head) {
             return false;
         }
 
-        /** A chunk of the body; the caller keeps ownership of the buffer. False to stop reading until {@link Attempt#resumeReading}. */
+        /**
+         * Handles a chunk of the body. The caller keeps ownership of the buffer.
+         *
+         * @return false to stop reading from the channel until {@link Attempt#resumeReading} (backpressure)
+         */
         default boolean onChunk(ByteBuf bytes) {
             return true;
         }
 
-        /** Whether responses other than 2xx come with headers and body. */
+        /** Whether the body of unsuccessful responses and the headers of all responses are delivered. */
         default boolean wantsErrorBody() {
             return false;
         }
     }
 
     /**
-     * An attempt, to be started at once.
+     * Creates an attempt whose timeout runs from now; the caller starts it at once.
      *
-     * @param wanted whether the request still waits for a response
+     * @param stillWanted whether the request still waits for a response; checked before the request is written
      */
     public Attempt attempt(
-            Endpoint endpoint, OutgoingRequest call, long timeoutUs, BooleanSupplier wanted, CompletionListener end) {
-        return attempt(endpoint, call, timeoutUs, wanted, DEFAULT_HANDLER, end);
+            Endpoint endpoint,
+            OutgoingRequest request,
+            long timeoutUs,
+            BooleanSupplier stillWanted,
+            CompletionListener listener) {
+        return attempt(endpoint, request, timeoutUs, stillWanted, DEFAULT_HANDLER, listener);
     }
 
-    /** An attempt with a handler of its own. */
+    /** As above, with a handler that interprets the response. */
     public Attempt attempt(
             Endpoint endpoint,
-            OutgoingRequest call,
+            OutgoingRequest request,
             long timeoutUs,
-            BooleanSupplier wanted,
+            BooleanSupplier stillWanted,
             ResponseHandler responseHandler,
-            CompletionListener end) {
-        return new Attempt(endpoint, call, timeoutUs, wanted, responseHandler, end);
+            CompletionListener listener) {
+        return new Attempt(endpoint, request, timeoutUs, stillWanted, responseHandler, listener);
     }
 
-    /** Closes the idle connections to an endpoint; those in use close after their response. */
+    /** Closes the idle connections to an endpoint. Those in use close after their response unless the endpoint is ready then. */
     public void closeIdle(Endpoint endpoint) {
-        for (Connection c; (c = endpoint.idle.peek()) != null; ) {
-            c.close();
+        for (Connection connection; (connection = endpoint.idleConnections.peek()) != null; ) {
+            connection.close();
         }
     }
 
-    /** Which connections a request may be written to. */
+    /** Which pooled connections a request may reuse. */
     public enum Reuse {
-        /** Any that is at hand. */
+        /** Any idle connection. */
         ANY,
-        /** One that was idle for a short time only, else a new one: the request is lost if its connection turns out to be stale. */
+        /**
+         * A connection that was idle for a short time only, else a new one. For requests that can't be retried if the connection
+         * turns out to be stale.
+         */
         RECENT,
-        /** A new one: no response to an earlier request can come on it. */
+        /** Always a new connection, on which no response to an earlier request can arrive. */
         NONE
     }
 
-    /** The most recently used idle connection that shows no input; null if there is none. */
-    private Connection takeIdle(Endpoint endpoint, Reuse reuse) {
+    /**
+     * Takes the most recently used idle connection without unread input from the pool; null if there is none. One that is idle
+     * for longer than {@code reuse} allows is taken only if the endpoint's connection limit rules out a new one.
+     */
+    private Connection acquireIdle(Endpoint endpoint, Reuse reuse) {
         if (reuse == Reuse.NONE) {
             return null;
         }
         long now = System.nanoTime();
-        long limit = reuse == Reuse.RECENT ? idleLimit.cautiousNanos() : idleLimit.nanos();
+        long maxIdleNanos = reuse == Reuse.RECENT ? idleTimeout.cautiousNanos() : idleTimeout.nanos();
         Connection older = null;
-        for (Connection c : List.copyOf(endpoint.idle)) {
-            long idleFor = now - c.idleAt;
-            if (idleFor <= MIN_IDLE_NANOS) {
+        for (Connection connection : List.copyOf(endpoint.idleConnections)) {
+            long idleNanos = now - connection.idleSinceNanos;
+            if (idleNanos <= MIN_IDLE_NANOS) {
                 continue;
             }
-            if (c.idleTooLong(now) || !c.channel.untouched()) {
-                c.close();
-            } else if (idleFor <= limit) {
-                c.leaveIdle();
-                return c;
+            if (connection.idleTooLong(now) || !connection.channel.hasNoInput()) {
+                connection.close();
+            } else if (idleNanos <= maxIdleNanos) {
+                connection.removeFromIdle();
+                return connection;
             } else if (older == null) {
-                older = c;
+                older = connection;
             }
         }
-        if (older != null && endpoint.made >= endpoint.most) {
-            older.leaveIdle();
+        if (older != null && endpoint.connectionCount >= endpoint.maxConnections) {
+            older.removeFromIdle();
             return older;
         }
         return null;
     }
 
-    /** One request written to one server, until its end. */
+    /** One attempt to send a request to one endpoint, until its outcome is known. */
     public final class Attempt {
         private final Endpoint endpoint;
-        private final OutgoingRequest call;
-        private final long endNanos;
-        private final BooleanSupplier wanted;
+        private final OutgoingRequest request;
+        private final long deadlineNanos;
+        private final BooleanSupplier stillWanted;
         private final ResponseHandler responseHandler;
-        private final CompletionListener end;
+        private final CompletionListener listener;
         private final ScheduledFuture<?> timer;
-        private ChannelFuture connecting;
+        private ChannelFuture connectFuture;
         private Connection connection;
-        private ChannelFuture written;
+        private ChannelFuture writeFuture;
         private int newConnections;
         private boolean cautious;
         private boolean stale;
-        private long idleFor;
-        private long writtenAt;
+        private long idleNanos;
+        private long writtenAtNanos;
         private boolean ended;
 
         private Attempt(
                 Endpoint endpoint,
-                OutgoingRequest call,
+                OutgoingRequest request,
                 long timeoutUs,
-                BooleanSupplier wanted,
+                BooleanSupplier stillWanted,
                 ResponseHandler responseHandler,
-                CompletionListener end) {
+                CompletionListener listener) {
             this.endpoint = endpoint;
-            this.call = call;
-            this.wanted = wanted;
+            this.request = request;
+            this.stillWanted = stillWanted;
             this.responseHandler = responseHandler;
-            this.end = end;
-            this.endNanos = System.nanoTime() + timeoutUs * 1000;
+            this.listener = listener;
+            this.deadlineNanos = System.nanoTime() + timeoutUs * 1000;
             this.timer = loop.schedule(() -> abandon(Outcome.TIMED_OUT), timeoutUs, TimeUnit.MICROSECONDS);
         }
 
@@ -329,9 +357,9 @@
         /** Starts with a connection of the given kind; the listener may be called before this returns. */
         public void start(Reuse reuse) {
             cautious = reuse == Reuse.RECENT;
-            Connection reused = takeIdle(endpoint, reuse);
+            Connection reused = acquireIdle(endpoint, reuse);
             if (reused != null) {
-                idleFor = System.nanoTime() - reused.idleAt;
+                idleNanos = System.nanoTime() - reused.idleSinceNanos;
                 write(reused, true);
             } else {
                 connect();
@@ -339,39 +367,39 @@
         }
 
         private void connect() {
-            if (endpoint.made >= endpoint.most) {
+            if (endpoint.connectionCount >= endpoint.maxConnections) {
                 finish(Outcome.IGNORED, null);
                 return;
             }
-            if (connections >= maxConnections && !idle.isEmpty()) {
-                idle.iterator().next().close();
+            if (connectionCount >= maxConnections && !idleConnections.isEmpty()) {
+                idleConnections.iterator().next().close();
             }
-            Connection made;
+            Connection newConnection;
             try {
-                made = new Connection(endpoint);
+                newConnection = new Connection(endpoint);
             } catch (ChannelException noDescriptor) {
                 finish(Outcome.CONNECT_ERROR, null);
                 return;
             }
-            ChannelFuture up = bootstrap
+            ChannelFuture future = bootstrap
                     .clone()
-                    .channelFactory(() -> made.channel)
-                    .handler(made.pipeline())
+                    .channelFactory(() -> newConnection.channel)
+                    .handler(newConnection.pipeline())
                     .connect(endpoint.address);
             newConnections++;
-            connections++;
-            endpoint.made++;
-            up.channel().closeFuture().addListener(f -> {
-                connections--;
-                endpoint.made--;
+            connectionCount++;
+            endpoint.connectionCount++;
+            future.channel().closeFuture().addListener(f -> {
+                connectionCount--;
+                endpoint.connectionCount--;
             });
-            connecting = up;
-            up.addListener(f -> {
+            connectFuture = future;
+            future.addListener(f -> {
                 if (ended) {
-                    up.channel().close();
+                    future.channel().close();
                 } else if (f.isSuccess()) {
-                    write(made, false);
-                } else if (resetAtOnce(f.cause()) && newConnections < MAX_NEW_CONNECTIONS) {
+                    write(newConnection, false);
+                } else if (isConnectionReset(f.cause()) && newConnections < MAX_NEW_CONNECTIONS) {
                     connect();
                 } else {
                     finish(Outcome.CONNECT_ERROR, null);
@@ -380,29 +408,29 @@
         }
 
         /**
-         * The one place where a request is written. While the connection was established the endpoint may have started to
-         * drain, the request may have ended, or its deadline may have passed if this process was frozen: then nothing is
-         * written, and that is known. A connection that does not take all of it says little about the server: a new one is
-         * tried.
+         * Writes the request; the only place that does. While the connection was being established the endpoint may have started
+         * to drain, the request may have ended, or its deadline may have passed if this process was suspended: then nothing is
+         * written, and the outcome says so. A connection that fails before the complete request is written says little about the
+         * server, so a new one is tried.
          */
-        private void write(Connection c, boolean reused) {
-            connection = c;
-            connecting = null;
-            writtenAt = System.nanoTime();
-            long leftNanos = endNanos - writtenAt;
-            if (!endpoint.ready || !wanted.getAsBoolean() || leftNanos <= 0) {
+        private void write(Connection acquired, boolean reused) {
+            connection = acquired;
+            connectFuture = null;
+            writtenAtNanos = System.nanoTime();
+            long remainingNanos = deadlineNanos - writtenAtNanos;
+            if (!endpoint.ready || !stillWanted.getAsBoolean() || remainingNanos <= 0) {
                 finish(Outcome.IGNORED, null);
                 return;
             }
-            c.current = this;
-            written = c.channel.writeAndFlush(call.encode(Math.max(1, leftNanos / 1_000_000)));
-            written.addListener(f -> {
-                boolean answered = c.current != this;
-                if (f.isSuccess() || ended || answered) {
+            acquired.current = this;
+            writeFuture = acquired.channel.writeAndFlush(request.encode(Math.max(1, remainingNanos / 1_000_000)));
+            writeFuture.addListener(f -> {
+                boolean responded = acquired.current != this;
+                if (f.isSuccess() || ended || responded) {
                     return;
                 }
                 if (reused || newConnections < MAX_NEW_CONNECTIONS) {
-                    idleFor = 0;
+                    idleNanos = 0;
                     release();
                     connect();
                 } else {
@@ -411,7 +439,7 @@
             });
         }
 
-        /** Reads on after {@link ResponseHandler#onChunk} stopped it. */
+        /** Resumes reading after {@link ResponseHandler#onChunk} returned false. */
         public void resumeReading() {
             if (connection != null) {
                 connection.channel.config().setAutoRead(true);
@@ -419,47 +447,47 @@
         }
 
         private boolean forHead() {
-            return call.method().equals("HEAD");
+            return request.method().equals("HEAD");
         }
 
-        /** Whether its pooled connection was reset at once: the server had closed it while it was idle. */
+        /** Whether the reused connection was lost right after the write: the server had closed it while it was idle. */
         public boolean isStale() {
             return stale;
         }
 
         /** Whether the complete request was written. */
         public boolean sent() {
-            return written != null && written.isSuccess();
+            return writeFuture != null && writeFuture.isSuccess();
         }
 
-        /** Stops waiting: the connection is closed, so that the server stops too. */
+        /** Cancels the attempt and closes its connection, so that the server can stop working on the request. */
         public void cancel() {
             abandon(Outcome.CANCELED);
         }
 
         private void abandon(Outcome outcome) {
-            boolean completelyWritten = written != null && written.isSuccess();
+            boolean completelyWritten = writeFuture != null && writeFuture.isSuccess();
             finish(outcome == Outcome.TIMED_OUT && !completelyWritten ? Outcome.CONNECT_ERROR : outcome, null);
         }
 
-        /** The connection is lost. Only if the last byte was not written the request was surely not executed. */
+        /** Ends the attempt of a lost connection. The request is certain not to have run only if its last byte was not written. */
         private void onConnectionLost() {
-            stale = idleFor > 0 && System.nanoTime() - writtenAt < STALE_RESET_NANOS;
-            learnIdle();
-            finish(written.isSuccess() ? Outcome.RESET : Outcome.CONNECT_ERROR, null);
+            stale = idleNanos > 0 && System.nanoTime() - writtenAtNanos < STALE_RESET_NANOS;
+            updateIdleTimeout();
+            finish(writeFuture.isSuccess() ? Outcome.RESET : Outcome.CONNECT_ERROR, null);
         }
 
-        /** Learns from a reused connection whether it had been idle for too long. */
-        private void learnIdle() {
+        /** Adjusts the idle timeout by whether the reused connection was stale. */
+        private void updateIdleTimeout() {
             if (stale) {
-                idleLimit.stale(System.nanoTime(), idleFor);
-            } else if (idleFor > 0) {
-                idleLimit.good(System.nanoTime(), idleFor, cautious);
+                idleTimeout.onStale(System.nanoTime(), idleNanos);
+            } else if (idleNanos > 0) {
+                idleTimeout.onUsable(System.nanoTime(), idleNanos, cautious);
             }
         }
 
-        /** Whether the server is there and refused this connection only. */
-        private static boolean resetAtOnce(Throwable cause) {
+        /** Whether the server is reachable and only this connection was reset while it was established. */
+        private static boolean isConnectionReset(Throwable cause) {
             return cause instanceof SocketException
                     && !(cause instanceof ConnectException)
                     && !(cause instanceof NoRouteToHostException);
@@ -470,27 +498,28 @@
                 connection.current = null;
                 connection.close();
                 connection = null;
-                written = null;
-            } else if (connecting != null) {
-                connecting.channel().close();
+                writeFuture = null;
+            } else if (connectFuture != null) {
+                connectFuture.channel().close();
             }
         }
 
-        /** Closes the attempt's connection before the listener is called, which may start another attempt. */
-        private void finish(Outcome outcome, Response answer) {
+        /** Ends the attempt. Closes its connection before calling the listener, which may start another attempt. */
+        private void finish(Outcome outcome, Response response) {
             if (ended) {
                 return;
             }
             ended = true;
             timer.cancel(false);
             release();
-            end.ended(outcome, answer);
+            listener.onComplete(outcome, response);
         }
     }
 
-    /** A socket that can be checked for input: the loop may not have seen it yet. */
-    private static final class HostChannel extends NioSocketChannel {
-        boolean untouched() {
+    /** A channel that can be checked for input or a close that the event loop has not processed yet. */
+    private static final class PeekableChannel extends NioSocketChannel {
+        /** Whether the connection is open without unread input. Input that is found is consumed: the channel must be closed. */
+        boolean hasNoInput() {
             try {
                 return isActive() && javaChannel().read(ByteBuffer.allocate(1)) == 0;
             } catch (IOException e) {
@@ -499,27 +528,27 @@
         }
     }
 
-    /** One connection to an endpoint: in use by one attempt, or idle in the pool, or closed. */
+    /** One connection to an endpoint: in use by one attempt, idle in the pool, or closed. */
     private final class Connection extends SimpleChannelInboundHandler<HttpObject> {
         private final Endpoint endpoint;
-        private final HostChannel channel = new HostChannel();
+        private final PeekableChannel channel = new PeekableChannel();
         private final ByteBuf body = BUFFERS.buffer();
         private Attempt current;
-        private long idleAt;
-        /** How long it may be idle by the server's Keep-Alive header. */
-        private long keepNanos = Long.MAX_VALUE;
+        private long idleSinceNanos;
+        /** Idle timeout derived from the server's Keep-Alive header. */
+        private long keepAliveNanos = Long.MAX_VALUE;
 
         private HttpResponse head;
-        private int interim;
+        private int interimResponses;
         private boolean reusable = true;
         private Outcome outcome;
-        private Response answer;
-        /** Whether the body of the current response goes to its handler in chunks. */
+        private Response fullResponse;
+        /** Whether the body of the current response is passed to the handler in chunks. */
         private boolean streaming;
-        /** Whether the current response belongs to an earlier request. */
+        /** Whether the current response belongs to an earlier request and is discarded. */
         private boolean skippingResponse;
 
-        /** Input while no request is in flight belongs to no request: it closes the connection. */
+        /** Closes the connection on input while no request is in flight. */
         private final HttpFraming.ResponseDecoder decoder = new HttpFraming.ResponseDecoder() {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object in) throws Exception {
@@ -532,8 +561,8 @@
             }
 
             @Override
-            protected boolean isContentAlwaysEmpty(HttpMessage answer) {
-                return current != null && current.forHead() || super.isContentAlwaysEmpty(answer);
+            protected boolean isContentAlwaysEmpty(HttpMessage message) {
+                return current != null && current.forHead() || super.isContentAlwaysEmpty(message);
             }
         };
 
@@ -550,24 +579,24 @@
             };
         }
 
-        void leaveIdle() {
-            if (idle.remove(this)) {
-                endpoint.idle.remove(this);
+        void removeFromIdle() {
+            if (idleConnections.remove(this)) {
+                endpoint.idleConnections.remove(this);
             }
         }
 
         boolean idleTooLong(long now) {
-            return now - idleAt > Math.min(keepNanos, idleLimit.nanos());
+            return now - idleSinceNanos > Math.min(keepAliveNanos, idleTimeout.nanos());
         }
 
         void close() {
-            leaveIdle();
+            removeFromIdle();
             channel.close();
         }
 
         /**
-         * A response is complete only if it states its length; the codec would also accept one that ends with its connection,
-         * or has two lengths. A request whose response can't be read may have been executed all the same.
+         * Accepts a successful response only if it declares its length; the codec would also accept one that ends with the
+         * connection, or that has two lengths. A request whose response is rejected may still have been executed.
          */
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject in) {
@@ -583,7 +612,7 @@
                 return;
             }
             if (in instanceof HttpResponse response) {
-                begin(response);
+                onResponseHead(response);
                 if (outcome != null) {
                     return;
                 }
@@ -613,30 +642,35 @@
             }
         }
 
-        private void begin(HttpResponse response) {
+        private void onResponseHead(HttpResponse response) {
             head = response;
             int status = response.status().code();
-            boolean interimToo = status < 200 && status != 101 && ++interim <= MAX_INTERIM_RESPONSES;
-            boolean stated = current.forHead() || HttpFraming.statesLength(response.headers());
-            boolean good = status >= 200 && status < 300;
-            if (!HttpFraming.sound(response) || status < 200 && !interimToo || good && !stated) {
+            boolean allowedInterim = status < 200 && status != 101 && ++interimResponses <= MAX_INTERIM_RESPONSES;
+            boolean lengthDeclared = current.forHead() || HttpFraming.declaresLength(response.headers());
+            boolean successful = status >= 200 && status < 300;
+            if (!HttpFraming.isUnambiguous(response)
+                    || status < 200 && !allowedInterim
+                    || successful && !lengthDeclared) {
                 rejectResponse();
-            } else if (status >= 200 && !belongsToCurrent(response, stated)) {
+            } else if (status >= 200 && !belongsToCurrent(response, lengthDeclared)) {
                 return;
-            } else if (good && current.responseHandler.streamsBody(response)) {
+            } else if (successful && current.responseHandler.streamsBody(response)) {
                 streaming = true;
-            } else if (HttpFraming.tooLong(response.headers(), HttpFraming.MAX_BODY_BYTES)) {
+            } else if (HttpFraming.exceedsLength(response.headers(), HttpFraming.MAX_BODY_BYTES)) {
                 rejectResponse();
-            } else if (status > 200 && !stated) {
+            } else if (status > 200 && !lengthDeclared) {
                 completeResponse();
                 reusable = false;
             }
         }
 
-        /** Whether the response belongs to the request in flight; an earlier one's can be skipped only if its end is known. */
-        private boolean belongsToCurrent(HttpResponse response, boolean stated) {
+        /**
+         * Whether the response belongs to the request in flight. A response to an earlier request can be skipped only if its
+         * length is declared.
+         */
+        private boolean belongsToCurrent(HttpResponse response, boolean lengthDeclared) {
             ResponseMatch match = current.responseHandler.match(response);
-            if (match == ResponseMatch.EARLIER && stated) {
+            if (match == ResponseMatch.EARLIER && lengthDeclared) {
                 skippingResponse = true;
             } else if (match != ResponseMatch.CURRENT) {
                 rejectResponse();
@@ -649,16 +683,17 @@
             reusable = false;
         }
 
-        /** Keeps the response until the read is complete: unsolicited input that follows it closes the connection. */
+        /** Keeps the response until the read is complete, because unsolicited input after it makes the connection unusable. */
         private void completeResponse() {
             outcome = current.responseHandler.outcome(head);
-            reusable = HttpUtil.isKeepAlive(head) && current.written.isSuccess();
-            long keepS = HttpFraming.keepAliveSeconds(head.headers());
-            keepNanos = keepS < 0 ? Long.MAX_VALUE : (long) (IDLE_TIMEOUT_FRACTION * 1e9 * keepS);
+            reusable = HttpUtil.isKeepAlive(head) && current.writeFuture.isSuccess();
+            long keepAliveSeconds = HttpFraming.keepAliveSeconds(head.headers());
+            keepAliveNanos =
+                    keepAliveSeconds < 0 ? Long.MAX_VALUE : (long) (IDLE_TIMEOUT_FRACTION * 1e9 * keepAliveSeconds);
             if (outcome == Outcome.OK || current.responseHandler.wantsErrorBody()) {
                 byte[] bytes = new byte[body.readableBytes()];
                 body.readBytes(bytes);
-                answer = new Response(
+                fullResponse = new Response(
                         bytes,
                         head.headers().get(HttpHeaderNames.CONTENT_TYPE),
                         current.responseHandler.wantsErrorBody() ? head.headers() : null);
@@ -668,46 +703,46 @@
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
             if (outcome != null) {
-                deliver();
+                deliverResponse();
             }
         }
 
-        private void deliver() {
-            Attempt ended = current;
-            Outcome how = outcome;
-            Response what = answer;
+        private void deliverResponse() {
+            Attempt attempt = current;
+            Outcome attemptOutcome = outcome;
+            Response response = fullResponse;
             current = null;
             outcome = null;
-            answer = null;
-            interim = 0;
+            fullResponse = null;
+            interimResponses = 0;
             streaming = false;
             channel.config().setAutoRead(true);
             body.clear();
-            if (reusable && !decoder.holdsMore() && endpoint.ready && channel.isActive()) {
-                idleAt = System.nanoTime();
-                endpoint.idle.push(this);
-                idle.add(this);
+            if (reusable && !decoder.hasBufferedInput() && endpoint.ready && channel.isActive()) {
+                idleSinceNanos = System.nanoTime();
+                endpoint.idleConnections.push(this);
+                idleConnections.add(this);
             } else {
                 channel.close();
             }
-            if (ended != null) {
-                ended.learnIdle();
-                ended.connection = null;
-                ended.finish(how, what);
+            if (attempt != null) {
+                attempt.updateIdleTimeout();
+                attempt.connection = null;
+                attempt.finish(attemptOutcome, response);
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            leaveIdle();
+            removeFromIdle();
             if (outcome != null) {
-                deliver();
+                deliverResponse();
             } else if (current != null) {
                 current.onConnectionLost();
             }
         }
 
-        /** A reset, for instance: it costs this connection and its attempt only. */
+        /** An exception, such as a reset, ends only this connection and its attempt. */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (current != null && outcome == null) {
--- a/src/main/java/quartzspan/http/HttpFraming.java
+++ b/src/main/java/quartzspan/http/HttpFraming.java
@@ -14,15 +14,15 @@
 import java.util.Map;
 
 /**
- * Where a message begins and ends, strictly by RFC 9112. The codec repairs ambiguous messages and reads on; a proxy must not:
- * what its two sides read differently hides a second request (request smuggling) or a truncated response.
+ * Strict message framing by RFC 9112. Netty's codec repairs ambiguous messages and continues; a proxy must reject them: if its
+ * client and its server parse a message differently, it can hide a second request (request smuggling) or a truncated response.
  */
 public final class HttpFraming {
     public static final int MAX_BODY_BYTES = 64 * 1024;
-    /** The codec's own bound of a head. */
+    /** Largest message head; the same as the codec's default. */
     public static final int MAX_HEADER_BYTES = 8 * 1024;
 
-    private static HttpDecoderConfig strict(int maxHeaderBytes) {
+    private static HttpDecoderConfig strictConfig(int maxHeaderBytes) {
         return new HttpDecoderConfig()
                 .setStrictLineParsing(true)
                 .setAllowDuplicateContentLengths(false)
@@ -32,66 +32,66 @@
 
     private HttpFraming() {}
 
-    /** Decodes requests of clients; an ambiguous message ends the connection. */
+    /** Decodes client requests; an ambiguous message is a decoding error. */
     static class RequestDecoder extends HttpRequestDecoder {
         RequestDecoder(int maxHeaderBytes) {
-            super(strict(maxHeaderBytes));
+            super(strictConfig(maxHeaderBytes));
         }
 
         @Override
         protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-            throw new IllegalArgumentException("two lengths");
+            throw new IllegalArgumentException("message has both Transfer-Encoding and Content-Length");
         }
 
         @Override
         protected AsciiString splitHeaderName(byte[] line, int start, int length) {
-            needColon(line, start + length);
+            requireColon(line, start + length);
             return super.splitHeaderName(line, start, length);
         }
     }
 
-    /** Decodes responses of servers; an ambiguous message ends the connection. */
+    /** Decodes server responses; an ambiguous message is a decoding error. */
     static class ResponseDecoder extends HttpResponseDecoder {
         ResponseDecoder() {
-            super(strict(MAX_HEADER_BYTES));
+            super(strictConfig(MAX_HEADER_BYTES));
         }
 
-        /** Whether it holds the beginning of something that it could not yet make a message of. */
-        boolean holdsMore() {
+        /** Whether undecoded input is buffered, such as the start of another message. */
+        boolean hasBufferedInput() {
             return actualReadableBytes() > 0;
         }
 
         @Override
         protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-            throw new IllegalArgumentException("two lengths");
+            throw new IllegalArgumentException("message has both Transfer-Encoding and Content-Length");
         }
 
         @Override
         protected AsciiString splitHeaderName(byte[] line, int start, int length) {
-            needColon(line, start + length);
+            requireColon(line, start + length);
             return super.splitHeaderName(line, start, length);
         }
     }
 
-    /** The codec takes a line without a colon for the name of an empty header. */
-    private static void needColon(byte[] line, int at) {
+    /** Rejects header lines without a colon, which the codec accepts as a header with an empty value. */
+    private static void requireColon(byte[] line, int at) {
         if (at >= line.length || line[at] != ':') {
-            throw new IllegalArgumentException("a header without a colon");
+            throw new IllegalArgumentException("header line has no colon after the name");
         }
     }
 
-    /** Whether a head can be read in one way only, as HTTP/1; says nothing of a body that is yet to come. */
-    static boolean sound(HttpMessage head) {
+    /** Whether a message head is valid HTTP/1 with unambiguous framing. The body is not checked. */
+    static boolean isUnambiguous(HttpMessage head) {
         HttpVersion version = head.protocolVersion();
         HttpHeaders headers = head.headers();
         if (head.decoderResult().isFailure()
                 || !version.equals(HttpVersion.HTTP_1_1) && !version.equals(HttpVersion.HTTP_1_0)) {
             return false;
         }
-        for (Map.Entry<String, String> h : headers) {
-            if (h.getKey().isEmpty()
-                    || HttpHeaderValidationUtil.validateToken(h.getKey()) >= 0
-                    || HttpHeaderValidationUtil.validateValidHeaderValue(h.getValue()) >= 0) {
+        for (Map.Entry<String, String> header : headers) {
+            if (header.getKey().isEmpty()
+                    || HttpHeaderValidationUtil.validateToken(header.getKey()) >= 0
+                    || HttpHeaderValidationUtil.validateValidHeaderValue(header.getValue()) >= 0) {
                 return false;
             }
         }
@@ -103,32 +103,32 @@
                     && version.equals(HttpVersion.HTTP_1_1)
                     && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(encodings.get(0));
         }
-        return lengths.isEmpty() || lengths.size() == 1 && number(lengths.get(0)) >= 0;
+        return lengths.isEmpty() || lengths.size() == 1 && parseNumber(lengths.get(0)) >= 0;
     }
 
-    /** Whether a sound head says how long its body is. */
-    static boolean statesLength(HttpHeaders headers) {
+    /** Whether an unambiguous head declares the length of its body, by Content-Length or Transfer-Encoding. */
+    static boolean declaresLength(HttpHeaders headers) {
         return headers.contains(HttpHeaderNames.CONTENT_LENGTH) || headers.contains(HttpHeaderNames.TRANSFER_ENCODING);
     }
 
-    /** Whether a sound head states a body larger than any may be. */
-    static boolean tooLong(HttpHeaders headers, int most) {
-        return number(headers.get(HttpHeaderNames.CONTENT_LENGTH)) > most;
+    /** Whether an unambiguous head declares a body of more than {@code maxBytes}. */
+    static boolean exceedsLength(HttpHeaders headers, int maxBytes) {
+        return parseNumber(headers.get(HttpHeaderNames.CONTENT_LENGTH)) > maxBytes;
     }
 
-    /** The idle time that a Keep-Alive header grants, in whole seconds; -1 if there is none. */
+    /** The idle timeout of a Keep-Alive header, in seconds; -1 if there is none. */
     static long keepAliveSeconds(HttpHeaders headers) {
         for (String parameter : headers.get("Keep-Alive", "").split(",")) {
             String[] parts = parameter.trim().split("=", 2);
             if (parts.length == 2 && parts[0].trim().equalsIgnoreCase("timeout")) {
-                return number(parts[1].trim());
+                return parseNumber(parts[1].trim());
             }
         }
         return -1;
     }
 
-    /** A number of digits alone; -1 if it is none: no sign, no fraction, no list, nothing that overflows. */
-    public static long number(String text) {
+    /** Parses a number of 1 to 18 decimal digits; -1 for anything else, such as a sign, a fraction, a list or an overflow. */
+    public static long parseNumber(String text) {
         if (text == null
                 || text.isEmpty()
                 || text.length() > 18
--- a/src/main/java/quartzspan/http/OutgoingRequest.java
+++ b/src/main/java/quartzspan/http/OutgoingRequest.java
@@ -12,12 +12,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** A request as it is forwarded to a server: without the headers that concern the client's own connection. */
+/** A request to an upstream server, without the hop-by-hop headers of the client's connection. */
 public record OutgoingRequest(String method, String uri, HttpHeaders headers, byte[] body) {
-    public static final AsciiString DEADLINE = AsciiString.cached("x-deadline-ms");
+    public static final AsciiString DEADLINE_HEADER = AsciiString.cached("x-deadline-ms");
 
-    /** Hop-by-hop headers (RFC 9110, 7.6.1), and those that are written anew for each attempt. */
-    private static final List<AsciiString> DEFAULT_HANDLER = List.of(
+    /** Hop-by-hop headers (RFC 9110, section 7.6.1), and headers that are set for each attempt. */
+    private static final List<AsciiString> NOT_FORWARDED_HEADERS = List.of(
             HttpHeaderNames.CONNECTION,
             AsciiString.cached("keep-alive"),
             AsciiString.cached("proxy-connection"),
@@ -27,32 +27,32 @@
             HttpHeaderNames.UPGRADE,
             HttpHeaderNames.EXPECT,
             HttpHeaderNames.CONTENT_LENGTH,
-            DEADLINE);
+            DEADLINE_HEADER);
 
-    /** A client's request without the headers that concern the client's own connection. */
-    public static OutgoingRequest of(HttpRequest in, byte[] body) {
-        HttpHeaders headers = new DefaultHttpHeaders().set(in.headers());
-        in.headers().getAll(HttpHeaderNames.CONNECTION).forEach(names -> List.of(names.split(","))
+    /** Copies a client's request without its hop-by-hop headers, including those listed in its Connection header. */
+    public static OutgoingRequest of(HttpRequest clientRequest, byte[] body) {
+        HttpHeaders headers = new DefaultHttpHeaders().set(clientRequest.headers());
+        clientRequest.headers().getAll(HttpHeaderNames.CONNECTION).forEach(names -> List.of(names.split(","))
                 .forEach(name -> headers.remove(name.trim())));
-        DEFAULT_HANDLER.forEach(headers::remove);
-        return new OutgoingRequest(in.method().name(), in.uri(), headers, body);
+        NOT_FORWARDED_HEADERS.forEach(headers::remove);
+        return new OutgoingRequest(clientRequest.method().name(), clientRequest.uri(), headers, body);
     }
 
-    /** A health check. */
-    public static OutgoingRequest health() {
+    /** A health check request. */
+    public static OutgoingRequest healthCheck() {
         return new OutgoingRequest(
                 "GET", "/-/healthy", new DefaultHttpHeaders().set(HttpHeaderNames.HOST, "origin.svc"), new byte[0]);
     }
 
     /**
-     * The complete request in one buffer, so that its write either reaches the last byte or surely did not: an
-     * encoder's head and body apart could end between the two.
+     * Encodes the complete request into one buffer, so that a successful write means that the last byte was written, and a
+     * failed one that it was not. A codec writes head and body separately, and could fail between the two.
      */
     ByteBuf encode(long deadlineMs) {
         StringBuilder head = new StringBuilder(256);
         head.append(method).append(' ').append(uri).append(" HTTP/1.1\r\n");
-        for (Map.Entry<String, String> h : headers) {
-            head.append(h.getKey()).append(": ").append(h.getValue()).append("\r\n");
+        for (Map.Entry<String, String> header : headers) {
+            head.append(header.getKey()).append(": ").append(header.getValue()).append("\r\n");
         }
         head.append("X-Deadline-Ms: ").append(deadlineMs).append("\r\n");
         if (body.length > 0 || !method.equals("GET")) {
@@ -62,9 +62,9 @@
         return Unpooled.wrappedBuffer(concat(head.toString().getBytes(StandardCharsets.ISO_8859_1), body));
     }
 
-    private static byte[] concat(byte[] a, byte[] b) {
-        byte[] all = Arrays.copyOf(a, a.length + b.length);
-        System.arraycopy(b, 0, all, a.length, b.length);
+    private static byte[] concat(byte[] head, byte[] body) {
+        byte[] all = Arrays.copyOf(head, head.length + body.length);
+        System.arraycopy(body, 0, all, head.length, body.length);
         return all;
     }
 }
--- a/src/test/java/quartzspan/clientproxy/ClientDisconnectTest.java
+++ b/src/test/java/quartzspan/clientproxy/ClientDisconnectTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.api.Test;
 import quartzspan.http.LoopbackPeers;
 import quartzspan.http.LoopbackPeers.Client;
-import quartzspan.http.LoopbackPeers.Deaf;
 import quartzspan.http.LoopbackPeers.Discovery;
-import quartzspan.http.LoopbackPeers.Seen;
+import quartzspan.http.LoopbackPeers.FullBacklogServer;
+import quartzspan.http.LoopbackPeers.ReceivedRequest;
 import quartzspan.http.LoopbackPeers.Server;
 import quartzspan.loadbalancing.LoadBalancer.AttemptEnd;
 import quartzspan.loadbalancing.LoadBalancer.Outcome;
@@ -40,8 +40,8 @@
         assertEquals(200, connectClient().unsafe("last", 20_000).read().status());
         assertEquals(
                 "last",
-                LoopbackPeers.next(host.seen, "the last request").message().header("x-request-id"));
-        assertTrue(host.seen.isEmpty());
+                LoopbackPeers.next(host.received, "the last request").message().header("x-request-id"));
+        assertTrue(host.received.isEmpty());
     }
 
     @Test
@@ -52,7 +52,7 @@
         Client reset = connectClient();
         assertEquals(200, reused.unsafe("first", 20_000).read().status());
         assertEquals(200, reset.unsafe("second", 20_000).read().status());
-        host.seen.clear();
+        host.received.clear();
         Client blocking = connectClient();
         CountDownLatch release =
                 blockEventLoop(blocking, () -> balancer.onRequest = next -> balancer.actions.send(next.id(), "s", 0));
@@ -95,7 +95,7 @@
     void whileTheServerConnectionIsBeingEstablished() throws Exception {
         // Also with settings that forbid the cancellation of attempts.
         for (boolean cancelOnDisconnect : new boolean[] {true, false}) {
-            try (Deaf deaf = new Deaf()) {
+            try (FullBacklogServer deaf = new FullBacklogServer()) {
                 balancer.cancelOnDisconnect = cancelOnDisconnect;
                 start("", LoopbackPeers.host("s", deaf.address(), "in_service"));
                 CountDownLatch sent = new CountDownLatch(1);
@@ -104,7 +104,7 @@
                     sent.countDown();
                 };
                 Client client = connectClient().unsafe("late", 20_000);
-                assertTrue(sent.await(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
+                assertTrue(sent.await(LoopbackPeers.TIMEOUT_S, TimeUnit.SECONDS));
                 client.close();
                 assertEquals("late", LoopbackPeers.next(balancer.disconnects, "the disconnect"));
                 if (cancelOnDisconnect) {
@@ -113,8 +113,8 @@
                             LoopbackPeers.next(balancer.attemptEnds, "the end of the attempt")
                                     .outcome());
                 } else {
-                    deaf.hear();
-                    assertTrue(deaf.silent(), "nothing must be sent");
+                    deaf.acceptAll();
+                    assertTrue(deaf.closedWithoutInput(), "nothing must be sent");
                     assertEquals(
                             Outcome.IGNORED,
                             LoopbackPeers.next(balancer.attemptEnds, "the end of the attempt")
@@ -128,9 +128,9 @@
     @Test
     void betweenTwoAttempts() throws Exception {
         Server host = startWithServer();
-        BlockingQueue<Seen> attempts = new LinkedBlockingQueue<>();
+        BlockingQueue<ReceivedRequest> attempts = new LinkedBlockingQueue<>();
         Server rejecting = startServer(attempts::add);
-        Seen watch = discovery.asked();
+        ReceivedRequest watch = discovery.awaitWatch();
         Discovery.push(
                 watch,
                 LoopbackPeers.list(
--- a/src/test/java/quartzspan/clientproxy/ClientProxyFixture.java
+++ b/src/test/java/quartzspan/clientproxy/ClientProxyFixture.java
@@ -15,7 +15,7 @@
 import quartzspan.http.LoopbackPeers;
 import quartzspan.http.LoopbackPeers.Client;
 import quartzspan.http.LoopbackPeers.Discovery;
-import quartzspan.http.LoopbackPeers.Seen;
+import quartzspan.http.LoopbackPeers.ReceivedRequest;
 import quartzspan.http.LoopbackPeers.Server;
 import quartzspan.loadbalancing.LoadBalancer;
 import quartzspan.loadbalancing.LoadBalancer.Actions;
@@ -109,7 +109,7 @@
                 LoopbackPeers.next(balancer.discoveryEvents, "the cached list").startsWith("CACHED"));
     }
 
-    Server startServer(Consumer<Seen> script) throws Exception {
+    Server startServer(Consumer<ReceivedRequest> script) throws Exception {
         return closeAfterTest(new Server(script));
     }
 
@@ -139,7 +139,7 @@
         balancer.onRequest = r -> {
             blocked.countDown();
             try {
-                assertTrue(release.await(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
+                assertTrue(release.await(LoopbackPeers.TIMEOUT_S, TimeUnit.SECONDS));
             } catch (InterruptedException e) {
                 throw new AssertionError(e);
             }
@@ -147,12 +147,12 @@
             balancer.actions.refuse(r.id(), 0);
         };
         client.unsafe("blocking", 20_000);
-        assertTrue(blocked.await(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(blocked.await(LoopbackPeers.TIMEOUT_S, TimeUnit.SECONDS));
         return release;
     }
 
     /** Sends one request to a server with this script, in one attempt; returns the end of the attempt. */
-    AttemptEnd attemptOnce(Consumer<Seen> script, long timeoutUs) throws Exception {
+    AttemptEnd attemptOnce(Consumer<ReceivedRequest> script, long timeoutUs) throws Exception {
         Server host = startServer(script);
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", timeoutUs);
@@ -162,7 +162,7 @@
         int status = client.read().status();
         assertEquals(end.outcome() == Outcome.OK ? 200 : 502, status);
         assertEquals(end.outcome() == Outcome.OK, end.requestDone());
-        assertEquals(1, host.seen.size(), "the request must be sent exactly once");
+        assertEquals(1, host.received.size(), "the request must be sent exactly once");
         return end;
     }
 }
--- a/src/test/java/quartzspan/clientproxy/ClientProxyProcessTest.java
+++ b/src/test/java/quartzspan/clientproxy/ClientProxyProcessTest.java
@@ -25,7 +25,7 @@
 import quartzspan.http.LoopbackPeers.Client;
 import quartzspan.http.LoopbackPeers.Discovery;
 import quartzspan.http.LoopbackPeers.Message;
-import quartzspan.http.LoopbackPeers.Seen;
+import quartzspan.http.LoopbackPeers.ReceivedRequest;
 import quartzspan.http.LoopbackPeers.Server;
 
 /** Runs the complete program in its own process, started as in a deployment, with the real load balancer. */
@@ -51,8 +51,8 @@
                         "",
                         LoopbackPeers.list(1, true, known.toArray(String[]::new))),
                 ProcessBuilder.Redirect.INHERIT);
-        Discovery.push(discovery.asked(), LoopbackPeers.list(2, true, known.toArray(String[]::new)));
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackPeers.PATIENCE_S);
+        Discovery.push(discovery.awaitWatch(), LoopbackPeers.list(2, true, known.toArray(String[]::new)));
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackPeers.TIMEOUT_S);
         while (System.nanoTime() < end) {
             try (Client client = new Client(port)) {
                 if (client.write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -96,7 +96,7 @@
         process = builder.start();
     }
 
-    private Server startServer(Consumer<Seen> script) throws Exception {
+    private Server startServer(Consumer<ReceivedRequest> script) throws Exception {
         return closeAfterTest(new Server(script));
     }
 
@@ -118,7 +118,7 @@
     @Test
     void unsafeRequestIsRetriedOnlyWhenItIsKnownNotToHaveRun() throws Exception {
         AtomicInteger attempts = new AtomicInteger();
-        Consumer<Seen> script = s -> {
+        Consumer<ReceivedRequest> script = s -> {
             boolean first = attempts.getAndIncrement() == 0;
             switch (s.message().header("x-request-id")) {
                 case "not-run" -> {
@@ -161,10 +161,10 @@
             // Enough requests for the load balancer to measure that a response takes less than the time until SIGKILL.
             for (int i = 0; i < 200; i++) {
                 assertEquals(200, reused.unsafe("before" + i, 20_000).read().status());
-                LoopbackPeers.next(host.seen, "a request before the signal");
+                LoopbackPeers.next(host.received, "a request before the signal");
             }
             pending.unsafe("pending", 20_000);
-            Seen waiting = LoopbackPeers.next(host.seen, "the pending request");
+            ReceivedRequest waiting = LoopbackPeers.next(host.received, "the pending request");
             long signalledNs = System.nanoTime();
             process.destroy();
             try {
@@ -192,7 +192,7 @@
             assertTrue(process.isAlive(), "the process must run while a request is pending");
             waiting.served("late");
             assertEquals("late", pending.read().text());
-            assertTrue(process.waitFor(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
+            assertTrue(process.waitFor(LoopbackPeers.TIMEOUT_S, TimeUnit.SECONDS));
         }
     }
 
@@ -209,11 +209,12 @@
         sendSighup();
         sendSighup();
         Discovery.push(
-                other.asked(), LoopbackPeers.list(1, true, LoopbackPeers.host("s0", host.address(), "in_service")));
+                other.awaitWatch(),
+                LoopbackPeers.list(1, true, LoopbackPeers.host("s0", host.address(), "in_service")));
         try (Client client = new Client(port)) {
             assertEquals(200, client.unsafe("after", 20_000).read().status());
         }
-        assertEquals(0, other.server.seen.size(), "two signals with the same file must open one watch");
+        assertEquals(0, other.server.received.size(), "two signals with the same file must open one watch");
     }
 
     private void sendSighup() throws Exception {
@@ -242,7 +243,7 @@
         File errors = folder.resolve("errors").toFile();
         startProcess(
                 good.replace("\"effect\":\"retryable\"", "\"effect\":\"odd\""), ProcessBuilder.Redirect.to(errors));
-        assertTrue(process.waitFor(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(process.waitFor(LoopbackPeers.TIMEOUT_S, TimeUnit.SECONDS));
         assertEquals(1, process.exitValue());
         assertEquals("quartzspan: settings: safe: unknown effect odd\n", Files.readString(errors.toPath()));
     }
@@ -254,7 +255,7 @@
             startProcess(
                     LoopbackPeers.config(occupied.getLocalPort(), "127.0.0.1:1", "", "null"),
                     ProcessBuilder.Redirect.to(errors));
-            assertTrue(process.waitFor(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
+            assertTrue(process.waitFor(LoopbackPeers.TIMEOUT_S, TimeUnit.SECONDS));
             assertFalse(process.exitValue() == 0);
             List<String> lines = Files.readAllLines(errors.toPath());
             assertEquals(1, lines.size(), lines.toString());
--- a/src/test/java/quartzspan/clientproxy/DiscoveryTest.java
+++ b/src/test/java/quartzspan/clientproxy/DiscoveryTest.java
@@ -18,7 +18,7 @@
 import quartzspan.http.LoopbackPeers;
 import quartzspan.http.LoopbackPeers.Client;
 import quartzspan.http.LoopbackPeers.Discovery;
-import quartzspan.http.LoopbackPeers.Seen;
+import quartzspan.http.LoopbackPeers.ReceivedRequest;
 import quartzspan.http.LoopbackPeers.Server;
 import quartzspan.loadbalancing.LoadBalancer.Endpoint;
 import quartzspan.loadbalancing.LoadBalancer.Source;
@@ -34,7 +34,7 @@
                         .write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
                         .read()
                         .status());
-        Seen watch = discovery.asked();
+        ReceivedRequest watch = discovery.awaitWatch();
         String requestLine = watch.message().first();
         assertTrue(requestLine.startsWith("GET /api/targets?watch=1&after=1 "), requestLine);
         Discovery.push(watch, LoopbackPeers.list(2, true, LoopbackPeers.host("t", "127.0.0.1:2", "in_service")));
@@ -52,13 +52,13 @@
         assertEquals("failed", LoopbackPeers.next(balancer.discoveryEvents, "the failure after the invalid list"));
         watch.awaitEnd();
         assertEquals(
-                0, discovery.server.seen.size(), "a new watch must be opened only on request of the load balancer");
+                0, discovery.server.received.size(), "a new watch must be opened only on request of the load balancer");
         balancer.onRequest = r -> {
             balancer.actions.subscribe();
             balancer.actions.fail(r.id());
         };
         connectClient().unsafe("id1", 20_000).read();
-        Seen secondWatch = discovery.asked();
+        ReceivedRequest secondWatch = discovery.awaitWatch();
         assertTrue(
                 secondWatch.message().first().contains("after=3 "),
                 secondWatch.message().first());
@@ -77,12 +77,12 @@
                 ClientProxyConfig.parse(config.getBytes(StandardCharsets.UTF_8)),
                 (settings, seed, now, actions) -> balancer,
                 starting -> {});
-        Seen watch = discovery.asked();
+        ReceivedRequest watch = discovery.awaitWatch();
         assertTrue(
                 watch.message().first().startsWith("GET /api/targets?watch=1 "),
                 watch.message().first());
         watch.reset();
-        Discovery.push(discovery.asked(), LoopbackPeers.list(1, true));
+        Discovery.push(discovery.awaitWatch(), LoopbackPeers.list(1, true));
         assertEquals("FULL []", LoopbackPeers.next(balancer.discoveryEvents, "the list"));
     }
 
@@ -119,20 +119,20 @@
         Server after = startServer(s -> s.served("x"));
         start("", LoopbackPeers.host("s", before.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
-        Seen watch = discovery.asked();
+        ReceivedRequest watch = discovery.awaitWatch();
         Client client = connectClient();
         assertEquals(200, client.unsafe("id1", 20_000).read().status());
         Discovery.push(watch, LoopbackPeers.list(2, false, LoopbackPeers.host("s", after.address(), "in_service")));
-        LoopbackPeers.next(before.seen, "the first request").awaitEnd();
+        LoopbackPeers.next(before.received, "the first request").awaitEnd();
         assertEquals(200, client.unsafe("id2", 20_000).read().status());
         Discovery.push(watch, LoopbackPeers.list(3, false, LoopbackPeers.host("s", after.address(), "terminating")));
-        LoopbackPeers.next(after.seen, "the second request").awaitEnd();
+        LoopbackPeers.next(after.received, "the second request").awaitEnd();
     }
 
     @Test
     void watchWithoutDataFailsAfterTheReadTimeout() throws Exception {
         start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
-        Seen watch = discovery.asked();
+        ReceivedRequest watch = discovery.awaitWatch();
         assertEquals("failed", LoopbackPeers.next(balancer.discoveryEvents, "the failure after the read timeout"));
         watch.awaitEnd();
     }
@@ -147,12 +147,12 @@
         // Another discovery service has its own version numbers, so a delta since the old version would be wrong.
         Discovery other = closeAfterTest(new Discovery());
         start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
-        Seen watch = discovery.asked();
+        ReceivedRequest watch = discovery.awaitWatch();
         Discovery.push(watch, LoopbackPeers.list(7, true, LoopbackPeers.host("s", "127.0.0.1:1", "in_service")));
         assertEquals("FULL [s 1 READY]", LoopbackPeers.next(balancer.discoveryEvents, "the first list"));
         changeDiscovery(other.server.address());
         watch.awaitEnd();
-        Seen newWatch = other.asked();
+        ReceivedRequest newWatch = other.awaitWatch();
         assertTrue(
                 newWatch.message().first().startsWith("GET /api/targets?watch=1 "),
                 newWatch.message().first());
@@ -169,19 +169,19 @@
                 "FULL [t 1 READY]",
                 LoopbackPeers.next(
                         balancer.discoveryEvents, "the list of the new discovery service, with no failure before it"));
-        assertEquals(0, other.server.seen.size(), "setting the same address must not open a new watch");
+        assertEquals(0, other.server.received.size(), "setting the same address must not open a new watch");
     }
 
     @Test
     void unresponsiveNewDiscoveryAddressFailsTheWatch() throws Exception {
         Discovery unresponsive = closeAfterTest(new Discovery());
         start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
-        discovery.asked();
+        discovery.awaitWatch();
         changeDiscovery(unresponsive.server.address());
-        LoopbackPeers.next(unresponsive.server.seen, "the unanswered watch").awaitEnd();
+        LoopbackPeers.next(unresponsive.server.received, "the unanswered watch").awaitEnd();
         assertEquals("failed", LoopbackPeers.next(balancer.discoveryEvents, "the failure"));
         changeDiscovery(discovery.server.address());
-        Discovery.push(discovery.asked(), LoopbackPeers.list(9, true));
+        Discovery.push(discovery.awaitWatch(), LoopbackPeers.list(9, true));
         assertEquals("FULL []", LoopbackPeers.next(balancer.discoveryEvents, "the list after the change back"));
     }
 
@@ -204,14 +204,14 @@
             LoopbackPeers.list(9, true, host, "7"),
             LoopbackPeers.list(9, true, host).substring(0, 60)
         }) {
-            Seen watch = discovery.asked();
+            ReceivedRequest watch = discovery.awaitWatch();
             Discovery.push(watch, invalid);
             assertEquals("failed", LoopbackPeers.next(balancer.discoveryEvents, invalid));
             watch.awaitEnd();
             assertEquals(
                     200, connectClient().unsafe("id" + ids++, 20_000).read().status(), invalid);
         }
-        Discovery.push(discovery.asked(), LoopbackPeers.list(9, true, host, host));
+        Discovery.push(discovery.awaitWatch(), LoopbackPeers.list(9, true, host, host));
         assertEquals(
                 "FULL [s 1 READY, s 1 READY]",
                 LoopbackPeers.next(balancer.discoveryEvents, "the list with a duplicate server"));
@@ -228,7 +228,7 @@
     @Test
     void listsAreDecodedWhenIndentedConcatenatedOrSplitAtAnyByte() throws Exception {
         start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
-        Seen watch = discovery.asked();
+        ReceivedRequest watch = discovery.awaitWatch();
         String idWithBraces = LoopbackPeers.host("t}{\\\"]", "127.0.0.1:2", "in_service");
         Discovery.push(
                 watch, indented(LoopbackPeers.list(2, true, LoopbackPeers.host("s", "127.0.0.1:1", "in_service"))));
@@ -258,7 +258,7 @@
     @Test
     void watchFailsWhenAListIsSentByteByByteAndNeverCompleted() throws Exception {
         start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
-        Seen watch = discovery.asked();
+        ReceivedRequest watch = discovery.awaitWatch();
         watch.write("1\r\n{\r\n");
         Thread slowSender = new Thread(() -> {
             while (!watch.ended().isDone()) {
@@ -283,7 +283,7 @@
     void emptyLinesKeepAnIdleWatchOpen() throws Exception {
         // The empty lines continue for longer than the read timeout; the list arrives on the same watch.
         start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
-        Seen watch = discovery.asked();
+        ReceivedRequest watch = discovery.awaitWatch();
         for (int i = 0; i < 12; i++) {
             assertNull(balancer.discoveryEvents.poll(500, TimeUnit.MILLISECONDS));
             Discovery.push(watch, "");
@@ -328,7 +328,7 @@
             closeAfterTest(new Client(each.server.socket.getLocalPort())).write("GET /last HTTP/1.1\r\n\r\n");
             assertEquals(
                     "GET /last HTTP/1.1",
-                    LoopbackPeers.next(each.server.seen, "the connection of the test")
+                    LoopbackPeers.next(each.server.received, "the connection of the test")
                             .message()
                             .first());
             assertEquals(1, each.server.connections.size());
--- a/src/test/java/quartzspan/clientproxy/EventOrderingTest.java
+++ b/src/test/java/quartzspan/clientproxy/EventOrderingTest.java
@@ -11,7 +11,7 @@
 import quartzspan.http.LoopbackPeers;
 import quartzspan.http.LoopbackPeers.Client;
 import quartzspan.http.LoopbackPeers.Discovery;
-import quartzspan.http.LoopbackPeers.Seen;
+import quartzspan.http.LoopbackPeers.ReceivedRequest;
 import quartzspan.http.LoopbackPeers.Server;
 import quartzspan.loadbalancing.LoadBalancer.AttemptEnd;
 import quartzspan.loadbalancing.LoadBalancer.Outcome;
@@ -24,12 +24,12 @@
     @Test
     void responseConcurrentWithACancellationEndsTheAttemptOnce() throws Exception {
         // The response has arrived when the event loop, which was blocked, carries out the cancellation.
-        BlockingQueue<Seen> received = new LinkedBlockingQueue<>();
+        BlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
         Server host = startServer(received::add);
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         Client client = connectClient().unsafe("racing", 20_000);
-        Seen attempt = LoopbackPeers.next(received, "the attempt");
+        ReceivedRequest attempt = LoopbackPeers.next(received, "the attempt");
         Client other = connectClient();
         balancer.onAttemptEnd = e -> balancer.actions.fail(e.requestId());
         CountDownLatch release = blockEventLoop(other, () -> balancer.actions.cancel("racing", 0));
@@ -41,12 +41,12 @@
         assertEquals(Outcome.CANCELED, end.outcome());
         attempt.awaitEnd();
         assertTrue(balancer.attemptEnds.isEmpty(), "the attempt must end once");
-        assertEquals(1, host.seen.size(), "the request must be sent once");
+        assertEquals(1, host.received.size(), "the request must be sent once");
     }
 
     @Test
     void responseConcurrentWithATimeoutEndsTheAttemptOnce() throws Exception {
-        BlockingQueue<Seen> received = new LinkedBlockingQueue<>();
+        BlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
         Server host = startServer(received::add);
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 300_000);
@@ -56,7 +56,7 @@
             }
         };
         Client client = connectClient().unsafe("racing", 20_000);
-        Seen attempt = LoopbackPeers.next(received, "the attempt");
+        ReceivedRequest attempt = LoopbackPeers.next(received, "the attempt");
         Client other = connectClient();
         CountDownLatch release = blockEventLoop(other, () -> {});
         Thread.sleep(400); // the attempt times out while the event loop is blocked
@@ -68,7 +68,7 @@
         assertTrue(end.outcome() == Outcome.OK || end.outcome() == Outcome.TIMED_OUT, end.toString());
         assertEquals(503, other.read().status());
         assertTrue(balancer.attemptEnds.isEmpty(), "the attempt must end once");
-        assertEquals(1, host.seen.size());
+        assertEquals(1, host.received.size());
     }
 
     @Test
@@ -76,7 +76,7 @@
         // The load balancer selects the endpoint before the drain is listed; the request is sent afterwards.
         Server host = startServer(s -> s.served("x"));
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
-        Seen watch = discovery.asked();
+        ReceivedRequest watch = discovery.awaitWatch();
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         Client client = connectClient();
         assertEquals(200, client.unsafe("first", 20_000).read().status());
@@ -87,7 +87,7 @@
         };
         client.unsafe("second", 20_000);
         assertEquals("DELTA [s 1 DRAINING]", LoopbackPeers.next(balancer.discoveryEvents, "the draining endpoint"));
-        LoopbackPeers.next(host.seen, "the first request").awaitEnd();
+        LoopbackPeers.next(host.received, "the first request").awaitEnd();
         balancer.onRequest = r -> {
             balancer.actions.send(chosenRequestId, "s", 0);
             balancer.actions.refuse(r.id(), 0);
@@ -100,7 +100,7 @@
         assertEquals(
                 Outcome.IGNORED,
                 LoopbackPeers.next(balancer.attemptEnds, "the second").outcome());
-        assertTrue(host.seen.isEmpty(), "no further request must arrive");
+        assertTrue(host.received.isEmpty(), "no further request must arrive");
     }
 
     @Test
@@ -115,18 +115,18 @@
         assertEquals(408, incomplete.read().status());
         assertTrue(incomplete.closed());
         assertEquals(200, connectClient().unsafe("same", 20_000).read().status());
-        assertEquals(1, host.seen.size());
+        assertEquals(1, host.received.size());
     }
 
     @Test
     void requestResentAfterADisconnectIsSentOnlyAfterTheFirstAttemptIsClosed() throws Exception {
         // The client disconnects during the first attempt; the second copy is sent on another connection, afterwards.
-        BlockingQueue<Seen> received = new LinkedBlockingQueue<>();
+        BlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
         Server host = startServer(received::add);
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         Client first = connectClient().safe("same", 20_000);
-        Seen firstAttempt = LoopbackPeers.next(received, "the first copy");
+        ReceivedRequest firstAttempt = LoopbackPeers.next(received, "the first copy");
         first.close();
         assertEquals("same", LoopbackPeers.next(balancer.disconnects, "the disconnect"));
         firstAttempt.awaitEnd();
@@ -143,12 +143,12 @@
 
     @Test
     void pipelinedRequestsAreAnsweredInADrain() throws Exception {
-        BlockingQueue<Seen> received = new LinkedBlockingQueue<>();
+        BlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
         Server host = startServer(received::add);
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         Client client = connectClient().unsafe("a", 20_000).unsafe("b", 20_000);
-        Seen first = LoopbackPeers.next(received, "the first");
+        ReceivedRequest first = LoopbackPeers.next(received, "the first");
         proxy.drain();
         assertEquals(
                 503, connectClient().write(READY).read().status(), "readiness must be off once the drain has begun");
@@ -161,12 +161,12 @@
     @Test
     void changingTheAddressTwiceWhileConnectingClosesThePreviousWatches() throws Exception {
         start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
-        Seen watch = discovery.asked();
-        try (LoopbackPeers.Deaf deaf = new LoopbackPeers.Deaf()) {
+        ReceivedRequest watch = discovery.awaitWatch();
+        try (LoopbackPeers.FullBacklogServer deaf = new LoopbackPeers.FullBacklogServer()) {
             changeDiscovery(deaf.address());
             watch.awaitEnd();
             changeDiscovery(discovery.server.address());
-            Seen newWatch = discovery.asked();
+            ReceivedRequest newWatch = discovery.awaitWatch();
             Discovery.push(newWatch, LoopbackPeers.list(7, true, LoopbackPeers.host("t", "127.0.0.1:1", "in_service")));
             assertEquals(
                     "FULL [t 1 READY]",
@@ -178,13 +178,13 @@
     void addressChangeInADrainTakesEffect() throws Exception {
         Discovery other = closeAfterTest(new Discovery());
         start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
-        discovery.asked();
+        discovery.awaitWatch();
         balancer.onRequest = r -> {};
         connectClient().unsafe("open", 20_000);
         proxy.drain();
         changeDiscovery(other.server.address());
         Discovery.push(
-                other.asked(), LoopbackPeers.list(2, true, LoopbackPeers.host("t", "127.0.0.1:1", "in_service")));
+                other.awaitWatch(), LoopbackPeers.list(2, true, LoopbackPeers.host("t", "127.0.0.1:1", "in_service")));
         assertEquals(
                 "FULL [t 1 READY]",
                 LoopbackPeers.next(balancer.discoveryEvents, "the list of the new discovery service"));
@@ -194,7 +194,7 @@
     void watchResetWithinAListFailsAndTheListIsDiscarded() throws Exception {
         Server server = startServer(s -> s.served("x"));
         start("", LoopbackPeers.host("s", server.address(), "in_service"));
-        Seen watch = discovery.asked();
+        ReceivedRequest watch = discovery.awaitWatch();
         String list = LoopbackPeers.list(9, true, LoopbackPeers.host("t", "127.0.0.1:1", "in_service"));
         watch.write("f00\r\n" + list.substring(0, list.length() - 1));
         watch.reset();
@@ -204,7 +204,7 @@
             balancer.actions.send(r.id(), "s", 0);
         };
         assertEquals(200, connectClient().unsafe("id1", 20_000).read().status(), "the current list must stay in use");
-        String requestLine = discovery.asked().message().first();
+        String requestLine = discovery.awaitWatch().message().first();
         assertTrue(requestLine.contains("after=1 "), requestLine);
     }
 
@@ -212,7 +212,7 @@
     void repeatedListKeepsConnectionsOpen() throws Exception {
         Server server = startServer(s -> s.served("x"));
         start("", LoopbackPeers.host("s", server.address(), "in_service"));
-        Seen watch = discovery.asked();
+        ReceivedRequest watch = discovery.awaitWatch();
         String same = LoopbackPeers.list(2, true, LoopbackPeers.host("s", server.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         Client client = connectClient();
@@ -229,7 +229,7 @@
     @Test
     void requestIsNotSentAfterItsTimeoutExpiredInAPause() throws Exception {
         // As after a pause of the process: the connection is established before the expired timeout is processed.
-        try (LoopbackPeers.Deaf deaf = new LoopbackPeers.Deaf()) {
+        try (LoopbackPeers.FullBacklogServer deaf = new LoopbackPeers.FullBacklogServer()) {
             start("", LoopbackPeers.host("s", deaf.address(), "in_service"));
             balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 700_000);
             balancer.onAttemptEnd = e -> balancer.actions.refuse(e.requestId(), 0);
@@ -238,13 +238,13 @@
             connectClient().write(READY).read();
             CountDownLatch release = blockEventLoop(connectClient(), () -> {});
             // The connection is established when the SYN is retransmitted, after 1 s.
-            deaf.hear();
+            deaf.acceptAll();
             release.countDown();
             assertTrue(LoopbackPeers.next(balancer.attemptEnds, "the attempt's end")
                     .outcome()
                     .neverRan());
             assertEquals(503, client.read().status());
-            assertTrue(deaf.silent(), "nothing must be sent");
+            assertTrue(deaf.closedWithoutInput(), "nothing must be sent");
         }
     }
 
--- a/src/test/java/quartzspan/clientproxy/FaultyClientsTest.java
+++ b/src/test/java/quartzspan/clientproxy/FaultyClientsTest.java
@@ -15,7 +15,7 @@
 import quartzspan.http.LoopbackPeers;
 import quartzspan.http.LoopbackPeers.Client;
 import quartzspan.http.LoopbackPeers.Message;
-import quartzspan.http.LoopbackPeers.Seen;
+import quartzspan.http.LoopbackPeers.ReceivedRequest;
 import quartzspan.http.LoopbackPeers.Server;
 import quartzspan.loadbalancing.LoadBalancer.AttemptEnd;
 import quartzspan.loadbalancing.LoadBalancer.Outcome;
@@ -126,7 +126,7 @@
         CountDownLatch requestReceived = new CountDownLatch(1);
         balancer.onRequest = r -> requestReceived.countDown();
         Client first = connectClient().unsafe("same", 20_000);
-        assertTrue(requestReceived.await(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(requestReceived.await(LoopbackPeers.TIMEOUT_S, TimeUnit.SECONDS));
         assertEquals(400, connectClient().unsafe("same", 20_000).read().status());
         balancer.onRequest = r -> {
             balancer.actions.fail("same");
@@ -139,7 +139,7 @@
     @Test
     void errorResponseIsSentAfterTheResponsesBeforeIt() throws Exception {
         // An error sent before the response to an open request would be taken for that response.
-        BlockingQueue<Seen> received = new LinkedBlockingQueue<>();
+        BlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
         Server host = startServer(received::add);
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
@@ -154,7 +154,7 @@
 
     @Test
     void continueResponseIsSentAfterTheResponsesBeforeIt() throws Exception {
-        BlockingQueue<Seen> received = new LinkedBlockingQueue<>();
+        BlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
         Server host = startServer(received::add);
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
@@ -167,7 +167,7 @@
         assertEquals("mine", client.read().text());
         assertEquals(100, client.read().status());
         client.write("body");
-        Seen second = LoopbackPeers.next(received, "the second request");
+        ReceivedRequest second = LoopbackPeers.next(received, "the second request");
         assertEquals("body", second.message().text());
         second.served("too");
         assertEquals("too", client.read().text());
@@ -176,7 +176,7 @@
     @Test
     void manyPipelinedRequestsAreAllAnsweredInOrder() throws Exception {
         // To limit memory, the proxy stops reading and resumes later; no request may be lost meanwhile.
-        BlockingQueue<Seen> received = new LinkedBlockingQueue<>();
+        BlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
         Server host = startServer(received::add);
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
@@ -185,7 +185,7 @@
             client.unsafe("id" + i, 20_000);
         }
         for (int i = 0; i < 300; i++) {
-            Seen request = LoopbackPeers.next(received, "request " + i);
+            ReceivedRequest request = LoopbackPeers.next(received, "request " + i);
             assertEquals("id" + i, request.message().header("x-request-id"));
             request.served("id" + i);
             assertEquals("id" + i, client.read().text());
@@ -201,7 +201,7 @@
         for (int i = 0; i < 40; i++) {
             client.unsafe("id" + i, 20_000);
         }
-        Seen first = LoopbackPeers.next(host.seen, "the first request");
+        ReceivedRequest first = LoopbackPeers.next(host.received, "the first request");
         client.close();
         assertEquals("id0", LoopbackPeers.next(balancer.disconnects, "the disconnect"));
         first.awaitEnd();
@@ -228,7 +228,7 @@
         start("", LoopbackPeers.host("s", host.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         Client client = connectClient().unsafe("id1", 20_000);
-        Seen seen = LoopbackPeers.next(host.seen, "the request");
+        ReceivedRequest seen = LoopbackPeers.next(host.received, "the request");
         client.close();
         assertEquals("id1", LoopbackPeers.next(balancer.disconnects, "the disconnect"));
         AttemptEnd end = LoopbackPeers.next(balancer.attemptEnds, "the end of the attempt");
--- a/src/test/java/quartzspan/clientproxy/RequestForwardingTest.java
+++ b/src/test/java/quartzspan/clientproxy/RequestForwardingTest.java
@@ -19,10 +19,10 @@
 import org.junit.jupiter.api.Test;
 import quartzspan.http.LoopbackPeers;
 import quartzspan.http.LoopbackPeers.Client;
-import quartzspan.http.LoopbackPeers.Deaf;
 import quartzspan.http.LoopbackPeers.Discovery;
+import quartzspan.http.LoopbackPeers.FullBacklogServer;
 import quartzspan.http.LoopbackPeers.Message;
-import quartzspan.http.LoopbackPeers.Seen;
+import quartzspan.http.LoopbackPeers.ReceivedRequest;
 import quartzspan.http.LoopbackPeers.Server;
 import quartzspan.loadbalancing.LoadBalancer.AttemptEnd;
 import quartzspan.loadbalancing.LoadBalancer.Outcome;
@@ -128,7 +128,7 @@
                 LoopbackPeers.host("s", host.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         assertEquals(200, connectClient().unsafe("id1", 20_000).read().status());
-        assertTrue(drainFutures.get(0).await(LoopbackPeers.PATIENCE_S, TimeUnit.SECONDS), "the drain must complete");
+        assertTrue(drainFutures.get(0).await(LoopbackPeers.TIMEOUT_S, TimeUnit.SECONDS), "the drain must complete");
     }
 
     @Test
@@ -164,7 +164,7 @@
     @Test
     void attemptTimeoutIncludesConnecting() throws Exception {
         // Guards against an attempt that hangs because its connection is never established: it has not run.
-        try (Deaf deaf = new Deaf()) {
+        try (FullBacklogServer deaf = new FullBacklogServer()) {
             start("", LoopbackPeers.host("s", deaf.address(), "in_service"));
             balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 100_000);
             balancer.onAttemptEnd = e -> balancer.actions.refuse(e.requestId(), 0);
@@ -179,9 +179,9 @@
     @Test
     void nothingIsSentToAnEndpointDrainedWhileConnecting() throws Exception {
         // A draining endpoint gets no new requests: here the decision precedes the drain and the connection follows it.
-        try (Deaf deaf = new Deaf()) {
+        try (FullBacklogServer deaf = new FullBacklogServer()) {
             start("", LoopbackPeers.host("s", deaf.address(), "in_service"));
-            Seen watch = discovery.asked();
+            ReceivedRequest watch = discovery.awaitWatch();
             BlockingQueue<String> sent = new LinkedBlockingQueue<>();
             balancer.onRequest = r -> {
                 balancer.actions.send(r.id(), "s", 0);
@@ -192,13 +192,13 @@
             LoopbackPeers.next(sent, "the decision");
             Discovery.push(watch, LoopbackPeers.list(2, false, LoopbackPeers.host("s", deaf.address(), "terminating")));
             assertEquals("DELTA [s 1 DRAINING]", LoopbackPeers.next(balancer.discoveryEvents, "the draining endpoint"));
-            deaf.hear();
+            deaf.acceptAll();
             assertEquals(
                     Outcome.IGNORED,
                     LoopbackPeers.next(balancer.attemptEnds, "the end of the attempt")
                             .outcome());
             assertEquals(503, client.read().status());
-            assertTrue(deaf.silent(), "nothing must be sent");
+            assertTrue(deaf.closedWithoutInput(), "nothing must be sent");
         }
     }
 
@@ -216,7 +216,7 @@
                         + "Idempotency-Key: i-k\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 1\r\n"
                         + "Content-Length: " + body.length() + "\r\n\r\n" + body)
                 .read();
-        Message seen = LoopbackPeers.next(host.seen, "the request").message();
+        Message seen = LoopbackPeers.next(host.received, "the request").message();
         assertEquals("POST /api/x?q=%20a&b HTTP/1.1", seen.first());
         assertEquals("id1", seen.header("x-request-id"));
         assertEquals("i-k", seen.header("idempotency-key"));
@@ -252,7 +252,7 @@
                 Outcome.RESET,
                 LoopbackPeers.next(balancer.attemptEnds, "the second end").outcome());
         assertEquals(1, host.connections.size());
-        assertEquals(2, host.seen.size(), "each request must be sent exactly once");
+        assertEquals(2, host.received.size(), "each request must be sent exactly once");
     }
 
     @Test
@@ -261,7 +261,7 @@
         start(",\"connIdleUs\":400000", LoopbackPeers.host("s", host.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         assertEquals(200, connectClient().unsafe("id1", 20_000).read().status());
-        LoopbackPeers.next(host.seen, "the request").awaitEnd();
+        LoopbackPeers.next(host.received, "the request").awaitEnd();
     }
 
     @Test
@@ -280,8 +280,8 @@
             }
         };
         assertEquals(200, connectClient().safe("id1", 20_000).read().status());
-        LoopbackPeers.next(unresponsive.seen, "the first attempt").awaitEnd();
-        assertEquals(1, other.seen.size());
+        LoopbackPeers.next(unresponsive.received, "the first attempt").awaitEnd();
+        assertEquals(1, other.received.size());
     }
 
     @Test
@@ -300,7 +300,7 @@
         AttemptEnd end = LoopbackPeers.next(balancer.attemptEnds, "the end of the second attempt");
         assertEquals(1, end.attempt());
         assertEquals(Outcome.IGNORED, end.outcome());
-        assertEquals(0, other.seen.size());
+        assertEquals(0, other.received.size());
     }
 
     @Test
@@ -358,7 +358,7 @@
         AttemptEnd end = LoopbackPeers.next(balancer.attemptEnds, "the end of the attempt");
         assertEquals(Outcome.IGNORED, end.outcome());
         assertTrue(end.requestDone());
-        assertEquals(0, host.seen.size());
+        assertEquals(0, host.received.size());
     }
 
     @Test
