--- a/src/test/java/quartzspan/replication/EpochTest.java
+++ b/src/test/java/quartzspan/replication/EpochTest.java
@@ -9,7 +9,7 @@
 
 /** The total order of epochs, and that equality and hash follow it. */
 class EpochTest {
-    private static final List<Epoch> RISING = List.of(
+    private static final List<Epoch> ASCENDING_EPOCHS = List.of(
             Epoch.NONE,
             Epoch.INITIAL,
             new Epoch(1, "a", 9),
@@ -18,12 +18,12 @@
             new Epoch(2, "a", 1));
 
     @Test
-    void epochsAreOrderedByNumberThenCandidateThenAttempt() {
-        for (int i = 0; i < RISING.size(); i++) {
-            for (int j = 0; j < RISING.size(); j++) {
+    void epochsAreOrderedByNumberThenCandidateThenNonce() {
+        for (int i = 0; i < ASCENDING_EPOCHS.size(); i++) {
+            for (int j = 0; j < ASCENDING_EPOCHS.size(); j++) {
                 assertEquals(
                         Integer.signum(Integer.compare(i, j)),
-                        Integer.signum(RISING.get(i).compareTo(RISING.get(j))),
+                        Integer.signum(ASCENDING_EPOCHS.get(i).compareTo(ASCENDING_EPOCHS.get(j))),
                         i + " and " + j);
             }
         }
@@ -31,14 +31,14 @@
 
     @Test
     void equalsAndHashCodeFollowTheOrder() {
-        for (Epoch epoch : RISING) {
-            Epoch again = new Epoch(epoch.number(), new String(epoch.candidate()), epoch.nonce());
-            assertEquals(epoch, again);
-            assertEquals(epoch.hashCode(), again.hashCode());
+        for (Epoch epoch : ASCENDING_EPOCHS) {
+            Epoch copy = new Epoch(epoch.number(), new String(epoch.candidate()), epoch.nonce());
+            assertEquals(epoch, copy);
+            assertEquals(epoch.hashCode(), copy.hashCode());
         }
-        for (int i = 1; i < RISING.size(); i++) {
-            assertNotEquals(RISING.get(i - 1), RISING.get(i));
-            assertTrue(RISING.get(i).isAbove(RISING.get(i - 1)));
+        for (int i = 1; i < ASCENDING_EPOCHS.size(); i++) {
+            assertNotEquals(ASCENDING_EPOCHS.get(i - 1), ASCENDING_EPOCHS.get(i));
+            assertTrue(ASCENDING_EPOCHS.get(i).isAbove(ASCENDING_EPOCHS.get(i - 1)));
         }
         assertNotEquals(Epoch.NONE, null);
     }
--- a/src/test/java/quartzspan/replication/HandoverTest.java
+++ b/src/test/java/quartzspan/replication/HandoverTest.java
@@ -14,101 +14,101 @@
 
 /** A replica that is told to end hands over the lead, its copy and its vote first. */
 class HandoverTest {
-    private static final long CALM_MS = 3_000;
+    private static final long SETTLE_MS = 3_000;
     private static final long HANDOVER_MS = 1_500;
 
-    private static SimulatedCluster calm(int losses) {
-        SimulatedCluster cluster = new SimulatedCluster(7, losses);
+    private static SimulatedCluster settledCluster(int toleratedFailures) {
+        SimulatedCluster cluster = new SimulatedCluster(7, toleratedFailures);
         cluster.machines.values().forEach(machine -> machine.start(true));
-        cluster.run(cluster.now + 3 * CALM_MS);
-        cluster.race(1);
-        cluster.run(cluster.now + CALM_MS);
-        assertEquals(1, cluster.acked.size());
+        cluster.run(cluster.nowMs + 3 * SETTLE_MS);
+        cluster.submitConcurrentChanges(1);
+        cluster.run(cluster.nowMs + SETTLE_MS);
+        assertEquals(1, cluster.acknowledgedChanges.size());
         return cluster;
     }
 
     private static Machine backup(SimulatedCluster cluster) {
-        Membership view = cluster.primary().replica.membership();
-        return cluster.machines.get(view.dataReplicas().get(1));
+        Membership membership = cluster.primary().replica.membership();
+        return cluster.machines.get(membership.dataReplicas().get(1));
     }
 
-    private static void end(SimulatedCluster cluster, Machine machine) {
+    private static void remove(SimulatedCluster cluster, Machine machine) {
         machine.kill();
         cluster.machines.remove(machine.name);
     }
 
     private static void assertTakesChanges(SimulatedCluster cluster) {
-        int before = cluster.acked.size();
-        cluster.race(1);
-        cluster.run(cluster.now + CALM_MS);
-        assertEquals(before + 1, cluster.acked.size());
+        int acknowledgedBefore = cluster.acknowledgedChanges.size();
+        cluster.submitConcurrentChanges(1);
+        cluster.run(cluster.nowMs + SETTLE_MS);
+        assertEquals(acknowledgedBefore + 1, cluster.acknowledgedChanges.size());
     }
 
     @Test
-    void leavingPrimaryHandsOverAtOnce() {
-        SimulatedCluster cluster = calm(1);
-        Machine leaver = cluster.primary();
-        leaver.replica.beginHandover(cluster.now);
-        cluster.run(cluster.now + HANDOVER_MS);
-        assertTrue(leaver.replica.isHandoverComplete(cluster.now));
-        assertFalse(leaver.replica.isPrimary());
-        Membership view = cluster.primary().replica.membership();
-        assertFalse(view.dataReplicas().contains(leaver.name), view.text());
-        assertEquals(2, view.dataReplicas().size());
+    void terminatingPrimaryHandsOverImmediately() {
+        SimulatedCluster cluster = settledCluster(1);
+        Machine terminating = cluster.primary();
+        terminating.replica.beginHandover(cluster.nowMs);
+        cluster.run(cluster.nowMs + HANDOVER_MS);
+        assertTrue(terminating.replica.isHandoverComplete(cluster.nowMs));
+        assertFalse(terminating.replica.isPrimary());
+        Membership membership = cluster.primary().replica.membership();
+        assertFalse(membership.dataReplicas().contains(terminating.name), membership.text());
+        assertEquals(2, membership.dataReplicas().size());
     }
 
     @Test
-    void leavingBackupHoldsNoDataWhenItEnds() {
-        SimulatedCluster cluster = calm(1);
-        Machine leaver = backup(cluster);
-        leaver.replica.beginHandover(cluster.now);
-        cluster.run(cluster.now + HANDOVER_MS);
-        assertTrue(leaver.replica.isHandoverComplete(cluster.now));
-        Membership view = cluster.primary().replica.membership();
-        assertFalse(view.dataReplicas().contains(leaver.name), view.text());
-        assertEquals(2, view.dataReplicas().size());
+    void terminatingBackupIsNoDataReplicaAfterHandover() {
+        SimulatedCluster cluster = settledCluster(1);
+        Machine terminating = backup(cluster);
+        terminating.replica.beginHandover(cluster.nowMs);
+        cluster.run(cluster.nowMs + HANDOVER_MS);
+        assertTrue(terminating.replica.isHandoverComplete(cluster.nowMs));
+        Membership membership = cluster.primary().replica.membership();
+        assertFalse(membership.dataReplicas().contains(terminating.name), membership.text());
+        assertEquals(2, membership.dataReplicas().size());
     }
 
     /** The letter's third point: the leaver goes, and the primary's disk is lost right after. */
     @Test
-    void acknowledgedChangesOutliveALeavingBackupAndThePrimarysDisk() {
-        for (int losses = 1; losses <= 2; losses++) {
-            SimulatedCluster cluster = calm(losses);
+    void acknowledgedChangesSurviveBackupTerminationAndPrimaryDiskLoss() {
+        for (int toleratedFailures = 1; toleratedFailures <= 2; toleratedFailures++) {
+            SimulatedCluster cluster = settledCluster(toleratedFailures);
             Machine standby = cluster.new Machine("10.0.9.9:7000");
             cluster.machines.put(standby.name, standby);
             standby.start(false);
-            cluster.run(cluster.now + 2 * CALM_MS);
-            Machine leaver = backup(cluster);
-            leaver.replica.beginHandover(cluster.now);
-            cluster.run(cluster.now + HANDOVER_MS);
-            assertTrue(leaver.replica.isHandoverComplete(cluster.now));
-            assertEquals(ReplicaRole.STANDBY, leaver.replica.role(), "the standby has its vote");
-            end(cluster, leaver);
+            cluster.run(cluster.nowMs + 2 * SETTLE_MS);
+            Machine terminating = backup(cluster);
+            terminating.replica.beginHandover(cluster.nowMs);
+            cluster.run(cluster.nowMs + HANDOVER_MS);
+            assertTrue(terminating.replica.isHandoverComplete(cluster.nowMs));
+            assertEquals(ReplicaRole.STANDBY, terminating.replica.role(), "the standby has its vote");
+            remove(cluster, terminating);
             Machine wiped = cluster.primary();
             wiped.kill();
             wiped.disk = new ArrayList<>();
-            cluster.run(cluster.now + 500);
+            cluster.run(cluster.nowMs + 500);
             wiped.start(false);
-            cluster.run(cluster.now + CALM_MS);
+            cluster.run(cluster.nowMs + SETTLE_MS);
             assertTakesChanges(cluster);
-            Change first = cluster.acked.firstEntry().getValue();
+            Change first = cluster.acknowledgedChanges.firstEntry().getValue();
             ControlState state = cluster.primary().replica.state();
-            assertEquals(state, state.with(first), "f = " + losses);
+            assertEquals(state, state.with(first), "f = " + toleratedFailures);
         }
     }
 
     /** A voter is gone, its successor comes and is lost again: a majority of the three is there all the while. */
     @Test
-    void standbyIsNotAddedBesideASilentVoter() {
-        SimulatedCluster cluster = calm(1);
-        Machine gone = backup(cluster);
-        end(cluster, gone);
-        cluster.run(cluster.now + 800);
+    void standbyIsNotAddedWhileAVoterIsUnresponsive() {
+        SimulatedCluster cluster = settledCluster(1);
+        Machine removed = backup(cluster);
+        remove(cluster, removed);
+        cluster.run(cluster.nowMs + 800);
         Machine successor = cluster.new Machine("10.0.9.9:7000");
         cluster.machines.put(successor.name, successor);
         successor.start(false);
         for (int i = 0; i < 30; i++) {
-            cluster.run(cluster.now + 50);
+            cluster.run(cluster.nowMs + 50);
             Machine primary = cluster.primary();
             if (primary != null) {
                 assertEquals(
@@ -117,51 +117,51 @@
                         primary.replica.membership().text());
             }
         }
-        cluster.run(cluster.now + CALM_MS);
-        Membership view = cluster.primary().replica.membership();
-        assertTrue(view.voters().contains(successor.name), view.text());
-        assertFalse(view.voters().contains(gone.name), view.text());
+        cluster.run(cluster.nowMs + SETTLE_MS);
+        Membership membership = cluster.primary().replica.membership();
+        assertTrue(membership.voters().contains(successor.name), membership.text());
+        assertFalse(membership.voters().contains(removed.name), membership.text());
     }
 
     @Test
-    void recoveringReplicaMayEndAtOnce() {
-        SimulatedCluster cluster = calm(1);
+    void recoveringReplicaMayStopImmediately() {
+        SimulatedCluster cluster = settledCluster(1);
         Machine wiped = backup(cluster);
         wiped.kill();
         wiped.disk = new ArrayList<>();
         wiped.start(false);
         assertTrue(wiped.replica.isRecovering());
-        wiped.replica.beginHandover(cluster.now);
-        assertTrue(wiped.replica.isHandoverComplete(cluster.now));
+        wiped.replica.beginHandover(cluster.nowMs);
+        assertTrue(wiped.replica.isHandoverComplete(cluster.nowMs));
     }
 
     @Test
-    void primaryWithoutSuccessorLeadsUntilItEnds() {
-        SimulatedCluster cluster = calm(1);
-        Machine leaver = cluster.primary();
+    void primaryWithoutSuccessorStaysPrimaryUntilItStops() {
+        SimulatedCluster cluster = settledCluster(1);
+        Machine terminating = cluster.primary();
         Set<Machine> others = new TreeSet<>((a, b) -> a.name.compareTo(b.name));
         others.addAll(cluster.machines.values());
-        others.remove(leaver);
+        others.remove(terminating);
         Machine backup = backup(cluster);
-        backup.replica.beginHandover(cluster.now);
-        leaver.replica.beginHandover(cluster.now);
-        cluster.run(cluster.now + HANDOVER_MS);
+        backup.replica.beginHandover(cluster.nowMs);
+        terminating.replica.beginHandover(cluster.nowMs);
+        cluster.run(cluster.nowMs + HANDOVER_MS);
         assertNotEquals(null, cluster.primary(), "somebody leads");
         assertTakesChanges(cluster);
         assertEquals(2, others.size());
     }
 
     @Test
-    void replicaThatComesBackAfterLeavingKeepsItsVote() {
-        SimulatedCluster cluster = calm(1);
-        Machine leaver = cluster.primary();
-        leaver.replica.beginHandover(cluster.now);
-        cluster.run(cluster.now + HANDOVER_MS);
-        leaver.kill();
-        cluster.run(cluster.now + 300);
-        leaver.start(false);
-        cluster.run(cluster.now + CALM_MS);
-        assertEquals(List.of(ReplicaRole.WITNESS), List.of(leaver.replica.role()));
+    void replicaRestartedAfterHandoverRemainsAVoter() {
+        SimulatedCluster cluster = settledCluster(1);
+        Machine terminating = cluster.primary();
+        terminating.replica.beginHandover(cluster.nowMs);
+        cluster.run(cluster.nowMs + HANDOVER_MS);
+        terminating.kill();
+        cluster.run(cluster.nowMs + 300);
+        terminating.start(false);
+        cluster.run(cluster.nowMs + SETTLE_MS);
+        assertEquals(List.of(ReplicaRole.WITNESS), List.of(terminating.replica.role()));
         assertTakesChanges(cluster);
     }
 }
--- a/src/test/java/quartzspan/replication/RecordedCluster.java
+++ b/src/test/java/quartzspan/replication/RecordedCluster.java
@@ -22,28 +22,28 @@
  * each run. The trace has a line for each of them, with its time and the checksum of its bytes.
  */
 final class RecordedCluster {
-    private static final long MESSAGE_MS = 2;
-    private static final long DISK_MS = 3;
-    private static final long TICK_MS = 50;
+    private static final long MESSAGE_DELAY_MS = 2;
+    private static final long DISK_DELAY_MS = 3;
+    private static final long TICK_INTERVAL_MS = 50;
     /** Where an encoded message has its kind: behind the header. */
     private static final int KIND_OFFSET = 8;
 
-    private record Event(long at, long order, Runnable run) {}
+    private record Event(long atMs, long order, Runnable action) {}
 
     private final Path folder;
-    private final List<String> seeds;
-    private final PriorityQueue<Event> events =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+    private final List<String> seedNodes;
+    private final PriorityQueue<Event> events = new PriorityQueue<>(
+            (a, b) -> a.atMs != b.atMs ? Long.compare(a.atMs, b.atMs) : Long.compare(a.order, b.order));
     private final Map<String, Machine> machines = new TreeMap<>();
     private final StringBuilder trace = new StringBuilder();
-    private final List<String> answers = new ArrayList<>();
-    private long now = 10_000;
-    private long order;
-    private long requestIds;
+    private final List<String> replies = new ArrayList<>();
+    private long nowMs = 10_000;
+    private long lastOrder;
+    private long lastRequestId;
 
-    RecordedCluster(Path folder, List<String> seeds) {
+    RecordedCluster(Path folder, List<String> seedNodes) {
         this.folder = folder;
-        this.seeds = seeds;
+        this.seedNodes = seedNodes;
     }
 
     /** One machine: its replica in one incarnation after the other, and its disk. */
@@ -61,20 +61,20 @@
             return folder.resolve(name.replace(':', '_'));
         }
 
-        void start(boolean found) {
+        void start(boolean bootstrap) {
             incarnation++;
-            int mine = incarnation;
+            int startedIncarnation = incarnation;
             store = new ReplicaStore(new SlotStore(new FileDisk(disk())));
-            List<byte[]> kept = store.open();
-            long seed = name.hashCode() * 31L + incarnation;
-            replica = new Replica(name, seeds, 1, found, kept, seed, now, this);
-            tick(mine);
+            List<byte[]> storedRecords = store.open();
+            long randomSeed = name.hashCode() * 31L + incarnation;
+            replica = new Replica(name, seedNodes, 1, bootstrap, storedRecords, randomSeed, nowMs, this);
+            tick(startedIncarnation);
         }
 
-        private void tick(int mine) {
-            if (incarnation == mine) {
-                replica.onTick(now);
-                after(TICK_MS, () -> tick(mine));
+        private void tick(int startedIncarnation) {
+            if (incarnation == startedIncarnation) {
+                replica.onTick(nowMs);
+                schedule(TICK_INTERVAL_MS, () -> tick(startedIncarnation));
             }
         }
 
@@ -97,8 +97,8 @@
             return replica;
         }
 
-        private void handle(int ofIncarnation, Runnable event) {
-            if (replica != null && incarnation == ofIncarnation) {
+        private void handle(int expectedIncarnation, Runnable event) {
+            if (replica != null && incarnation == expectedIncarnation) {
                 event.run();
             }
         }
@@ -107,10 +107,10 @@
         public void send(String to, ReplicaMessage message) {
             byte[] encoded = MessageCodec.encode(message);
             record(name + " > " + to + " kind " + encoded[KIND_OFFSET], encoded);
-            after(MESSAGE_MS, () -> {
+            schedule(MESSAGE_DELAY_MS, () -> {
                 Machine receiver = machines.get(to);
                 if (receiver != null && receiver.replica != null) {
-                    receiver.replica.onMessage(now, name, message);
+                    receiver.replica.onMessage(nowMs, name, message);
                 }
             });
         }
@@ -118,13 +118,15 @@
         @Override
         public void persist(long number, byte[] record) {
             record(name + " writes " + (char) record[0], record);
-            int mine = incarnation;
-            after(DISK_MS, () -> handle(mine, () -> replica.onPersisted(now, number, store.persist(record))));
+            int startedIncarnation = incarnation;
+            schedule(
+                    DISK_DELAY_MS,
+                    () -> handle(startedIncarnation, () -> replica.onPersisted(nowMs, number, store.persist(record))));
         }
 
         @Override
-        public void completed(long requestId, FleetException refusal, ControlState state) {
-            answers.add(requestId + (refusal == null ? " granted" : " " + refusal.code()));
+        public void completed(long requestId, FleetException rejection, ControlState state) {
+            replies.add(requestId + (rejection == null ? " granted" : " " + rejection.code()));
         }
 
         @Override
@@ -133,10 +135,10 @@
         }
     }
 
-    private void record(String what, byte[] bytes) {
+    private void record(String description, byte[] bytes) {
         CRC32 checksum = new CRC32();
         checksum.update(bytes);
-        trace.append(String.format("%d %s %d bytes %08x%n", now, what, bytes.length, checksum.getValue()));
+        trace.append(String.format("%d %s %d bytes %08x%n", nowMs, description, bytes.length, checksum.getValue()));
     }
 
     Machine add(String name) {
@@ -145,22 +147,22 @@
         return machine;
     }
 
-    void after(long ms, Runnable run) {
-        events.add(new Event(now + ms, ++order, run));
+    void schedule(long delayMs, Runnable action) {
+        events.add(new Event(nowMs + delayMs, ++lastOrder, action));
     }
 
-    void run(long ms) {
-        long end = now + ms;
-        runUntil(end, () -> false);
-        now = end;
+    void run(long durationMs) {
+        long endMs = nowMs + durationMs;
+        runUntil(endMs, () -> false);
+        nowMs = endMs;
     }
 
     /** Runs events until a condition holds; false if it does not by the end. */
-    boolean runUntil(long end, BooleanSupplier condition) {
-        while (!events.isEmpty() && events.peek().at <= end) {
+    boolean runUntil(long endMs, BooleanSupplier condition) {
+        while (!events.isEmpty() && events.peek().atMs <= endMs) {
             Event event = events.poll();
-            now = event.at;
-            event.run.run();
+            nowMs = event.atMs;
+            event.action.run();
             if (condition.getAsBoolean()) {
                 return true;
             }
@@ -168,8 +170,8 @@
         return condition.getAsBoolean();
     }
 
-    long now() {
-        return now;
+    long nowMs() {
+        return nowMs;
     }
 
     Machine primary() {
@@ -180,24 +182,24 @@
     }
 
     /** Whether a view of any machine is a joint one. */
-    boolean changesVoters() {
+    boolean isChangingVoters() {
         return machines.values().stream()
                 .anyMatch(m -> m.replica != null && m.replica.membership().isJoint());
     }
 
     /** Asks the primary for a change; its answer stands in {@link #answers}. */
     void change(Change change) {
-        primary().replica.submit(now, ++requestIds, change);
+        primary().replica.submit(nowMs, ++lastRequestId, change);
         run(200);
     }
 
     void read() {
-        primary().replica.read(now, ++requestIds);
+        primary().replica.read(nowMs, ++lastRequestId);
         run(200);
     }
 
-    List<String> answers() {
-        return answers;
+    List<String> replies() {
+        return replies;
     }
 
     String trace() {
--- a/src/test/java/quartzspan/replication/ReplicaGuardsTest.java
+++ b/src/test/java/quartzspan/replication/ReplicaGuardsTest.java
@@ -21,33 +21,33 @@
     private record Sent(String to, ReplicaMessage message) {}
 
     private final List<Sent> sent = new ArrayList<>();
-    private final List<long[]> persisting = new ArrayList<>();
+    private final List<long[]> pendingRecordNumbers = new ArrayList<>();
     private final List<byte[]> disk = new ArrayList<>();
-    private final List<String> answers = new ArrayList<>();
+    private final List<String> replies = new ArrayList<>();
     private Replica replica;
-    private long now = 100_000;
+    private long nowMs = 100_000;
 
-    private Replica start(String self, boolean found) {
-        replica = new Replica(self, ALL, 1, found, List.copyOf(disk), 5, now, new Replica.Output() {
+    private Replica start(String self, boolean bootstrap) {
+        replica = new Replica(self, ALL, 1, bootstrap, List.copyOf(disk), 5, nowMs, new Replica.Output() {
             @Override
             public void send(String to, ReplicaMessage message) {
                 sent.add(new Sent(to, message));
             }
 
             @Override
-            public void persist(long seq, byte[] record) {
-                persisting.add(new long[] {seq});
+            public void persist(long recordNumber, byte[] record) {
+                pendingRecordNumbers.add(new long[] {recordNumber});
                 disk.add(record);
             }
 
             @Override
-            public void completed(long requestId, FleetException why, ControlState state) {
-                answers.add(requestId + (why == null ? " yes" : " " + why.code()));
+            public void completed(long requestId, FleetException rejection, ControlState state) {
+                replies.add(requestId + (rejection == null ? " yes" : " " + rejection.code()));
             }
 
             @Override
             public void committed(long index, ControlState state, ChangeHistory history) {
-                answers.add("in force " + index);
+                replies.add("in force " + index);
             }
         });
         sync();
@@ -55,29 +55,29 @@
     }
 
     private void sync() {
-        while (!persisting.isEmpty()) {
-            replica.onPersisted(now, persisting.remove(0)[0], true);
+        while (!pendingRecordNumbers.isEmpty()) {
+            replica.onPersisted(nowMs, pendingRecordNumbers.remove(0)[0], true);
         }
     }
 
     private ReplicaMessage last(Kind kind) {
-        ReplicaMessage found = null;
-        for (Sent s : sent) {
-            found = s.message().kind() == kind ? s.message() : found;
+        ReplicaMessage latest = null;
+        for (Sent sentMessage : sent) {
+            latest = sentMessage.message().kind() == kind ? sentMessage.message() : latest;
         }
-        return found;
+        return latest;
     }
 
     private static Epoch epoch(long number, String candidate) {
         return new Epoch(number, candidate, 1);
     }
 
-    private void ask(String from, long number) {
-        replica.onMessage(now, from, ReplicaMessage.of(Kind.VOTE, epoch(number, from)));
+    private void requestVote(String from, long number) {
+        replica.onMessage(nowMs, from, ReplicaMessage.of(Kind.VOTE, epoch(number, from)));
         sync();
     }
 
-    private static Membership view(Epoch epoch, String primary, String backup) {
+    private static Membership membership(Epoch epoch, String primary, String backup) {
         return new Membership(epoch, primary, List.of(primary, backup), ALL, List.of());
     }
 
@@ -85,66 +85,67 @@
         return ReplicaMessage.replicate(StateUpdate.ofSnapshot(epoch, index, ControlState.EMPTY), 0);
     }
 
-    private static ReplicaMessage recoveryReply(long promised, Membership view) {
+    private static ReplicaMessage recoveryReply(long promised, Membership membership) {
         return ReplicaMessage.of(Kind.RECOVERY_REPLY, Epoch.NONE)
                 .withGranted(true)
-                .withMembership(view)
+                .withMembership(membership)
                 .withPromisedEpoch(epoch(promised, C), false);
     }
 
     @Test
-    void backupRefusesEpochsBelowItsPromise() {
+    void backupRejectsEpochsBelowItsPromise() {
         start(B, true);
-        now += 5_000;
-        ask(C, 4);
+        nowMs += 5_000;
+        requestVote(C, 4);
         assertTrue(last(Kind.VOTE_REPLY).granted());
-        replica.onMessage(now, A, snapshot(epoch(3, A), 9));
+        replica.onMessage(nowMs, A, snapshot(epoch(3, A), 9));
         sync();
         assertFalse(last(Kind.REPLICATE_REPLY).granted());
         assertEquals(Epoch.INITIAL, replica.logEpoch());
     }
 
     @Test
-    void voterRefusesMembershipsBelowItsPromise() {
+    void voterRejectsMembershipsBelowItsPromise() {
         start(B, true);
-        now += 5_000;
-        ask(C, 4);
+        nowMs += 5_000;
+        requestVote(C, 4);
         Epoch lower = epoch(3, A);
-        replica.onMessage(now, A, ReplicaMessage.of(Kind.ACCEPT, lower).withMembership(view(lower, A, B)));
+        replica.onMessage(nowMs, A, ReplicaMessage.of(Kind.ACCEPT, lower).withMembership(membership(lower, A, B)));
         sync();
         assertFalse(last(Kind.ACCEPT_REPLY).granted());
         assertEquals(Epoch.INITIAL, replica.membership().epoch());
     }
 
     @Test
-    void numberIsGrantedToOneCandidateAndTheVoteOutlivesTheProcess() {
+    void epochNumberIsGrantedToOneCandidateAndTheVoteSurvivesARestart() {
         start(B, true);
-        now += 5_000;
-        ask(C, 4);
+        nowMs += 5_000;
+        requestVote(C, 4);
         assertTrue(last(Kind.VOTE_REPLY).granted());
-        ask(A, 4);
+        requestVote(A, 4);
         assertFalse(last(Kind.VOTE_REPLY).granted(), "granted to another");
-        ask(C, 4);
+        requestVote(C, 4);
         assertTrue(last(Kind.VOTE_REPLY).granted(), "the same question again");
         start(B, false);
-        now += 5_000;
-        ask(A, 4);
+        nowMs += 5_000;
+        requestVote(A, 4);
         assertFalse(last(Kind.VOTE_REPLY).granted(), "a new life keeps the promise");
-        ask(A, 5);
+        requestVote(A, 5);
         assertTrue(last(Kind.VOTE_REPLY).granted());
     }
 
     /** Two candidates with one number: whoever has granted it to the higher one takes nothing of the lower one. */
     @Test
-    void membershipOfTheSameNumberByALowerCandidateIsRefused() {
+    void membershipOfTheSameNumberByALowerCandidateIsRejected() {
         start(B, true);
-        now += 5_000;
-        ask(C, 6);
+        nowMs += 5_000;
+        requestVote(C, 6);
         Epoch sameNumber = epoch(6, A);
-        replica.onMessage(now, A, ReplicaMessage.of(Kind.ACCEPT, sameNumber).withMembership(view(sameNumber, A, B)));
+        replica.onMessage(
+                nowMs, A, ReplicaMessage.of(Kind.ACCEPT, sameNumber).withMembership(membership(sameNumber, A, B)));
         sync();
         assertFalse(last(Kind.ACCEPT_REPLY).granted(), "granted to another candidate");
-        replica.onMessage(now, A, snapshot(sameNumber, 9));
+        replica.onMessage(nowMs, A, snapshot(sameNumber, 9));
         sync();
         assertFalse(last(Kind.REPLICATE_REPLY).granted(), "granted to another candidate");
     }
@@ -152,10 +153,10 @@
     @Test
     void voteIsGrantedOnlyOnceDurable() {
         start(B, true);
-        now += 5_000;
-        replica.onMessage(now, C, ReplicaMessage.of(Kind.VOTE, epoch(4, C)));
+        nowMs += 5_000;
+        replica.onMessage(nowMs, C, ReplicaMessage.of(Kind.VOTE, epoch(4, C)));
         assertEquals(null, last(Kind.VOTE_REPLY));
-        replica.onPersisted(now, persisting.remove(0)[0], false);
+        replica.onPersisted(nowMs, pendingRecordNumbers.remove(0)[0], false);
         assertFalse(last(Kind.VOTE_REPLY).granted(), "the disk refused");
     }
 
@@ -163,13 +164,14 @@
     @Test
     void membershipIsReportedOnlyOnceDurable() {
         start(B, true);
-        now += 5_000;
+        nowMs += 5_000;
         Epoch accepted = epoch(4, C);
-        replica.onMessage(now, C, ReplicaMessage.of(Kind.ACCEPT, accepted).withMembership(view(accepted, C, B)));
-        replica.onMessage(now, A, ReplicaMessage.of(Kind.PRE_VOTE, epoch(5, A)));
+        replica.onMessage(
+                nowMs, C, ReplicaMessage.of(Kind.ACCEPT, accepted).withMembership(membership(accepted, C, B)));
+        replica.onMessage(nowMs, A, ReplicaMessage.of(Kind.PRE_VOTE, epoch(5, A)));
         assertEquals(Epoch.INITIAL, last(Kind.PRE_VOTE_REPLY).membership().epoch());
         sync();
-        replica.onMessage(now, A, ReplicaMessage.of(Kind.PRE_VOTE, epoch(5, A)));
+        replica.onMessage(nowMs, A, ReplicaMessage.of(Kind.PRE_VOTE, epoch(5, A)));
         assertEquals(accepted, last(Kind.PRE_VOTE_REPLY).membership().epoch());
     }
 
@@ -177,23 +179,23 @@
     void recoveringReplicaGrantsNothingUntilEnoughOthersHaveReplied() {
         start(B, false);
         assertTrue(replica.isRecovering());
-        replica.onTick(now);
+        replica.onTick(nowMs);
         ReplicaMessage request = last(Kind.RECOVERY);
-        now += 5_000;
-        ask(C, 4);
+        nowMs += 5_000;
+        requestVote(C, 4);
         assertFalse(last(Kind.VOTE_REPLY).granted());
-        Membership known = view(epoch(2, A), A, B);
-        ReplicaMessage told =
+        Membership known = membership(epoch(2, A), A, B);
+        ReplicaMessage reply =
                 recoveryReply(6, known).withNonce(request.nonce()).withGenerations(Map.of(B, request.generation()));
-        replica.onMessage(now, A, told);
+        replica.onMessage(nowMs, A, reply);
         sync();
         assertTrue(replica.isRecovering(), "the third may have been granted more with our word");
-        replica.onMessage(now, C, told.withPromisedEpoch(epoch(9, C), false));
+        replica.onMessage(nowMs, C, reply.withPromisedEpoch(epoch(9, C), false));
         sync();
         assertFalse(replica.isRecovering());
         assertEquals(epoch(9, C), replica.promisedEpoch());
-        now += 5_000;
-        ask(A, 9);
+        nowMs += 5_000;
+        requestVote(A, 9);
         assertFalse(last(Kind.VOTE_REPLY).granted());
     }
 
@@ -201,18 +203,18 @@
     @Test
     void recoveryReplyToAnEarlierIncarnationDoesNotCount() {
         start(B, false);
-        replica.onTick(now);
+        replica.onTick(nowMs);
         ReplicaMessage request = last(Kind.RECOVERY);
-        Membership known = view(epoch(2, A), A, B);
+        Membership known = membership(epoch(2, A), A, B);
         ReplicaMessage stale =
                 recoveryReply(6, known).withNonce(request.nonce() + 1).withGenerations(Map.of(B, request.generation()));
-        replica.onMessage(now, A, stale);
-        replica.onMessage(now, C, stale);
+        replica.onMessage(nowMs, A, stale);
+        replica.onMessage(nowMs, C, stale);
         assertTrue(replica.isRecovering());
-        ReplicaMessage used = stale.withNonce(request.nonce()).withGranted(false);
-        replica.onMessage(now, A, used);
-        now += 1_000;
-        replica.onTick(now);
+        ReplicaMessage generationInUse = stale.withNonce(request.nonce()).withGranted(false);
+        replica.onMessage(nowMs, A, generationInUse);
+        nowMs += 1_000;
+        replica.onTick(nowMs);
         assertEquals(request.generation() + 1, last(Kind.RECOVERY).generation(), "another life has used it");
     }
 
@@ -223,42 +225,46 @@
                 .withPromisedEpoch(Epoch.NONE, true)
                 .withGeneration(1)
                 .withNonce(77);
-        replica.onMessage(now, B, request);
+        replica.onMessage(nowMs, B, request);
         assertEquals(null, last(Kind.RECOVERY_REPLY));
         sync();
         assertTrue(last(Kind.RECOVERY_REPLY).granted());
-        replica.onMessage(now, B, request.withNonce(78));
+        replica.onMessage(nowMs, B, request.withNonce(78));
         sync();
         assertFalse(last(Kind.RECOVERY_REPLY).granted(), "another life has that generation");
         start(A, false);
-        replica.onMessage(now, B, request.withNonce(78));
+        replica.onMessage(nowMs, B, request.withNonce(78));
         sync();
         assertFalse(last(Kind.RECOVERY_REPLY).granted(), "a new process knows it too");
     }
 
     @Test
-    void updateForAnEarlierGenerationIsRefused() {
+    void updateForAnotherGenerationIsRejected() {
         start(B, true);
-        now += 5_000;
-        ReplicaMessage forAnother =
+        nowMs += 5_000;
+        ReplicaMessage updateForAnotherGeneration =
                 ReplicaMessage.replicate(StateUpdate.ofSnapshot(epoch(3, A), 9, ControlState.EMPTY), 1);
-        replica.onMessage(now, A, forAnother);
+        replica.onMessage(nowMs, A, updateForAnotherGeneration);
         sync();
         assertFalse(last(Kind.REPLICATE_REPLY).granted());
         assertEquals(Epoch.INITIAL, replica.logEpoch());
     }
 
     @Test
-    void entriesThatFollowAnotherStateAreRefused() {
+    void entriesThatFollowAnotherStateAreRejected() {
         start(B, true);
-        now += 5_000;
+        nowMs += 5_000;
         Epoch epoch = epoch(3, A);
-        ChangeHistory.Entry step = new ChangeHistory.Entry(8, epoch, null);
-        replica.onMessage(now, A, ReplicaMessage.replicate(StateUpdate.ofEntries(epoch, 7, List.of(step)), 0));
+        ChangeHistory.Entry disconnectedEntry = new ChangeHistory.Entry(8, epoch, null);
+        replica.onMessage(
+                nowMs, A, ReplicaMessage.replicate(StateUpdate.ofEntries(epoch, 7, List.of(disconnectedEntry)), 0));
         sync();
         assertFalse(last(Kind.REPLICATE_REPLY).granted());
-        ChangeHistory.Entry next = new ChangeHistory.Entry(1, epoch, null);
-        replica.onMessage(now, A, ReplicaMessage.replicate(StateUpdate.ofEntries(Epoch.INITIAL, 0, List.of(next)), 0));
+        ChangeHistory.Entry nextMembership = new ChangeHistory.Entry(1, epoch, null);
+        replica.onMessage(
+                nowMs,
+                A,
+                ReplicaMessage.replicate(StateUpdate.ofEntries(Epoch.INITIAL, 0, List.of(nextMembership)), 0));
         sync();
         assertTrue(last(Kind.REPLICATE_REPLY).granted());
         assertEquals(1, replica.logIndex());
@@ -267,71 +273,73 @@
     @Test
     void updateIsAcknowledgedOnlyOnceDurable() {
         start(B, true);
-        now += 5_000;
-        replica.onMessage(now, A, snapshot(epoch(3, A), 9));
+        nowMs += 5_000;
+        replica.onMessage(nowMs, A, snapshot(epoch(3, A), 9));
         assertEquals(null, last(Kind.REPLICATE_REPLY));
-        persisting.forEach(record -> replica.onPersisted(now, record[0], false));
-        persisting.clear();
+        pendingRecordNumbers.forEach(record -> replica.onPersisted(nowMs, record[0], false));
+        pendingRecordNumbers.clear();
         assertEquals(null, last(Kind.REPLICATE_REPLY), "the disk refused");
-        replica.onMessage(now, A, snapshot(epoch(3, A), 9));
+        replica.onMessage(nowMs, A, snapshot(epoch(3, A), 9));
         sync();
         assertTrue(last(Kind.REPLICATE_REPLY).granted());
     }
 
     /** The copies of the newest view hold what it answered; a copy from before it may not. */
     @Test
-    void replicaFromBeforeTheLatestMembershipIsNoSource() {
+    void replicaWithoutTheLatestMembershipIsNotAStateSource() {
         start(A, true);
         tickUntil(Kind.PRE_VOTE);
         replica.onMessage(
-                now,
+                nowMs,
                 C,
                 ReplicaMessage.of(Kind.PRE_VOTE_REPLY, last(Kind.PRE_VOTE).epoch())
                         .withGranted(true));
         sync();
         Epoch epoch = last(Kind.VOTE).epoch();
         Epoch newer = new Epoch(0, B, 1);
-        replica.onMessage(now, C, vote(epoch, view(newer, B, A), Epoch.NONE, -1));
+        replica.onMessage(nowMs, C, vote(epoch, membership(newer, B, A), Epoch.NONE, -1));
         sync();
         assertEquals(null, last(Kind.REPLICATE), "its own copy is from before that view");
-        replica.onMessage(now, B, vote(epoch, view(newer, B, A), newer, 4));
+        replica.onMessage(nowMs, B, vote(epoch, membership(newer, B, A), newer, 4));
         sync();
         assertEquals(ReplicaRole.CANDIDATE, replica.role());
-        assertTrue(sent.stream().anyMatch(s -> s.message().kind() == Kind.FETCH && s.to().equals(B)));
+        assertTrue(sent.stream()
+                .anyMatch(sentMessage -> sentMessage.message().kind() == Kind.FETCH
+                        && sentMessage.to().equals(B)));
     }
 
     @Test
-    void noVoteIsGrantedWhileThePrimaryIsHeard() {
+    void noVoteIsGrantedWhilePrimaryHeartbeatsArrive() {
         start(C, true);
-        now += 5_000;
+        nowMs += 5_000;
         Epoch first = epoch(1, A);
-        replica.onMessage(now, A, ReplicaMessage.of(Kind.ACCEPT, first).withMembership(view(first, A, B)));
+        replica.onMessage(nowMs, A, ReplicaMessage.of(Kind.ACCEPT, first).withMembership(membership(first, A, B)));
         replica.onMessage(
-                now,
+                nowMs,
                 A,
                 ReplicaMessage.of(Kind.HEARTBEAT, first)
-                        .withMembership(view(first, A, B))
+                        .withMembership(membership(first, A, B))
                         .withNonce(1));
         sync();
-        ask(B, 2);
+        requestVote(B, 2);
         assertFalse(last(Kind.VOTE_REPLY).granted());
-        now += 600;
-        ask(B, 2);
+        nowMs += 600;
+        requestVote(B, 2);
         assertTrue(last(Kind.VOTE_REPLY).granted());
     }
 
-    private ReplicaMessage vote(Epoch epoch, Membership view, Epoch logEpoch, long index) {
+    private ReplicaMessage vote(Epoch epoch, Membership membership, Epoch logEpoch, long index) {
         return ReplicaMessage.of(Kind.VOTE_REPLY, epoch)
                 .withGranted(true)
-                .withMembership(view)
+                .withMembership(membership)
                 .withLogPosition(logEpoch, index)
                 .withPromisedEpoch(epoch, false);
     }
 
     private void tickUntil(Kind kind) {
         for (int i = 0; i < 60 && last(kind) == null; i++) {
-            now += 50;
-            replica.onTick(now);
+            nowMs += 50;
+            replica.onTick(nowMs);
         }
     }
 
@@ -341,39 +349,40 @@
         String d = "10.0.0.4:7";
         start(A, true);
         Epoch joint = epoch(1, C);
-        Membership changing = new Membership(joint, C, List.of(C, A), List.of(A, C, d), ALL);
-        replica.onMessage(now, C, snapshot(joint, 4));
-        replica.onMessage(now, C, ReplicaMessage.of(Kind.ACCEPT, joint).withMembership(changing));
+        Membership jointMembership = new Membership(joint, C, List.of(C, A), List.of(A, C, d), ALL);
+        replica.onMessage(nowMs, C, snapshot(joint, 4));
+        replica.onMessage(nowMs, C, ReplicaMessage.of(Kind.ACCEPT, joint).withMembership(jointMembership));
         sync();
         sent.clear();
         tickUntil(Kind.PRE_VOTE);
-        Epoch preVote = last(Kind.PRE_VOTE).epoch();
-        ReplicaMessage yes = ReplicaMessage.of(Kind.PRE_VOTE_REPLY, preVote).withGranted(true);
-        replica.onMessage(now, d, yes);
+        Epoch preVoteEpoch = last(Kind.PRE_VOTE).epoch();
+        ReplicaMessage granted =
+                ReplicaMessage.of(Kind.PRE_VOTE_REPLY, preVoteEpoch).withGranted(true);
+        replica.onMessage(nowMs, d, granted);
         sync();
         assertEquals(null, last(Kind.VOTE), "a majority of the new voters only");
-        replica.onMessage(now, B, yes);
+        replica.onMessage(nowMs, B, granted);
         sync();
         Epoch epoch = last(Kind.VOTE).epoch();
-        replica.onMessage(now, d, vote(epoch, Membership.NONE, Epoch.NONE, -1));
+        replica.onMessage(nowMs, d, vote(epoch, Membership.NONE, Epoch.NONE, -1));
         sync();
         assertEquals(null, last(Kind.REPLICATE), "a majority of the new voters only");
-        replica.onMessage(now, B, vote(epoch, Membership.NONE, Epoch.INITIAL, 0));
+        replica.onMessage(nowMs, B, vote(epoch, Membership.NONE, Epoch.INITIAL, 0));
         sync();
-        ReplicaMessage copy = last(Kind.REPLICATE);
+        ReplicaMessage replicateMessage = last(Kind.REPLICATE);
         replica.onMessage(
-                now,
+                nowMs,
                 d,
                 ReplicaMessage.of(Kind.REPLICATE_REPLY, epoch)
                         .withGranted(true)
-                        .withLogPosition(epoch, copy.logIndex()));
+                        .withLogPosition(epoch, replicateMessage.logIndex()));
         sync();
-        Membership next = last(Kind.ACCEPT).membership();
-        assertEquals(List.of(A, C, d), next.voters(), "the change of voters is carried to the end");
-        assertEquals(ALL, next.previousVoters());
-        replica.onMessage(now, d, ReplicaMessage.of(Kind.ACCEPT_REPLY, epoch).withGranted(true));
+        Membership nextMembership = last(Kind.ACCEPT).membership();
+        assertEquals(List.of(A, C, d), nextMembership.voters(), "the change of voters is carried to the end");
+        assertEquals(ALL, nextMembership.previousVoters());
+        replica.onMessage(nowMs, d, ReplicaMessage.of(Kind.ACCEPT_REPLY, epoch).withGranted(true));
         assertFalse(replica.isPrimary(), "a majority of the new voters only");
-        replica.onMessage(now, B, ReplicaMessage.of(Kind.ACCEPT_REPLY, epoch).withGranted(true));
+        replica.onMessage(nowMs, B, ReplicaMessage.of(Kind.ACCEPT_REPLY, epoch).withGranted(true));
         sync();
         assertTrue(replica.isPrimary());
         assertEquals(List.of(), replica.membership().previousVoters(), "in force: the old voters are needed no more");
@@ -385,20 +394,20 @@
         start(A, true);
         tickUntil(Kind.PRE_VOTE);
         Epoch newer = epoch(3, B);
-        Membership without = new Membership(newer, B, List.of(B, C), List.of(B, C, "10.0.0.4:7"), List.of());
-        Epoch preVote = last(Kind.PRE_VOTE).epoch();
+        Membership withoutSelf = new Membership(newer, B, List.of(B, C), List.of(B, C, "10.0.0.4:7"), List.of());
+        Epoch preVoteEpoch = last(Kind.PRE_VOTE).epoch();
         replica.onMessage(
-                now,
+                nowMs,
                 B,
-                ReplicaMessage.of(Kind.PRE_VOTE_REPLY, preVote)
+                ReplicaMessage.of(Kind.PRE_VOTE_REPLY, preVoteEpoch)
                         .withGranted(true)
-                        .withMembership(without));
+                        .withMembership(withoutSelf));
         replica.onMessage(
-                now,
+                nowMs,
                 C,
-                ReplicaMessage.of(Kind.PRE_VOTE_REPLY, preVote)
+                ReplicaMessage.of(Kind.PRE_VOTE_REPLY, preVoteEpoch)
                         .withGranted(true)
-                        .withMembership(without));
+                        .withMembership(withoutSelf));
         sync();
         assertEquals(null, last(Kind.VOTE));
         assertEquals(ReplicaRole.STANDBY, replica.role());
@@ -410,26 +419,28 @@
         start(A, true);
         tickUntil(Kind.PRE_VOTE);
         replica.onMessage(
-                now,
+                nowMs,
                 C,
                 ReplicaMessage.of(Kind.PRE_VOTE_REPLY, last(Kind.PRE_VOTE).epoch())
                         .withGranted(true));
         sync();
         Epoch epoch = last(Kind.VOTE).epoch();
-        Membership founding = replica.membership();
-        replica.onMessage(now, B, vote(epoch, founding, Epoch.INITIAL, 0).withGranted(false));
+        Membership initialMembership = replica.membership();
+        replica.onMessage(
+                nowMs, B, vote(epoch, initialMembership, Epoch.INITIAL, 0).withGranted(false));
         replica.onMessage(
-                now,
+                nowMs,
                 B,
                 ReplicaMessage.of(Kind.RECOVERY, Epoch.NONE)
                         .withPromisedEpoch(Epoch.NONE, true)
                         .withGeneration(1)
                         .withNonce(5));
         sync();
-        replica.onMessage(now, B, vote(epoch, founding, Epoch.INITIAL, 0));
+        replica.onMessage(nowMs, B, vote(epoch, initialMembership, Epoch.INITIAL, 0));
         sync();
         assertEquals(null, last(Kind.REPLICATE), "its disk was lost since");
-        replica.onMessage(now, B, vote(epoch, founding, Epoch.INITIAL, 0).withGeneration(1));
+        replica.onMessage(
+                nowMs, B, vote(epoch, initialMembership, Epoch.INITIAL, 0).withGeneration(1));
         sync();
         assertEquals(epoch, last(Kind.REPLICATE).epoch());
     }
@@ -440,102 +451,102 @@
         start(A, true);
         tickUntil(Kind.PRE_VOTE);
         replica.onMessage(
-                now,
+                nowMs,
                 B,
                 ReplicaMessage.of(Kind.PRE_VOTE_REPLY, last(Kind.PRE_VOTE).epoch())
                         .withGranted(true));
         sync();
         Epoch epoch = last(Kind.VOTE).epoch();
-        replica.onMessage(now, B, vote(epoch, replica.membership(), Epoch.INITIAL, 0));
+        replica.onMessage(nowMs, B, vote(epoch, replica.membership(), Epoch.INITIAL, 0));
         sync();
         assertEquals(ReplicaRole.CANDIDATE, replica.role());
-        Epoch between = new Epoch(epoch.number(), "10.0.0.0:7", 1);
-        replica.onMessage(now, C, vote(epoch, view(between, C, B), between, 5));
+        Epoch lowerEpoch = new Epoch(epoch.number(), "10.0.0.0:7", 1);
+        replica.onMessage(nowMs, C, vote(epoch, membership(lowerEpoch, C, B), lowerEpoch, 5));
         assertEquals(ReplicaRole.WITNESS, replica.role());
     }
 
     /** Every step of a candidacy waits for whom it must. */
     @Test
-    void electionNeedsAQuorumAtEachStepAndAChangeAllBackups() {
+    void electionNeedsAQuorumAtEachStepAndAChangeNeedsAllBackups() {
         start(A, true);
         tickUntil(Kind.PRE_VOTE);
         assertEquals(null, last(Kind.VOTE), "sounded alone");
-        Membership founding = replica.membership();
+        Membership initialMembership = replica.membership();
         replica.onMessage(
-                now,
+                nowMs,
                 B,
                 ReplicaMessage.of(Kind.PRE_VOTE_REPLY, last(Kind.PRE_VOTE).epoch())
                         .withGranted(true)
-                        .withMembership(founding));
+                        .withMembership(initialMembership));
         sync();
         Epoch epoch = last(Kind.VOTE).epoch();
         assertEquals(1, epoch.number());
         assertEquals(null, last(Kind.REPLICATE), "granted by itself alone");
-        replica.onMessage(now, B, vote(epoch, founding, Epoch.INITIAL, 0));
+        replica.onMessage(nowMs, B, vote(epoch, initialMembership, Epoch.INITIAL, 0));
         sync();
         assertEquals(epoch, last(Kind.REPLICATE).epoch());
         assertEquals(null, last(Kind.ACCEPT), "no backup has it");
-        ReplicaMessage copied =
+        ReplicaMessage replicated =
                 ReplicaMessage.of(Kind.REPLICATE_REPLY, epoch).withGranted(true).withPromisedEpoch(epoch, false);
-        replica.onMessage(now, B, copied.withLogPosition(epoch, 1));
+        replica.onMessage(nowMs, B, replicated.withLogPosition(epoch, 1));
         assertEquals(null, last(Kind.ACCEPT), "its own vote for the view is not on its disk");
-        now += 300;
-        replica.onTick(now);
+        nowMs += 300;
+        replica.onTick(nowMs);
         assertEquals(null, last(Kind.ACCEPT), "nor when it asks again");
         sync();
         assertEquals(List.of(A, B), last(Kind.ACCEPT).membership().dataReplicas());
         assertFalse(replica.isPrimary(), "accepted by itself alone");
         ReplicaMessage accepted =
                 ReplicaMessage.of(Kind.ACCEPT_REPLY, epoch).withGranted(true).withPromisedEpoch(epoch, false);
-        replica.onMessage(now, B, accepted);
+        replica.onMessage(nowMs, B, accepted);
         assertTrue(replica.isPrimary());
-        answers.clear();
-        replica.read(now, 7);
-        assertEquals(List.of(), answers, "a read needs a majority's word");
+        replies.clear();
+        replica.read(nowMs, 7);
+        assertEquals(List.of(), replies, "a read needs a majority's word");
         ReplicaMessage heartbeat = last(Kind.HEARTBEAT);
         ReplicaMessage acknowledged = ReplicaMessage.of(Kind.HEARTBEAT_REPLY, epoch)
                 .withGranted(true)
                 .withPromisedEpoch(epoch, false)
                 .withLogPosition(epoch, 1);
-        replica.onMessage(now, C, acknowledged.withNonce(heartbeat.nonce() - 1));
-        assertEquals(List.of(), answers, "an answer to a heartbeat before the question");
-        replica.onMessage(now, C, acknowledged.withNonce(heartbeat.nonce()));
-        assertEquals(List.of("7 yes"), answers);
-        replica.submit(now, 8, new Change(Change.Kind.REPLACE, 0, SimulatedCluster.document(5)));
-        sync();
-        replica.onMessage(now, C, copied.withLogPosition(epoch, 2));
-        assertEquals(1, answers.size(), "a witness is no backup");
-        replica.onMessage(now, B, copied.withLogPosition(epoch, 2));
-        assertEquals(List.of("7 yes", "in force 2", "8 yes"), answers);
-        now += 800;
-        replica.onTick(now);
+        replica.onMessage(nowMs, C, acknowledged.withNonce(heartbeat.nonce() - 1));
+        assertEquals(List.of(), replies, "an answer to a heartbeat before the question");
+        replica.onMessage(nowMs, C, acknowledged.withNonce(heartbeat.nonce()));
+        assertEquals(List.of("7 yes"), replies);
+        replica.submit(nowMs, 8, new Change(Change.Kind.REPLACE, 0, SimulatedCluster.document(5)));
+        sync();
+        replica.onMessage(nowMs, C, replicated.withLogPosition(epoch, 2));
+        assertEquals(1, replies.size(), "a witness is no backup");
+        replica.onMessage(nowMs, B, replicated.withLogPosition(epoch, 2));
+        assertEquals(List.of("7 yes", "in force 2", "8 yes"), replies);
+        nowMs += 800;
+        replica.onTick(nowMs);
         assertFalse(replica.isPrimary(), "no majority for long: nobody's primary");
     }
 
     /** Found by the local run: with one voter its own word is a majority, and it deposed itself for want of others. */
     @Test
     void singleVoterStaysPrimary() {
-        replica = new Replica(A, List.of(A), 0, true, List.of(), 5, now, new Replica.Output() {
+        replica = new Replica(A, List.of(A), 0, true, List.of(), 5, nowMs, new Replica.Output() {
             @Override
             public void send(String to, ReplicaMessage message) {
                 throw new AssertionError("to nobody");
             }
 
             @Override
-            public void persist(long seq, byte[] record) {
-                persisting.add(new long[] {seq});
+            public void persist(long recordNumber, byte[] record) {
+                pendingRecordNumbers.add(new long[] {recordNumber});
             }
 
             @Override
-            public void completed(long requestId, FleetException why, ControlState state) {}
+            public void completed(long requestId, FleetException rejection, ControlState state) {}
 
             @Override
             public void committed(long index, ControlState state, ChangeHistory history) {}
         });
         sync();
         for (int i = 0; i < 200; i++) {
-            now += 50;
-            replica.onTick(now);
+            nowMs += 50;
+            replica.onTick(nowMs);
             sync();
         }
         assertTrue(replica.isPrimary());
--- a/src/test/java/quartzspan/replication/ReplicaSimulationTest.java
+++ b/src/test/java/quartzspan/replication/ReplicaSimulationTest.java
@@ -14,209 +14,217 @@
  * primary that takes changes.
  */
 class ReplicaSimulationTest {
-    static final int HISTORIES = Integer.getInteger("quartzspan.histories", 1_500);
+    static final int SCENARIO_COUNT = Integer.getInteger("quartzspan.histories", 1_500);
 
     @Test
-    void noAcknowledgedChangeIsLostInAnyHistory() {
+    void noAcknowledgedChangeIsLostInAnyScenario() {
         long reads = 0;
-        long acked = 0;
-        for (long seed = 1; seed <= HISTORIES; seed++) {
-            SimulatedCluster w = new SimulatedCluster(seed, seed % 4 == 0 ? 2 : 1);
+        long acknowledgedCount = 0;
+        for (long seed = 1; seed <= SCENARIO_COUNT; seed++) {
+            SimulatedCluster cluster = new SimulatedCluster(seed, seed % 4 == 0 ? 2 : 1);
             try {
-                play(w);
-            } catch (AssertionError | RuntimeException e) {
-                throw new AssertionError("history " + seed + ": " + e.getMessage(), e);
+                runScenario(cluster);
+            } catch (AssertionError | RuntimeException failure) {
+                throw new AssertionError("history " + seed + ": " + failure.getMessage(), failure);
             }
-            reads += w.reads;
-            acked += w.acked.size();
+            reads += cluster.reads;
+            acknowledgedCount += cluster.acknowledgedChanges.size();
         }
-        assertTrue(acked > 5L * HISTORIES && reads > 5L * HISTORIES, acked + " changes, " + reads + " reads");
+        assertTrue(
+                acknowledgedCount > 5L * SCENARIO_COUNT && reads > 5L * SCENARIO_COUNT,
+                acknowledgedCount + " changes, " + reads + " reads");
     }
 
-    private static void play(SimulatedCluster w) {
-        w.lossPerMille = w.random.nextInt(3) == 0 ? 5 : 0;
-        w.machines.values().forEach(m -> w.after(w.random.nextInt(300), () -> m.start(true)));
-        for (long at = 2_000; at < 24_000; at += 400 + w.random.nextInt(900)) {
-            w.after(at, () -> w.race(1 + w.random.nextInt(2)));
-            w.after(at + w.random.nextInt(400), w::read);
-        }
-        long end = w.now + 24_000;
-        w.run(w.now + 3_000);
-        while (w.now < end) {
-            episode(w);
-            w.run(w.now + w.random.nextInt(2_500));
-        }
-        w.lossPerMille = 0;
-        w.run(w.now + 6_000);
-        SimulatedCluster.need(w.primary() != null, "calm brings no primary: " + roles(w));
-        long last = w.acked.isEmpty() ? 0 : w.acked.lastKey();
-        w.read();
-        w.run(w.now + 1_000);
-        w.race(1);
-        w.run(w.now + 4_000);
-        SimulatedCluster.need(!w.acked.isEmpty() && w.acked.lastKey() > last, "calm brings no change: " + roles(w));
-        ControlState state = w.primary().replica.state();
-        for (Change c : w.acked.values()) {
-            SimulatedCluster.need(state.with(c) == state, "an acknowledged change is not there");
+    private static void runScenario(SimulatedCluster cluster) {
+        cluster.messageLossPerMille = cluster.random.nextInt(3) == 0 ? 5 : 0;
+        cluster.machines
+                .values()
+                .forEach(machine -> cluster.schedule(cluster.random.nextInt(300), () -> machine.start(true)));
+        for (long atMs = 2_000; atMs < 24_000; atMs += 400 + cluster.random.nextInt(900)) {
+            cluster.schedule(atMs, () -> cluster.submitConcurrentChanges(1 + cluster.random.nextInt(2)));
+            cluster.schedule(atMs + cluster.random.nextInt(400), cluster::read);
+        }
+        long endMs = cluster.nowMs + 24_000;
+        cluster.run(cluster.nowMs + 3_000);
+        while (cluster.nowMs < endMs) {
+            injectFault(cluster);
+            cluster.run(cluster.nowMs + cluster.random.nextInt(2_500));
+        }
+        cluster.messageLossPerMille = 0;
+        cluster.run(cluster.nowMs + 6_000);
+        SimulatedCluster.require(cluster.primary() != null, "calm brings no primary: " + describeMachines(cluster));
+        long lastVersion = cluster.acknowledgedChanges.isEmpty() ? 0 : cluster.acknowledgedChanges.lastKey();
+        cluster.read();
+        cluster.run(cluster.nowMs + 1_000);
+        cluster.submitConcurrentChanges(1);
+        cluster.run(cluster.nowMs + 4_000);
+        SimulatedCluster.require(
+                !cluster.acknowledgedChanges.isEmpty() && cluster.acknowledgedChanges.lastKey() > lastVersion,
+                "calm brings no change: " + describeMachines(cluster));
+        ControlState state = cluster.primary().replica.state();
+        for (Change change : cluster.acknowledgedChanges.values()) {
+            SimulatedCluster.require(state.with(change) == state, "an acknowledged change is not there");
         }
     }
 
-    private static String roles(SimulatedCluster w) {
-        return w.machines.values().stream()
-                .map(m -> m.name + "="
-                        + (m.replica == null
+    private static String describeMachines(SimulatedCluster cluster) {
+        return cluster.machines.values().stream()
+                .map(machine -> machine.name + "="
+                        + (machine.replica == null
                                 ? "down"
-                                : m.replica.role() + " " + m.replica.promisedEpoch() + " "
-                                        + m.replica.membership().text()))
+                                : machine.replica.role() + " " + machine.replica.promisedEpoch() + " "
+                                        + machine.replica.membership().text()))
                 .toList()
                 .toString();
     }
 
     /** One trouble, or one that strikes right after a change was acknowledged. */
-    private static void episode(SimulatedCluster w) {
-        List<Machine> all = new ArrayList<>(w.machines.values());
-        Machine m = w.any();
-        long down = 200L + w.random.nextInt(4_000);
-        switch (w.random.nextInt(14)) {
+    private static void injectFault(SimulatedCluster cluster) {
+        List<Machine> machines = new ArrayList<>(cluster.machines.values());
+        Machine machine = cluster.pickRunningMachine();
+        long durationMs = 200L + cluster.random.nextInt(4_000);
+        switch (cluster.random.nextInt(14)) {
             case 0, 1 -> {
-                m.kill();
-                w.run(w.now + down);
-                m.start(w.now < 1_004_000 && w.random.nextBoolean());
+                machine.kill();
+                cluster.run(cluster.nowMs + durationMs);
+                machine.start(cluster.nowMs < 1_004_000 && cluster.random.nextBoolean());
             }
             case 2 -> {
                 // Everybody at once.
-                all.forEach(Machine::kill);
-                w.run(w.now + 300 + w.random.nextInt(1_500));
-                all.forEach(a -> w.after(w.random.nextInt(300), () -> a.start(false)));
-                w.run(w.now + 300);
+                machines.forEach(Machine::kill);
+                cluster.run(cluster.nowMs + 300 + cluster.random.nextInt(1_500));
+                machines.forEach(a -> cluster.schedule(cluster.random.nextInt(300), () -> a.start(false)));
+                cluster.run(cluster.nowMs + 300);
             }
             case 3, 4 -> {
-                cutOff(w, m, all);
-                w.run(w.now + down);
-                w.cuts.clear();
+                isolate(cluster, machine, machines);
+                cluster.run(cluster.nowMs + durationMs);
+                cluster.cutLinks.clear();
             }
             case 5 -> {
-                m.frozen = true;
-                w.run(w.now + down);
-                w.thaw(m);
+                machine.frozen = true;
+                cluster.run(cluster.nowMs + durationMs);
+                cluster.thaw(machine);
             }
             case 6 -> {
-                m.refuses = true;
-                w.run(w.now + down);
-                m.refuses = false;
+                machine.diskFull = true;
+                cluster.run(cluster.nowMs + durationMs);
+                machine.diskFull = false;
             }
             case 7 -> {
-                m.slow = 20L + w.random.nextInt(1_200);
-                w.run(w.now + down);
-                m.slow = 0;
-                w.run(w.now + 1_500);
+                machine.diskDelayMs = 20L + cluster.random.nextInt(1_200);
+                cluster.run(cluster.nowMs + durationMs);
+                machine.diskDelayMs = 0;
+                cluster.run(cluster.nowMs + 1_500);
             }
-            case 8 -> wipe(w, all);
-            case 9 -> replace(w, m);
-            case 10, 11, 12 -> links(w, all, 200 + w.random.nextInt(4_000));
+            case 8 -> loseDisks(cluster, machines);
+            case 9 -> replaceMachine(cluster, machine);
+            case 10, 11, 12 -> cutRandomLinks(cluster, machines, 200 + cluster.random.nextInt(4_000));
             default -> {
                 // A change is on its way when its primary dies.
-                Machine p = w.primary();
-                if (p != null) {
-                    w.race(2);
-                    w.run(w.now + w.random.nextInt(8));
-                    p.kill();
-                    w.run(w.now + down);
-                    p.start(false);
+                Machine primary = cluster.primary();
+                if (primary != null) {
+                    cluster.submitConcurrentChanges(2);
+                    cluster.run(cluster.nowMs + cluster.random.nextInt(8));
+                    primary.kill();
+                    cluster.run(cluster.nowMs + durationMs);
+                    primary.start(false);
                 }
             }
         }
     }
 
     /** One machine is cut off from all others, in one direction or both. */
-    private static void cutOff(SimulatedCluster w, Machine m, List<Machine> all) {
-        boolean oneWay = w.random.nextBoolean();
-        boolean to = w.random.nextBoolean();
-        for (Machine o : all) {
-            if (o != m) {
-                if (!oneWay || to) {
-                    w.cuts.add(m.name + ">" + o.name);
+    private static void isolate(SimulatedCluster cluster, Machine machine, List<Machine> machines) {
+        boolean singleDirection = cluster.random.nextBoolean();
+        boolean outbound = cluster.random.nextBoolean();
+        for (Machine other : machines) {
+            if (other != machine) {
+                if (!singleDirection || outbound) {
+                    cluster.cutLinks.add(machine.name + ">" + other.name);
                 }
-                if (!oneWay || !to) {
-                    w.cuts.add(o.name + ">" + m.name);
+                if (!singleDirection || !outbound) {
+                    cluster.cutLinks.add(other.name + ">" + machine.name);
                 }
             }
         }
     }
 
     /** Some links fail, each in one direction or both, while everybody else hears everybody. */
-    private static void links(SimulatedCluster w, List<Machine> all, long forMs) {
-        for (int n = 1 + w.random.nextInt(all.size()); n > 0; n--) {
-            Machine a = all.get(w.random.nextInt(all.size()));
-            Machine b = all.get(w.random.nextInt(all.size()));
-            w.cuts.add(a.name + ">" + b.name);
-            if (w.random.nextBoolean()) {
-                w.cuts.add(b.name + ">" + a.name);
+    private static void cutRandomLinks(SimulatedCluster cluster, List<Machine> machines, long durationMs) {
+        for (int remaining = 1 + cluster.random.nextInt(machines.size()); remaining > 0; remaining--) {
+            Machine a = machines.get(cluster.random.nextInt(machines.size()));
+            Machine b = machines.get(cluster.random.nextInt(machines.size()));
+            cluster.cutLinks.add(a.name + ">" + b.name);
+            if (cluster.random.nextBoolean()) {
+                cluster.cutLinks.add(b.name + ">" + a.name);
             }
         }
-        for (long end = w.now + forMs; w.now < end; w.run(w.now + 50 + w.random.nextInt(300))) {
+        for (long endMs = cluster.nowMs + durationMs;
+                cluster.nowMs < endMs;
+                cluster.run(cluster.nowMs + 50 + cluster.random.nextInt(300))) {
             // Whoever thinks that it decides is asked.
-            w.race(1);
+            cluster.submitConcurrentChanges(1);
         }
-        w.cuts.clear();
+        cluster.cutLinks.clear();
     }
 
     /** As many disks as may be lost are, in a calm time, perhaps while all others lose power; then calm until caught up. */
-    private static void wipe(SimulatedCluster w, List<Machine> all) {
-        w.run(w.now + 4_500);
-        boolean others = w.random.nextBoolean();
-        if (w.random.nextBoolean()) {
-            w.race(1);
-            w.run(w.now + 5 + w.random.nextInt(40));
-        }
-        List<Machine> lost = new ArrayList<>();
-        Machine p = w.primary();
-        if (p != null && w.random.nextBoolean()) {
-            lost.add(p);
-        }
-        while (lost.size() < w.losses) {
-            Machine next = all.get(w.random.nextInt(all.size()));
-            if (!lost.contains(next)) {
-                lost.add(next);
+    private static void loseDisks(SimulatedCluster cluster, List<Machine> machines) {
+        cluster.run(cluster.nowMs + 4_500);
+        boolean stopOthers = cluster.random.nextBoolean();
+        if (cluster.random.nextBoolean()) {
+            cluster.submitConcurrentChanges(1);
+            cluster.run(cluster.nowMs + 5 + cluster.random.nextInt(40));
+        }
+        List<Machine> diskLosses = new ArrayList<>();
+        Machine primary = cluster.primary();
+        if (primary != null && cluster.random.nextBoolean()) {
+            diskLosses.add(primary);
+        }
+        while (diskLosses.size() < cluster.toleratedFailures) {
+            Machine next = machines.get(cluster.random.nextInt(machines.size()));
+            if (!diskLosses.contains(next)) {
+                diskLosses.add(next);
             }
         }
-        for (Machine m : all) {
-            if (others || lost.contains(m)) {
-                m.kill();
+        for (Machine machine : machines) {
+            if (stopOthers || diskLosses.contains(machine)) {
+                machine.kill();
             }
         }
-        lost.forEach(m -> {
-            m.disk = new ArrayList<>();
+        diskLosses.forEach(machine -> {
+            machine.disk = new ArrayList<>();
         });
-        w.run(w.now + 200 + w.random.nextInt(2_000));
-        for (Machine m : all) {
-            if (m.replica == null) {
-                w.after(w.random.nextInt(300), () -> m.start(false));
+        cluster.run(cluster.nowMs + 200 + cluster.random.nextInt(2_000));
+        for (Machine machine : machines) {
+            if (machine.replica == null) {
+                cluster.schedule(cluster.random.nextInt(300), () -> machine.start(false));
             }
         }
-        if (w.random.nextBoolean()) {
+        if (cluster.random.nextBoolean()) {
             // Disks are not the only trouble: what has come back empty vouches for nothing meanwhile.
-            w.run(w.now + w.random.nextInt(700));
-            links(w, all, 1_500);
+            cluster.run(cluster.nowMs + cluster.random.nextInt(700));
+            cutRandomLinks(cluster, machines, 1_500);
         }
-        w.run(w.now + 4_500);
+        cluster.run(cluster.nowMs + 4_500);
     }
 
     /** A machine goes for good, and an empty one at another address comes. */
-    private static void replace(SimulatedCluster w, Machine old) {
-        w.run(w.now + 4_500);
-        if (old.replica == null || w.machines.size() > 9) {
+    private static void replaceMachine(SimulatedCluster cluster, Machine old) {
+        cluster.run(cluster.nowMs + 4_500);
+        if (old.replica == null || cluster.machines.size() > 9) {
             return;
         }
         old.kill();
-        w.machines.remove(old.name);
-        Machine fresh = w.new Machine("10.0.1." + (w.now % 200 + 1) + ":7000");
-        if (w.machines.containsKey(fresh.name)) {
-            fresh = w.new Machine("10.0.2." + (w.now % 200 + 1) + ":7000");
-        }
-        w.machines.put(fresh.name, fresh);
-        Machine added = fresh;
-        w.after(w.random.nextInt(2_000), () -> added.start(false));
-        w.run(w.now + 9_000);
+        cluster.machines.remove(old.name);
+        Machine replacement = cluster.new Machine("10.0.1." + (cluster.nowMs % 200 + 1) + ":7000");
+        if (cluster.machines.containsKey(replacement.name)) {
+            replacement = cluster.new Machine("10.0.2." + (cluster.nowMs % 200 + 1) + ":7000");
+        }
+        cluster.machines.put(replacement.name, replacement);
+        Machine added = replacement;
+        cluster.schedule(cluster.random.nextInt(2_000), () -> added.start(false));
+        cluster.run(cluster.nowMs + 9_000);
     }
 }
--- a/src/test/java/quartzspan/replication/SimulatedCluster.java
+++ b/src/test/java/quartzspan/replication/SimulatedCluster.java
@@ -16,64 +16,65 @@
 
 /** Core machines in simulated time: their replicas, disks and links, operators who race, and troubles drawn from a seed. */
 final class SimulatedCluster {
-    private record Event(long at, long order, Runnable run) {}
+    private record Event(long atMs, long order, Runnable action) {}
 
     /** One machine; the disk outlives the replica, unless it is lost. */
     final class Machine implements Replica.Output {
         final String name;
         List<byte[]> disk = new ArrayList<>();
         Replica replica;
-        int life;
+        int incarnation;
         boolean frozen;
-        boolean refuses;
-        long slow;
-        long diskFree;
+        boolean diskFull;
+        long diskDelayMs;
+        long diskIdleAtMs;
         /** A life that ended while records were on their way, one of which did not reach the disk. */
-        int lostOfLife = -1;
+        int incarnationWithLostWrite = -1;
 
-        final ArrayDeque<Runnable> held = new ArrayDeque<>();
-        final Map<Long, Asked> asked = new HashMap<>();
+        final ArrayDeque<Runnable> deferredEvents = new ArrayDeque<>();
+        final Map<Long, PendingRequest> pendingRequests = new HashMap<>();
 
         Machine(String name) {
             this.name = name;
         }
 
-        void start(boolean found) {
-            life++;
-            int mine = life;
-            asked.clear();
-            replica = new Replica(name, seeds, losses, found, List.copyOf(disk), random.nextLong(), now, this);
-            tick(mine);
+        void start(boolean bootstrap) {
+            incarnation++;
+            int startedIncarnation = incarnation;
+            pendingRequests.clear();
+            replica = new Replica(
+                    name, seedNodes, toleratedFailures, bootstrap, List.copyOf(disk), random.nextLong(), nowMs, this);
+            tick(startedIncarnation);
         }
 
-        private void tick(int mine) {
-            if (replica != null && life == mine) {
-                replica.onTick(now);
-                after(50, () -> on(this, mine, () -> tick(mine)));
+        private void tick(int startedIncarnation) {
+            if (replica != null && incarnation == startedIncarnation) {
+                replica.onTick(nowMs);
+                schedule(50, () -> dispatch(this, startedIncarnation, () -> tick(startedIncarnation)));
             }
         }
 
         void kill() {
             replica = null;
-            life++;
-            held.clear();
+            incarnation++;
+            deferredEvents.clear();
             // What was on its way to the disk is there or not, in order.
-            diskFree = now;
+            diskIdleAtMs = nowMs;
         }
 
         @Override
         public void send(String to, ReplicaMessage message) {
-            int mine = life;
-            if (cuts.contains(name + ">" + to) || random.nextInt(1000) < lossPerMille) {
+            int startedIncarnation = incarnation;
+            if (cutLinks.contains(name + ">" + to) || random.nextInt(1000) < messageLossPerMille) {
                 return;
             }
-            long delay = 1 + random.nextLong(3) + (random.nextInt(50) == 0 ? random.nextLong(120) : 0);
-            after(delay, () -> {
-                Machine m = machines.get(to);
-                if (m != null && !cuts.contains(name + ">" + to) && mine >= 0) {
-                    on(m, m.life, () -> {
-                        if (m.replica != null) {
-                            m.replica.onMessage(now, name, message);
+            long networkDelayMs = 1 + random.nextLong(3) + (random.nextInt(50) == 0 ? random.nextLong(120) : 0);
+            schedule(networkDelayMs, () -> {
+                Machine machine = machines.get(to);
+                if (machine != null && !cutLinks.contains(name + ">" + to) && startedIncarnation >= 0) {
+                    dispatch(machine, machine.incarnation, () -> {
+                        if (machine.replica != null) {
+                            machine.replica.onMessage(nowMs, name, message);
                         }
                     });
                 }
@@ -81,129 +82,138 @@
         }
 
         @Override
-        public void persist(long seq, byte[] record) {
-            int mine = life;
-            List<byte[]> kept = disk;
-            long done = Math.max(now, diskFree) + 1 + random.nextLong(3) + slow;
-            diskFree = done;
-            boolean refused = refuses;
-            at(done, () -> {
+        public void persist(long number, byte[] record) {
+            int startedIncarnation = incarnation;
+            List<byte[]> targetDisk = disk;
+            long doneAtMs = Math.max(nowMs, diskIdleAtMs) + 1 + random.nextLong(3) + diskDelayMs;
+            diskIdleAtMs = doneAtMs;
+            boolean writeFails = diskFull;
+            scheduleAt(doneAtMs, () -> {
                 // A log keeps what was on its way in order: nothing is there whose predecessor is not.
-                boolean lost =
-                        life != mine && (refused || lostOfLife == mine || random.nextBoolean() || life != mine + 1);
+                boolean lost = incarnation != startedIncarnation
+                        && (writeFails
+                                || incarnationWithLostWrite == startedIncarnation
+                                || random.nextBoolean()
+                                || incarnation != startedIncarnation + 1);
                 if (lost) {
-                    lostOfLife = mine;
-                } else if (!refused) {
-                    kept.add(record);
+                    incarnationWithLostWrite = startedIncarnation;
+                } else if (!writeFails) {
+                    targetDisk.add(record);
                 }
-                if (life == mine) {
-                    on(this, mine, () -> replica.onPersisted(now, seq, !refused));
+                if (incarnation == startedIncarnation) {
+                    dispatch(this, startedIncarnation, () -> replica.onPersisted(nowMs, number, !writeFails));
                 }
             });
         }
 
         @Override
-        public void completed(long requestId, FleetException why, ControlState state) {
-            Asked a = asked.remove(requestId);
-            if (a != null && why == null) {
-                a.granted(state);
+        public void completed(long requestId, FleetException rejection, ControlState state) {
+            PendingRequest request = pendingRequests.remove(requestId);
+            if (request != null && rejection == null) {
+                request.accepted(state);
             }
         }
 
         @Override
         public void committed(long index, ControlState state, ChangeHistory history) {
-            long[] key = {index};
+            long[] position = {index};
             Epoch epoch = replica.membership().epoch();
-            String by = committedBy.putIfAbsent(epoch, name);
-            need(by == null || by.equals(name), "two primaries in epoch " + epoch);
-            Long other = committed.get(key);
-            need(other == null || other == state.configuration().version(), "two states at index " + index);
+            String primary = primaryByEpoch.putIfAbsent(epoch, name);
+            require(primary == null || primary.equals(name), "two primaries in epoch " + epoch);
+            Long otherVersion = versionByPosition.get(position);
+            require(
+                    otherVersion == null
+                            || otherVersion == state.configuration().version(),
+                    "two states at index " + index);
             long version = state.configuration().version();
-            for (Map.Entry<long[], Long> e : committed.headMap(key, true).entrySet()) {
-                need(e.getValue() <= version, "version " + version + " after " + e.getValue());
+            for (Map.Entry<long[], Long> entry :
+                    versionByPosition.headMap(position, true).entrySet()) {
+                require(entry.getValue() <= version, "version " + version + " after " + entry.getValue());
             }
-            for (Map.Entry<long[], Long> e : committed.tailMap(key, false).entrySet()) {
-                need(e.getValue() >= version, "version " + version + " before " + e.getValue());
+            for (Map.Entry<long[], Long> entry :
+                    versionByPosition.tailMap(position, false).entrySet()) {
+                require(entry.getValue() >= version, "version " + version + " before " + entry.getValue());
             }
-            committed.put(key, version);
+            versionByPosition.put(position, version);
         }
     }
 
-    private interface Asked {
-        void granted(ControlState state);
+    private interface PendingRequest {
+        void accepted(ControlState state);
     }
 
     final SplittableRandom random;
-    final int losses;
-    final List<String> seeds;
+    final int toleratedFailures;
+    final List<String> seedNodes;
     final Map<String, Machine> machines = new TreeMap<>();
-    final Set<String> cuts = new HashSet<>();
-    int lossPerMille;
-    long now = 1_000_000;
-    private long order;
-    private long requestIds;
-    private final PriorityQueue<Event> events =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
-    private final TreeMap<long[], Long> committed = new TreeMap<>(Arrays::compare);
-    private final Map<Epoch, String> committedBy = new HashMap<>();
+    final Set<String> cutLinks = new HashSet<>();
+    int messageLossPerMille;
+    long nowMs = 1_000_000;
+    private long lastOrder;
+    private long lastRequestId;
+    private final PriorityQueue<Event> events = new PriorityQueue<>((first, second) -> first.atMs != second.atMs
+            ? Long.compare(first.atMs, second.atMs)
+            : Long.compare(first.order, second.order));
+    private final TreeMap<long[], Long> versionByPosition = new TreeMap<>(Arrays::compare);
+    private final Map<Epoch, String> primaryByEpoch = new HashMap<>();
     /** Acknowledged changes: base, by version. */
-    final TreeMap<Long, Change> acked = new TreeMap<>();
+    final TreeMap<Long, Change> acknowledgedChanges = new TreeMap<>();
 
-    private final Set<Long> bases = new HashSet<>();
+    private final Set<Long> acknowledgedBaseVersions = new HashSet<>();
     private long nextVersion = 1;
     private long knownVersion;
     int reads;
 
-    SimulatedCluster(long seed, int losses) {
+    SimulatedCluster(long seed, int toleratedFailures) {
         this.random = new SplittableRandom(seed);
-        this.losses = losses;
-        int n = 2 * losses + 1;
-        for (int i = 0; i < n; i++) {
+        this.toleratedFailures = toleratedFailures;
+        int machineCount = 2 * toleratedFailures + 1;
+        for (int i = 0; i < machineCount; i++) {
             String name = "10.0.0." + (i + 1) + ":7000";
             machines.put(name, new Machine(name));
         }
-        seeds = machines.keySet().stream().limit(3).toList();
+        seedNodes = machines.keySet().stream().limit(3).toList();
     }
 
-    static void need(boolean ok, String otherwise) {
-        if (!ok) {
-            throw new AssertionError(otherwise);
+    static void require(boolean holds, String message) {
+        if (!holds) {
+            throw new AssertionError(message);
         }
     }
 
-    void at(long time, Runnable run) {
-        events.add(new Event(Math.max(time, now), ++order, run));
+    void scheduleAt(long timeMs, Runnable action) {
+        events.add(new Event(Math.max(timeMs, nowMs), ++lastOrder, action));
     }
 
-    void after(long ms, Runnable run) {
-        at(now + ms, run);
+    void schedule(long delayMs, Runnable action) {
+        scheduleAt(nowMs + delayMs, action);
     }
 
     /** An event at a machine: dropped if that life is over, held up while it is frozen. */
-    private void on(Machine m, int life, Runnable run) {
-        if (m.life != life) {
+    private void dispatch(Machine machine, int incarnation, Runnable action) {
+        if (machine.incarnation != incarnation) {
             return;
         }
-        if (m.frozen) {
-            m.held.add(() -> on(m, life, run));
+        if (machine.frozen) {
+            machine.deferredEvents.add(() -> dispatch(machine, incarnation, action));
         } else {
-            run.run();
+            action.run();
         }
     }
 
     void run(long untilMs) {
-        while (!events.isEmpty() && events.peek().at <= untilMs) {
-            Event e = events.poll();
-            now = e.at;
-            e.run.run();
+        while (!events.isEmpty() && events.peek().atMs <= untilMs) {
+            Event event = events.poll();
+            nowMs = event.atMs;
+            event.action.run();
         }
-        now = untilMs;
+        nowMs = untilMs;
     }
 
-    void thaw(Machine m) {
-        m.frozen = false;
-        for (Runnable r; (r = m.held.poll()) != null; ) {
-            after(0, r);
+    void thaw(Machine machine) {
+        machine.frozen = false;
+        for (Runnable event; (event = machine.deferredEvents.poll()) != null; ) {
+            schedule(0, event);
         }
     }
 
@@ -214,67 +224,70 @@
     }
 
     /** Two changes on the version last seen, at two machines; whoever is told yes is held to it. */
-    void race(int count) {
+    void submitConcurrentChanges(int count) {
         for (int i = 0; i < count; i++) {
             nextVersion = Math.max(nextVersion, knownVersion) + 1 + random.nextInt(3);
             change(new Change(Change.Kind.REPLACE, knownVersion, document(nextVersion)), nextVersion, 6);
         }
     }
 
-    private void change(Change change, long version, int tries) {
-        if (tries == 0) {
+    private void change(Change change, long version, int attemptsLeft) {
+        if (attemptsLeft == 0) {
             return;
         }
-        for (Machine m : machines.values()) {
+        for (Machine machine : machines.values()) {
             // The operator is sent from one to the other until one says that it decides; a cut-off one may say so too.
-            if (m.replica != null && m.replica.isPrimary() && !m.frozen) {
-                long requestId = ++requestIds;
-                m.asked.put(requestId, state -> {
-                    if (!acked.containsKey(version)) {
-                        need(bases.add(change.baseVersion()), "two changes on version " + change.baseVersion());
+            if (machine.replica != null && machine.replica.isPrimary() && !machine.frozen) {
+                long requestId = ++lastRequestId;
+                machine.pendingRequests.put(requestId, state -> {
+                    if (!acknowledgedChanges.containsKey(version)) {
+                        require(
+                                acknowledgedBaseVersions.add(change.baseVersion()),
+                                "two changes on version " + change.baseVersion());
                     }
-                    acked.put(version, change);
+                    acknowledgedChanges.put(version, change);
                     knownVersion = Math.max(knownVersion, version);
                 });
-                m.replica.submit(now, requestId, change);
+                machine.replica.submit(nowMs, requestId, change);
             }
         }
-        after(300 + random.nextInt(500), () -> {
-            if (!acked.containsKey(version)) {
-                change(change, version, tries - 1);
+        schedule(300 + random.nextInt(500), () -> {
+            if (!acknowledgedChanges.containsKey(version)) {
+                change(change, version, attemptsLeft - 1);
             }
         });
     }
 
     /** A read, at everybody who thinks that it decides. */
     void read() {
-        long most = acked.isEmpty() ? 0 : acked.lastKey();
-        for (Machine m : machines.values()) {
-            if (m.replica != null && m.replica.isPrimary() && !m.frozen) {
-                long requestId = ++requestIds;
-                m.asked.put(requestId, state -> {
+        long newestVersion = acknowledgedChanges.isEmpty() ? 0 : acknowledgedChanges.lastKey();
+        for (Machine machine : machines.values()) {
+            if (machine.replica != null && machine.replica.isPrimary() && !machine.frozen) {
+                long requestId = ++lastRequestId;
+                machine.pendingRequests.put(requestId, state -> {
                     reads++;
-                    need(
-                            state.configuration().version() >= most,
-                            "read " + state.configuration().version() + " after " + most);
+                    require(
+                            state.configuration().version() >= newestVersion,
+                            "read " + state.configuration().version() + " after " + newestVersion);
                     knownVersion = Math.max(knownVersion, state.configuration().version());
                 });
-                m.replica.read(now, requestId);
+                machine.replica.read(nowMs, requestId);
             }
         }
     }
 
     Machine primary() {
         return machines.values().stream()
-                .filter(m -> m.replica != null && m.replica.isPrimary())
+                .filter(machine -> machine.replica != null && machine.replica.isPrimary())
                 .findFirst()
                 .orElse(null);
     }
 
-    Machine any() {
-        List<Machine> up =
-                machines.values().stream().filter(m -> m.replica != null).toList();
-        Machine p = primary();
-        return p != null && random.nextInt(3) == 0 ? p : up.get(random.nextInt(up.size()));
+    Machine pickRunningMachine() {
+        List<Machine> running = machines.values().stream()
+                .filter(machine -> machine.replica != null)
+                .toList();
+        Machine primary = primary();
+        return primary != null && random.nextInt(3) == 0 ? primary : running.get(random.nextInt(running.size()));
     }
 }
--- a/src/test/java/quartzspan/replication/StoredStateCompatibilityTest.java
+++ b/src/test/java/quartzspan/replication/StoredStateCompatibilityTest.java
@@ -24,7 +24,7 @@
     private static final String D = "10.0.0.4:7640";
     private static final String FIRST = "{\"version\":2,\"routes\":[],\"services\":[{\"name\":\"s\"}]}";
     private static final String PATCH = "{\"version\":5,\"upsert\":{\"services\":[{\"name\":\"t\"}]}}";
-    private static final List<String> MOMENTS = List.of("founding", "changes", "joint-view", "lost-disk", "restart");
+    private static final List<String> STAGES = List.of("founding", "changes", "joint-view", "lost-disk", "restart");
 
     @TempDir
     Path folder;
@@ -35,7 +35,7 @@
 
     /** A history with a change of each kind, a change of voters and a lost disk: each byte sent and written is the same. */
     @Test
-    void theSameHistoryIsSentAndWrittenByteForByte() {
+    void recordedScenarioIsSentAndWrittenByteForByte() {
         Path disks = folder.resolve("disks");
         RecordedCluster cluster = new RecordedCluster(disks, List.of(A, B, C));
         for (String name : List.of(A, B, C)) {
@@ -54,7 +54,7 @@
         compare("changes", disks);
         Machine added = cluster.add(D);
         added.start(false);
-        assertTrue(cluster.runUntil(cluster.now() + 10_000, cluster::changesVoters));
+        assertTrue(cluster.runUntil(cluster.nowMs() + 10_000, cluster::isChangingVoters));
         compare("joint-view", disks);
         cluster.run(3_000);
         Machine primary = cluster.primary();
@@ -69,42 +69,43 @@
         cluster.run(4_000);
         cluster.change(change(Change.Kind.WEIGHTS, 0, "{\"model\":\"m\",\"version\":8}"));
         compare("restart", disks);
-        GoldenFile.assertText("replication/answers.txt", String.join("\n", cluster.answers()) + "\n");
+        GoldenFile.assertText("replication/answers.txt", String.join("\n", cluster.replies()) + "\n");
         GoldenFile.assertText("replication/trace.txt", cluster.trace());
     }
 
-    private static void compare(String moment, Path disks) {
-        GoldenFile.assertFolder("replication/" + moment, disks);
+    private static void compare(String stage, Path disks) {
+        GoldenFile.assertFolder("replication/" + stage, disks);
     }
 
     /** Each store is opened as at a start; the state found there, written anew, has the same bytes. */
     @Test
-    void storesOfEarlierVersionsAreReadAndTheirStateIsWrittenTheSame() {
-        StringBuilder found = new StringBuilder();
-        for (String moment : MOMENTS) {
-            GoldenFile.copy(GoldenFile.path("replication/" + moment), folder.resolve(moment));
+    void storesOfEarlierVersionsAreReadAndTheirStateIsRewrittenUnchanged() {
+        StringBuilder described = new StringBuilder();
+        for (String stage : STAGES) {
+            GoldenFile.copy(GoldenFile.path("replication/" + stage), folder.resolve(stage));
             for (String name : List.of(A, B, C, D)) {
-                Path disk = folder.resolve(moment).resolve(name.replace(':', '_'));
+                Path disk = folder.resolve(stage).resolve(name.replace(':', '_'));
                 if (!GoldenFile.files(disk).isEmpty()) {
-                    found.append(moment)
+                    described
+                            .append(stage)
                             .append(' ')
                             .append(describe(name, disk))
                             .append('\n');
                 }
             }
         }
-        GoldenFile.assertText("replication/stores.txt", found.toString());
+        GoldenFile.assertText("replication/stores.txt", described.toString());
     }
 
     private String describe(String name, Path disk) {
-        List<byte[]> kept = new ReplicaStore(new SlotStore(new FileDisk(disk))).open();
-        Replica replica = new Replica(name, List.of(A, B, C), 1, false, kept, 1, 1, new IgnoredOutput());
+        List<byte[]> storedRecords = new ReplicaStore(new SlotStore(new FileDisk(disk))).open();
+        Replica replica = new Replica(name, List.of(A, B, C), 1, false, storedRecords, 1, 1, new IgnoredOutput());
         byte[] state = replica.state().bytes();
         assertArrayEquals(state, ControlState.parse(state).bytes());
-        Membership view = replica.membership();
-        assertEquals(view, Membership.parse(view.text()));
-        return name + ": " + kept.size() + " records, " + replica.role() + ", promised "
-                + replica.promisedEpoch().text() + ", view " + view.text() + ", copy "
+        Membership membership = replica.membership();
+        assertEquals(membership, Membership.parse(membership.text()));
+        return name + ": " + storedRecords.size() + " records, " + replica.role() + ", promised "
+                + replica.promisedEpoch().text() + ", view " + membership.text() + ", copy "
                 + replica.logEpoch().text() + " at " + replica.logIndex() + ", "
                 + new String(replica.state().configuration().bytes(), StandardCharsets.UTF_8) + " "
                 + replica.state().weights() + " " + replica.state().rolloutHolder() + " "
@@ -113,21 +114,21 @@
 
     /** The records of each store, kept one by one in an empty folder, make the same files again. */
     @Test
-    void recordsOfEarlierVersionsAreKeptInTheSameFiles() {
+    void recordsOfEarlierVersionsAreRewrittenToIdenticalFiles() {
         for (String name : List.of(A, B, C)) {
-            Path golden = GoldenFile.path("replication/changes").resolve(name.replace(':', '_'));
-            Path copied = folder.resolve("copied " + name.hashCode());
-            GoldenFile.copy(golden, copied);
-            SlotStore.Contents contents = new SlotStore(new FileDisk(copied)).open();
-            Path written = folder.resolve("written " + name.hashCode());
-            SlotStore store = new SlotStore(new FileDisk(written));
+            Path goldenFolder = GoldenFile.path("replication/changes").resolve(name.replace(':', '_'));
+            Path copiedFolder = folder.resolve("copied " + name.hashCode());
+            GoldenFile.copy(goldenFolder, copiedFolder);
+            SlotStore.Contents contents = new SlotStore(new FileDisk(copiedFolder)).open();
+            Path writtenFolder = folder.resolve("written " + name.hashCode());
+            SlotStore store = new SlotStore(new FileDisk(writtenFolder));
             store.open();
             store.checkpoint(contents.state());
             contents.records().forEach(store::append);
-            List<byte[]> again =
-                    new ArrayList<>(new SlotStore(new FileDisk(written)).open().records());
-            assertEquals(contents.records().size(), again.size());
-            GoldenFile.assertFolder("replication/changes/" + name.replace(':', '_'), written);
+            List<byte[]> rewritten = new ArrayList<>(
+                    new SlotStore(new FileDisk(writtenFolder)).open().records());
+            assertEquals(contents.records().size(), rewritten.size());
+            GoldenFile.assertFolder("replication/changes/" + name.replace(':', '_'), writtenFolder);
         }
     }
 
@@ -139,7 +140,7 @@
         public void persist(long number, byte[] record) {}
 
         @Override
-        public void completed(long requestId, FleetException refusal, ControlState state) {}
+        public void completed(long requestId, FleetException rejection, ControlState state) {}
 
         @Override
         public void committed(long index, ControlState state, ChangeHistory history) {}
--- a/src/test/java/quartzspan/replication/simulation/ChangeOperation.java
+++ b/src/test/java/quartzspan/replication/simulation/ChangeOperation.java
@@ -10,17 +10,17 @@
     final Change change;
     final boolean valid;
     /** The newest version of which anybody knew when the change was first sent. */
-    final long floor;
+    final long knownVersionFloor;
 
     boolean acknowledged;
-    boolean refused;
+    boolean rejected;
 
-    ChangeOperation(int id, long version, Change change, boolean valid, long floor) {
+    ChangeOperation(int id, long version, Change change, boolean valid, long knownVersionFloor) {
         this.id = id;
         this.version = version;
         this.change = change;
         this.valid = valid;
-        this.floor = floor;
+        this.knownVersionFloor = knownVersionFloor;
     }
 
     /** The service by which the change is recognised in a configuration. */
--- a/src/test/java/quartzspan/replication/simulation/EventQueue.java
+++ b/src/test/java/quartzspan/replication/simulation/EventQueue.java
@@ -4,31 +4,31 @@
 
 /** Simulated time: events run in the order of their times, and of their scheduling where these are equal. */
 final class EventQueue {
-    private record Event(long at, long order, Runnable run) {}
+    private record Event(long atMs, long order, Runnable action) {}
 
-    private final PriorityQueue<Event> events =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
-    private long now;
-    private long order;
+    private final PriorityQueue<Event> events = new PriorityQueue<>(
+            (a, b) -> a.atMs != b.atMs ? Long.compare(a.atMs, b.atMs) : Long.compare(a.order, b.order));
+    private long nowMs;
+    private long nextOrder;
 
-    EventQueue(long start) {
-        now = start;
+    EventQueue(long startMs) {
+        nowMs = startMs;
     }
 
-    long now() {
-        return now;
+    long nowMs() {
+        return nowMs;
     }
 
-    void after(long ms, Runnable run) {
-        events.add(new Event(now + Math.max(0, ms), ++order, run));
+    void schedule(long delayMs, Runnable action) {
+        events.add(new Event(nowMs + Math.max(0, delayMs), ++nextOrder, action));
     }
 
-    void runUntil(long time) {
-        while (!events.isEmpty() && events.peek().at <= time) {
+    void runUntil(long timeMs) {
+        while (!events.isEmpty() && events.peek().atMs <= timeMs) {
             Event event = events.poll();
-            now = event.at;
-            event.run.run();
+            nowMs = event.atMs;
+            event.action.run();
         }
-        now = Math.max(now, time);
+        nowMs = Math.max(nowMs, timeMs);
     }
 }
--- a/src/test/java/quartzspan/replication/simulation/FaultBudget.java
+++ b/src/test/java/quartzspan/replication/simulation/FaultBudget.java
@@ -9,127 +9,129 @@
  * after the start of a new one. A removed machine counts until its successor has had that time.
  */
 final class FaultBudget {
-    private static final class Account {
-        private int troubles;
-        private long lostUntil;
+    private static final class MachineFaults {
+        private int activeFaults;
+        private long unavailableUntilMs;
         /** Until when it may lack what its disk held. */
-        private long withoutDiskUntil;
+        private long dataMissingUntilMs;
         /** Whether the trouble at hand struck before it had its time to catch up. */
-        private boolean delayed;
+        private boolean faultedBeforeCaughtUp;
     }
 
-    private final Map<String, Account> accounts = new TreeMap<>();
-    private int pending;
-    private long settledAt;
-    private final int losses;
+    private final Map<String, MachineFaults> faultsByMachine = new TreeMap<>();
+    private int pendingReplacements;
+    private long settledAtMs;
+    private final int toleratedFailures;
     private final long catchUpMs;
 
-    FaultBudget(int losses, long catchUpMs) {
-        this.losses = losses;
+    FaultBudget(int toleratedFailures, long catchUpMs) {
+        this.toleratedFailures = toleratedFailures;
         this.catchUpMs = catchUpMs;
     }
 
     /** A machine that has just started for the first time, with an empty disk. */
-    void added(String name, long now) {
-        Account account = accounts.computeIfAbsent(name, n -> new Account());
-        account.lostUntil = Math.max(account.lostUntil, now + catchUpMs);
-        account.withoutDiskUntil = account.lostUntil;
+    void onAdded(String name, long nowMs) {
+        MachineFaults faults = faultsByMachine.computeIfAbsent(name, n -> new MachineFaults());
+        faults.unavailableUntilMs = Math.max(faults.unavailableUntilMs, nowMs + catchUpMs);
+        faults.dataMissingUntilMs = faults.unavailableUntilMs;
     }
 
     /** A successor that takes over the account of one that was removed without notice. */
-    void succeeds(String successor, String removed, long now) {
-        accounts.remove(removed);
-        added(successor, now);
+    void onReplaced(String successor, String removed, long nowMs) {
+        faultsByMachine.remove(removed);
+        onAdded(successor, nowMs);
     }
 
     /** One whose successor runs already: the successor's account stands for both. */
-    void removed(String name) {
-        accounts.remove(name);
+    void onRemoved(String name) {
+        faultsByMachine.remove(name);
     }
 
     /** Trouble strikes; one that leaves for good has no account any more. */
-    void begin(String name, long now) {
-        Account account = accounts.get(name);
-        if (account != null) {
-            account.troubles++;
-            account.delayed |= now < account.withoutDiskUntil;
+    void beginFault(String name, long nowMs) {
+        MachineFaults faults = faultsByMachine.get(name);
+        if (faults != null) {
+            faults.activeFaults++;
+            faults.faultedBeforeCaughtUp |= nowMs < faults.dataMissingUntilMs;
         }
     }
 
-    void end(String name, long now) {
-        Account account = accounts.get(name);
-        if (account != null) {
-            account.troubles--;
-            account.lostUntil = Math.max(account.lostUntil, now + catchUpMs);
-            if (account.delayed && account.troubles == 0) {
-                account.delayed = false;
-                account.withoutDiskUntil = account.lostUntil;
+    void endFault(String name, long nowMs) {
+        MachineFaults faults = faultsByMachine.get(name);
+        if (faults != null) {
+            faults.activeFaults--;
+            faults.unavailableUntilMs = Math.max(faults.unavailableUntilMs, nowMs + catchUpMs);
+            if (faults.faultedBeforeCaughtUp && faults.activeFaults == 0) {
+                faults.faultedBeforeCaughtUp = false;
+                faults.dataMissingUntilMs = faults.unavailableUntilMs;
             }
         }
     }
 
-    void diskLost(String name) {
-        accounts.get(name).withoutDiskUntil = Long.MAX_VALUE;
+    void onDiskLost(String name) {
+        faultsByMachine.get(name).dataMissingUntilMs = Long.MAX_VALUE;
     }
 
-    void diskLossEnds(String name, long now) {
-        Account account = accounts.get(name);
-        if (account != null) {
-            account.withoutDiskUntil = now + catchUpMs;
+    void onRestartedWithoutData(String name, long nowMs) {
+        MachineFaults faults = faultsByMachine.get(name);
+        if (faults != null) {
+            faults.dataMissingUntilMs = nowMs + catchUpMs;
         }
     }
 
-    boolean lost(String name, long now) {
-        Account account = accounts.get(name);
-        return account != null && lost(account, now);
+    boolean isUnavailable(String name, long nowMs) {
+        MachineFaults faults = faultsByMachine.get(name);
+        return faults != null && isUnavailable(faults, nowMs);
     }
 
-    private static boolean lost(Account account, long now) {
-        return account.troubles > 0 || now < account.lostUntil;
+    private static boolean isUnavailable(MachineFaults faults, long nowMs) {
+        return faults.activeFaults > 0 || nowMs < faults.unavailableUntilMs;
     }
 
     /** Whether these may be lost as well. */
-    boolean allows(Collection<String> more, long now) {
-        long others = accounts.entrySet().stream()
-                .filter(e -> lost(e.getValue(), now) && !more.contains(e.getKey()))
+    boolean allows(Collection<String> additional, long nowMs) {
+        long otherUnavailable = faultsByMachine.entrySet().stream()
+                .filter(e -> isUnavailable(e.getValue(), nowMs) && !additional.contains(e.getKey()))
                 .count();
-        return others + more.size() <= losses;
+        return otherUnavailable + additional.size() <= toleratedFailures;
     }
 
     /** Whether a machine may still lack what its disk held. */
-    boolean disksMissing(long now) {
-        return accounts.values().stream().anyMatch(a -> a.delayed || now < a.withoutDiskUntil);
+    boolean isAnyDataMissing(long nowMs) {
+        return faultsByMachine.values().stream().anyMatch(a -> a.faultedBeforeCaughtUp || nowMs < a.dataMissingUntilMs);
     }
 
     /** Something goes on that is no loss yet or no longer, such as a planned replacement. */
-    void pendingBegins() {
-        pending++;
+    void beginPending() {
+        pendingReplacements++;
     }
 
-    void pendingEnds() {
-        pending--;
+    void endPending() {
+        pendingReplacements--;
     }
 
     /** A machine was removed that no longer counts; the others still have to settle. */
-    void settlesUntil(long time) {
-        settledAt = Math.max(settledAt, time);
+    void extendSettling(long untilMs) {
+        settledAtMs = Math.max(settledAtMs, untilMs);
     }
 
     /** Whether a planned replacement is under way. */
-    boolean settling(long now) {
-        return pending > 0 || now < settledAt;
+    boolean isSettling(long nowMs) {
+        return pendingReplacements > 0 || nowMs < settledAtMs;
     }
 
-    boolean anyLost(long now) {
-        return pending > 0 || now < settledAt || accounts.values().stream().anyMatch(a -> lost(a, now));
+    boolean isAnyUnavailable(long nowMs) {
+        return pendingReplacements > 0
+                || nowMs < settledAtMs
+                || faultsByMachine.values().stream().anyMatch(a -> isUnavailable(a, nowMs));
     }
 
     /** The next time at which a machine stops counting as lost, as far as is known. */
-    long nextReturn(long now) {
-        return accounts.values().stream()
-                .filter(a -> a.troubles == 0 && a.lostUntil > now)
-                .mapToLong(a -> a.lostUntil)
+    long nextAvailableAtMs(long nowMs) {
+        return faultsByMachine.values().stream()
+                .filter(a -> a.activeFaults == 0 && a.unavailableUntilMs > nowMs)
+                .mapToLong(a -> a.unavailableUntilMs)
                 .min()
-                .orElse(now + 50);
+                .orElse(nowMs + 50);
     }
 }
--- a/src/test/java/quartzspan/replication/simulation/HistoryChecker.java
+++ b/src/test/java/quartzspan/replication/simulation/HistoryChecker.java
@@ -24,30 +24,31 @@
     private final List<ChangeOperation> operations = new ArrayList<>();
     private final Map<Long, List<ChangeOperation>> byVersion = new HashMap<>();
     /** What came in force, by version. */
-    private final TreeMap<Long, ChangeOperation> inForce = new TreeMap<>();
-
-    private final Map<Long, Set<String>> contents = new HashMap<>();
-    private final Map<Long, ChangeOperation> takenBase = new HashMap<>();
-    private final TreeMap<Position, Long> commits = new TreeMap<>();
-    private final Map<String, Long> weightsFloor = new TreeMap<>();
-    private final Map<String, Long> weightsAsked = new TreeMap<>();
-    private long newestCommitted;
+    private final TreeMap<Long, ChangeOperation> committedByVersion = new TreeMap<>();
+
+    private final Map<Long, Set<String>> serviceNamesByVersion = new HashMap<>();
+    private final Map<Long, ChangeOperation> changeByBaseVersion = new HashMap<>();
+    private final TreeMap<Position, Long> versionByPosition = new TreeMap<>();
+    private final Map<String, Long> acknowledgedWeights = new TreeMap<>();
+    private final Map<String, Long> requestedWeights = new TreeMap<>();
+    private long newestCommittedVersion;
     /** The newest version that an answer has told of. */
-    private long floor;
+    private long knownVersionFloor;
 
     private int acknowledged;
     private int reads;
 
     // ---- operations ----------------------------------------------------------------------------------
 
-    ChangeOperation change(Change.Kind kind, long base, long version, boolean valid, String padding) {
+    ChangeOperation change(Change.Kind kind, long baseVersion, long version, boolean valid, String padding) {
         int id = operations.size();
         byte[] body = !valid
                 ? ChangeOperation.invalid(id, version)
                 : kind == Change.Kind.REPLACE
                         ? ChangeOperation.replacement(id, version, padding)
                         : ChangeOperation.update(id, version);
-        ChangeOperation operation = new ChangeOperation(id, version, new Change(kind, base, body), valid, floor);
+        ChangeOperation operation =
+                new ChangeOperation(id, version, new Change(kind, baseVersion, body), valid, knownVersionFloor);
         operations.add(operation);
         byVersion.computeIfAbsent(version, v -> new ArrayList<>()).add(operation);
         return operation;
@@ -65,37 +66,37 @@
         return reads;
     }
 
-    long floor() {
-        return floor;
+    long knownVersionFloor() {
+        return knownVersionFloor;
     }
 
     /** Next number for weights of a model. */
-    long nextWeights(String model) {
-        return weightsAsked.merge(model, 1L, Long::sum);
+    long nextWeightsVersion(String model) {
+        return requestedWeights.merge(model, 1L, Long::sum);
     }
 
     // ---- what is told --------------------------------------------------------------------------------
 
-    void committed(SimulatedMachine by, Position position, ControlState state) {
+    void onCommitted(SimulatedMachine machine, Position position, ControlState state) {
         observe(state);
         long version = state.configuration().version();
-        Map.Entry<Position, Long> before = commits.floorEntry(position);
-        Map.Entry<Position, Long> after = commits.higherEntry(position);
+        Map.Entry<Position, Long> before = versionByPosition.floorEntry(position);
+        Map.Entry<Position, Long> after = versionByPosition.higherEntry(position);
         require(
                 (before == null || before.getValue() <= version) && (after == null || after.getValue() >= version),
-                Rule.COMMITS_ONLY_RISE,
-                by.lifeName() + " commits version " + version + " at " + position + ", between " + before + " and "
-                        + after);
+                Rule.COMMITTED_VERSIONS_INCREASE,
+                machine.incarnationName() + " commits version " + version + " at " + position + ", between " + before
+                        + " and " + after);
         require(
                 before == null || !before.getKey().equals(position) || before.getValue() == version,
-                Rule.COMMITS_ONLY_RISE,
-                by.lifeName() + " commits version " + version + " at " + position + " after " + before);
-        commits.put(position, version);
-        newestCommitted = Math.max(newestCommitted, version);
+                Rule.COMMITTED_VERSIONS_INCREASE,
+                machine.incarnationName() + " commits version " + version + " at " + position + " after " + before);
+        versionByPosition.put(position, version);
+        newestCommittedVersion = Math.max(newestCommittedVersion, version);
     }
 
-    long newestCommitted() {
-        return newestCommitted;
+    long newestCommittedVersion() {
+        return newestCommittedVersion;
     }
 
     /** Notes a state that is in force somewhere. */
@@ -105,151 +106,158 @@
         if (version <= 0) {
             return null;
         }
-        Set<String> names = configuration.services().keySet();
-        ChangeOperation known = inForce.get(version);
-        if (known != null) {
+        Set<String> serviceNames = configuration.services().keySet();
+        ChangeOperation committed = committedByVersion.get(version);
+        if (committed != null) {
             require(
-                    names.equals(contents.get(version)),
-                    Rule.ONE_CHANGE_PER_BASE,
-                    "two contents of version " + version + ": " + names + " and " + contents.get(version));
-            return known;
+                    serviceNames.equals(serviceNamesByVersion.get(version)),
+                    Rule.ONE_CHANGE_PER_BASE_VERSION,
+                    "two contents of version " + version + ": " + serviceNames + " and "
+                            + serviceNamesByVersion.get(version));
+            return committed;
         }
         List<ChangeOperation> candidates = byVersion.getOrDefault(version, List.of()).stream()
-                .filter(o -> names.contains(ChangeOperation.marker(o.id)))
+                .filter(candidate -> serviceNames.contains(ChangeOperation.marker(candidate.id)))
                 .toList();
         require(
                 candidates.size() == 1,
-                Rule.READS_ONLY_WHAT_CAME_IN_FORCE,
+                Rule.READS_RETURN_COMMITTED_STATE,
                 "version " + version + " is of the changes " + candidates);
         ChangeOperation operation = candidates.get(0);
-        require(operation.valid, Rule.INVALID_IS_REFUSED, operation + " is invalid and in force");
+        require(operation.valid, Rule.INVALID_CHANGE_IS_REJECTED, operation + " is invalid and in force");
         require(
-                !operation.refused,
-                Rule.NEVER_REFUSED_WHAT_IS_IN_FORCE,
+                !operation.rejected,
+                Rule.REJECTED_CHANGE_IS_NOT_COMMITTED,
                 operation + " was refused and is in force all the same");
-        ChangeOperation other = takenBase.putIfAbsent(operation.change.baseVersion(), operation);
-        require(other == null, Rule.ONE_CHANGE_PER_BASE, operation + " and " + other + " are both in force");
-        inForce.put(version, operation);
-        contents.put(version, Set.copyOf(names));
+        ChangeOperation conflicting = changeByBaseVersion.putIfAbsent(operation.change.baseVersion(), operation);
+        require(
+                conflicting == null,
+                Rule.ONE_CHANGE_PER_BASE_VERSION,
+                operation + " and " + conflicting + " are both in force");
+        committedByVersion.put(version, operation);
+        serviceNamesByVersion.put(version, Set.copyOf(serviceNames));
         return operation;
     }
 
-    void changeAnswered(ChangeOperation operation, FleetException refusal, ControlState state) {
-        if (refusal == null) {
+    void onChangeReply(ChangeOperation operation, FleetException rejection, ControlState state) {
+        if (rejection == null) {
             acknowledge(operation, state);
-        } else if (refusal.code() != FleetException.Code.NOT_PRIMARY) {
-            refuse(operation, refusal);
+        } else if (rejection.code() != FleetException.Code.NOT_PRIMARY) {
+            reject(operation, rejection);
         }
     }
 
     private void acknowledge(ChangeOperation operation, ControlState state) {
-        require(operation.valid, Rule.INVALID_IS_REFUSED, operation + " is invalid and acknowledged");
+        require(operation.valid, Rule.INVALID_CHANGE_IS_REJECTED, operation + " is invalid and acknowledged");
         observe(state);
         require(
-                inForce.get(operation.version) == operation && newestCommitted >= operation.version,
-                Rule.ACKNOWLEDGED_IS_IN_FORCE,
-                operation + " is acknowledged, in force under its number is " + inForce.get(operation.version));
+                committedByVersion.get(operation.version) == operation && newestCommittedVersion >= operation.version,
+                Rule.ACKNOWLEDGED_CHANGE_IS_COMMITTED,
+                operation + " is acknowledged, in force under its number is "
+                        + committedByVersion.get(operation.version));
         require(
-                operation.version > operation.floor,
+                operation.version > operation.knownVersionFloor,
                 Rule.READS_ARE_LINEARIZABLE,
-                operation + " was taken, though version " + operation.floor + " was known before it was sent");
+                operation + " was taken, though version " + operation.knownVersionFloor
+                        + " was known before it was sent");
         require(
                 state.configuration().version() >= operation.version,
-                Rule.ACKNOWLEDGED_IS_IN_FORCE,
+                Rule.ACKNOWLEDGED_CHANGE_IS_COMMITTED,
                 operation + " is acknowledged on a state of version "
                         + state.configuration().version());
         if (!operation.acknowledged) {
             operation.acknowledged = true;
             acknowledged++;
         }
-        floor = Math.max(floor, operation.version);
+        knownVersionFloor = Math.max(knownVersionFloor, operation.version);
     }
 
-    private void refuse(ChangeOperation operation, FleetException refusal) {
+    private void reject(ChangeOperation operation, FleetException rejection) {
         require(
-                inForce.get(operation.version) != operation,
-                Rule.NEVER_REFUSED_WHAT_IS_IN_FORCE,
-                operation + " is in force and refused with " + refusal.code());
-        operation.refused = true;
+                committedByVersion.get(operation.version) != operation,
+                Rule.REJECTED_CHANGE_IS_NOT_COMMITTED,
+                operation + " is in force and refused with " + rejection.code());
+        operation.rejected = true;
         if (!operation.valid) {
             return;
         }
-        long base = operation.change.baseVersion();
+        long baseVersion = operation.change.baseVersion();
         require(
-                refusal.code() == FleetException.Code.CONFIG_STALE && newestCommitted > base,
-                Rule.REFUSED_WITH_REASON,
-                operation + " is refused with " + refusal.code() + " (" + refusal.getMessage() + "), newest is "
-                        + newestCommitted);
-        floor = Math.max(floor, inForce.higherKey(base));
+                rejection.code() == FleetException.Code.CONFIG_STALE && newestCommittedVersion > baseVersion,
+                Rule.REJECTION_HAS_VALID_REASON,
+                operation + " is refused with " + rejection.code() + " (" + rejection.getMessage() + "), newest is "
+                        + newestCommittedVersion);
+        knownVersionFloor = Math.max(knownVersionFloor, committedByVersion.higherKey(baseVersion));
     }
 
     /** A read that began when {@code floorThen} was known. */
-    void readAnswered(String by, long floorThen, Map<String, Long> weightsThen, ControlState state) {
+    void onReadReply(String machineName, long versionFloor, Map<String, Long> weightsFloor, ControlState state) {
         long version = state.configuration().version();
         require(
-                version >= floorThen,
+                version >= versionFloor,
                 Rule.READS_ARE_LINEARIZABLE,
-                by + " reads version " + version + ", before it began " + floorThen + " was known");
+                machineName + " reads version " + version + ", before it began " + versionFloor + " was known");
         observe(state);
         require(
-                version <= newestCommitted,
-                Rule.READS_ONLY_WHAT_CAME_IN_FORCE,
-                by + " reads version " + version + ", newest in force is " + newestCommitted);
-        weightsThen.forEach((model, least) -> require(
-                state.weights().getOrDefault(model, 0L) >= least,
+                version <= newestCommittedVersion,
+                Rule.READS_RETURN_COMMITTED_STATE,
+                machineName + " reads version " + version + ", newest in force is " + newestCommittedVersion);
+        weightsFloor.forEach((model, minVersion) -> require(
+                state.weights().getOrDefault(model, 0L) >= minVersion,
                 Rule.READS_ARE_LINEARIZABLE,
-                by + " reads weights " + state.weights() + ", before it began " + weightsThen + " was known"));
+                machineName + " reads weights " + state.weights() + ", before it began " + weightsFloor
+                        + " was known"));
         reads++;
-        floor = Math.max(floor, version);
+        knownVersionFloor = Math.max(knownVersionFloor, version);
     }
 
-    Map<String, Long> weightsFloor() {
-        return Map.copyOf(weightsFloor);
+    Map<String, Long> acknowledgedWeights() {
+        return Map.copyOf(acknowledgedWeights);
     }
 
-    void weightsAnswered(String model, long version, FleetException refusal, ControlState state) {
-        if (refusal == null) {
+    void onWeightsReply(String model, long version, FleetException rejection, ControlState state) {
+        if (rejection == null) {
             require(
                     state.weights().getOrDefault(model, 0L) >= version,
-                    Rule.ACKNOWLEDGED_IS_IN_FORCE,
+                    Rule.ACKNOWLEDGED_CHANGE_IS_COMMITTED,
                     "weights " + version + " of " + model + " are acknowledged on " + state.weights());
-            weightsFloor.merge(model, version, Math::max);
+            acknowledgedWeights.merge(model, version, Math::max);
         } else {
             require(
-                    refusal.code() == FleetException.Code.NOT_PRIMARY,
-                    Rule.REFUSED_WITH_REASON,
-                    "weights refused with " + refusal.code());
+                    rejection.code() == FleetException.Code.NOT_PRIMARY,
+                    Rule.REJECTION_HAS_VALID_REASON,
+                    "weights refused with " + rejection.code());
         }
     }
 
     /** Everything that ever came in force is on the way to the state that is in force at the end. */
-    void checkDurable(ControlState last) {
-        observe(last);
-        int length = 0;
-        long version = last.configuration().version();
+    void checkDurable(ControlState finalState) {
+        observe(finalState);
+        int chainLength = 0;
+        long version = finalState.configuration().version();
         while (version > 0) {
-            ChangeOperation operation = inForce.get(version);
+            ChangeOperation operation = committedByVersion.get(version);
             require(
                     operation != null,
-                    Rule.ACKNOWLEDGED_IS_DURABLE,
+                    Rule.ACKNOWLEDGED_CHANGE_IS_DURABLE,
                     "version " + version + " is on the way to the last one and was never in force");
-            length++;
+            chainLength++;
             version = operation.change.baseVersion();
         }
         require(
-                length == inForce.size(),
-                Rule.ACKNOWLEDGED_IS_DURABLE,
-                "of the versions " + inForce.keySet() + " only " + length + " lead to the last, "
-                        + last.configuration().version());
+                chainLength == committedByVersion.size(),
+                Rule.ACKNOWLEDGED_CHANGE_IS_DURABLE,
+                "of the versions " + committedByVersion.keySet() + " only " + chainLength + " lead to the last, "
+                        + finalState.configuration().version());
         for (ChangeOperation operation : operations) {
             require(
-                    !operation.acknowledged || inForce.get(operation.version) == operation,
-                    Rule.ACKNOWLEDGED_IS_DURABLE,
+                    !operation.acknowledged || committedByVersion.get(operation.version) == operation,
+                    Rule.ACKNOWLEDGED_CHANGE_IS_DURABLE,
                     operation + " was acknowledged and is not there");
         }
-        weightsFloor.forEach((model, least) -> require(
-                last.weights().getOrDefault(model, 0L) >= least,
-                Rule.ACKNOWLEDGED_IS_DURABLE,
-                "weights " + weightsFloor + " were acknowledged, there are " + last.weights()));
+        acknowledgedWeights.forEach((model, minVersion) -> require(
+                finalState.weights().getOrDefault(model, 0L) >= minVersion,
+                Rule.ACKNOWLEDGED_CHANGE_IS_DURABLE,
+                "weights " + acknowledgedWeights + " were acknowledged, there are " + finalState.weights()));
     }
 }
--- a/src/test/java/quartzspan/replication/simulation/InvariantChecker.java
+++ b/src/test/java/quartzspan/replication/simulation/InvariantChecker.java
@@ -10,49 +10,49 @@
 /** What must hold at a machine after each of its events. */
 final class InvariantChecker {
     /** The newest version that came in force, by the epoch under which it did. */
-    private final TreeMap<String, Long> committed = new TreeMap<>(ReplicaAdapter::compareEpochs);
+    private final TreeMap<String, Long> newestCommittedByEpoch = new TreeMap<>(ReplicaAdapter::compareEpochs);
 
-    private final Map<String, String> primaryOf = new HashMap<>();
-    private final Map<String, String> viewOf = new HashMap<>();
+    private final Map<String, String> primaryByEpoch = new HashMap<>();
+    private final Map<String, String> membershipByEpoch = new HashMap<>();
 
     /** A state came in force at a machine. */
-    void committed(SimulatedMachine machine, long version) {
-        committed.merge(machine.replica().epoch(), version, Math::max);
+    void onCommitted(SimulatedMachine machine, long version) {
+        newestCommittedByEpoch.merge(machine.replica().epoch(), version, Math::max);
     }
 
     void check(SimulatedMachine machine) {
         ReplicaAdapter replica = machine.replica();
         if (!replica.isPrimary()) {
-            machine.checked(null);
+            machine.setCheckedMembership(null);
             return;
         }
-        Object known = replica.membershipObject();
-        if (known == machine.checkedView()) {
+        Object membership = replica.membershipObject();
+        if (membership == machine.checkedMembership()) {
             return;
         }
-        machine.checked(known);
+        machine.setCheckedMembership(membership);
         String epoch = replica.epoch();
-        String primary = primaryOf.putIfAbsent(epoch, machine.lifeName());
+        String knownPrimary = primaryByEpoch.putIfAbsent(epoch, machine.incarnationName());
         require(
-                primary == null || primary.equals(machine.lifeName()),
-                Rule.ONE_PRIMARY_PER_BALLOT,
-                primary + " and " + machine.lifeName() + " are both primary of epoch " + epoch);
-        String view = viewOf.putIfAbsent(epoch, replica.membership());
+                knownPrimary == null || knownPrimary.equals(machine.incarnationName()),
+                Rule.ONE_PRIMARY_PER_EPOCH,
+                knownPrimary + " and " + machine.incarnationName() + " are both primary of epoch " + epoch);
+        String knownMembership = membershipByEpoch.putIfAbsent(epoch, replica.membership());
         require(
-                view == null || view.equals(replica.membership()),
-                Rule.ONE_VIEW_PER_BALLOT,
-                "epoch " + epoch + " has the views " + view + " and " + replica.membership());
-        if (primary == null) {
-            long version = replica.inForce().configuration().version();
-            long newest = committed.headMap(epoch).values().stream()
+                knownMembership == null || knownMembership.equals(replica.membership()),
+                Rule.ONE_MEMBERSHIP_PER_EPOCH,
+                "epoch " + epoch + " has the views " + knownMembership + " and " + replica.membership());
+        if (knownPrimary == null) {
+            long version = replica.state().configuration().version();
+            long newestCommitted = newestCommittedByEpoch.headMap(epoch).values().stream()
                     .mapToLong(v -> v)
                     .max()
                     .orElse(0);
             require(
-                    version >= newest,
+                    version >= newestCommitted,
                     Rule.PRIMARY_HAS_ALL_COMMITS,
-                    machine.lifeName() + " becomes primary of " + epoch + " with version " + version
-                            + ", in force under a lower epoch was " + newest);
+                    machine.incarnationName() + " becomes primary of " + epoch + " with version " + version
+                            + ", in force under a lower epoch was " + newestCommitted);
         }
     }
 }
--- a/src/test/java/quartzspan/replication/simulation/OperatorClients.java
+++ b/src/test/java/quartzspan/replication/simulation/OperatorClients.java
@@ -13,115 +13,117 @@
  * second of silence. A change with no clear answer is sent again as it was.
  */
 final class OperatorClients {
-    private static final long SILENCE_MS = 1_000;
-    private static final int MOST_REDIRECTS = 2;
+    private static final long REPLY_TIMEOUT_MS = 1_000;
+    private static final int MAX_REDIRECTS = 2;
     private static final List<String> MODELS = List.of("m1", "m2");
 
     /** What is asked of a machine that is primary; each try is judged by itself. */
     private interface Request {
-        Attempt begin();
+        Attempt newAttempt();
     }
 
     /** One try at one machine. */
     private interface Attempt {
-        void ask(ReplicaAdapter replica, long now, long requestId);
+        void send(ReplicaAdapter replica, long nowMs, long requestId);
 
-        void answered(String by, FleetException refusal, ControlState state);
+        void onReply(String machineName, FleetException rejection, ControlState state);
     }
 
     private final class OutgoingRequest {
         private final Request request;
-        private final Runnable acknowledged;
-        private final Runnable refused;
-        private int triesLeft;
-        private int tries;
+        private final Runnable onAcknowledged;
+        private final Runnable onRejected;
+        private int attemptsLeft;
+        private int currentAttempt;
         private boolean closed;
 
-        private OutgoingRequest(Request request, int triesLeft, Runnable acknowledged, Runnable refused) {
+        private OutgoingRequest(Request request, int attemptsLeft, Runnable onAcknowledged, Runnable onRejected) {
             this.request = request;
-            this.triesLeft = triesLeft;
-            this.acknowledged = acknowledged;
-            this.refused = refused;
+            this.attemptsLeft = attemptsLeft;
+            this.onAcknowledged = onAcknowledged;
+            this.onRejected = onRejected;
         }
 
-        private void next(long pause) {
-            if (triesLeft-- <= 0) {
+        private void scheduleAttempt(long delayMs) {
+            if (attemptsLeft-- <= 0) {
                 closed = true;
                 return;
             }
-            simulation.queue().after(pause, () -> send(simulation.anyMachine(random), MOST_REDIRECTS));
+            simulation.queue().schedule(delayMs, () -> send(simulation.pickMachine(random), MAX_REDIRECTS));
         }
 
         private void send(SimulatedMachine to, int redirects) {
             if (closed || to == null) {
                 return;
             }
-            int mine = ++tries;
+            int attemptNumber = ++currentAttempt;
             simulation
                     .queue()
-                    .after(
+                    .schedule(
                             1 + random.nextInt(4),
-                            () -> to.request(now -> handle(to, now, mine, redirects), () -> failed(mine)));
-            simulation.queue().after(SILENCE_MS, () -> failed(mine));
+                            () -> to.request(
+                                    nowMs -> handle(to, nowMs, attemptNumber, redirects),
+                                    () -> onAttemptFailed(attemptNumber)));
+            simulation.queue().schedule(REPLY_TIMEOUT_MS, () -> onAttemptFailed(attemptNumber));
         }
 
-        private void handle(SimulatedMachine at, long now, int mine, int redirects) {
-            ReplicaAdapter replica = at.replica();
+        private void handle(SimulatedMachine machine, long nowMs, int attemptNumber, int redirects) {
+            ReplicaAdapter replica = machine.replica();
             if (replica.isPrimary()) {
-                Attempt attempt = request.begin();
-                long requestId = at.requestId(new SimulatedMachine.Reply() {
+                Attempt attempt = request.newAttempt();
+                long requestId = machine.registerReply(new SimulatedMachine.ReplyHandler() {
                     @Override
-                    public void answered(FleetException refusal, ControlState state) {
-                        attempt.answered(at.name, refusal, state);
-                        if (refusal == null) {
-                            simulation.acknowledgedBy(at);
+                    public void onReply(FleetException rejection, ControlState state) {
+                        attempt.onReply(machine.name, rejection, state);
+                        if (rejection == null) {
+                            simulation.onAcknowledged(machine);
                         }
-                        back(mine, () -> result(mine, refusal));
+                        deliverReply(attemptNumber, () -> onResult(attemptNumber, rejection));
                     }
 
                     @Override
-                    public void reset() {
-                        back(mine, () -> failed(mine));
+                    public void onConnectionReset() {
+                        deliverReply(attemptNumber, () -> onAttemptFailed(attemptNumber));
                     }
                 });
-                attempt.ask(replica, now, requestId);
+                attempt.send(replica, nowMs, requestId);
                 return;
             }
-            String leader = replica.knownPrimary(now);
-            SimulatedMachine there = leader == null ? null : simulation.machine(leader);
-            back(mine, () -> {
-                if (there == null || redirects == 0) {
-                    failed(mine);
-                } else if (tries == mine) {
-                    send(there, redirects - 1);
+            String primaryName = replica.knownPrimary(nowMs);
+            SimulatedMachine knownPrimary = primaryName == null ? null : simulation.machine(primaryName);
+            deliverReply(attemptNumber, () -> {
+                if (knownPrimary == null || redirects == 0) {
+                    onAttemptFailed(attemptNumber);
+                } else if (currentAttempt == attemptNumber) {
+                    send(knownPrimary, redirects - 1);
                 }
             });
         }
 
-        private void back(int mine, Runnable run) {
-            if (simulation.calm() || random.nextInt(1000) >= scenario.lostAnswersPerMille()) {
-                simulation.queue().after(1 + random.nextInt(4), () -> {
-                    if (tries == mine && !closed) {
-                        run.run();
+        private void deliverReply(int attemptNumber, Runnable action) {
+            if (simulation.faultFree() || random.nextInt(1000) >= scenario.replyLossPerMille()) {
+                simulation.queue().schedule(1 + random.nextInt(4), () -> {
+                    if (currentAttempt == attemptNumber && !closed) {
+                        action.run();
                     }
                 });
             }
         }
 
-        private void failed(int mine) {
-            if (tries == mine && !closed) {
-                tries++;
-                next(30L * Math.min(tries, 20) + random.nextInt(60));
+        private void onAttemptFailed(int attemptNumber) {
+            if (currentAttempt == attemptNumber && !closed) {
+                currentAttempt++;
+                scheduleAttempt(30L * Math.min(currentAttempt, 20) + random.nextInt(60));
             }
         }
 
-        private void result(int mine, FleetException refusal) {
-            if (refusal != null && refusal.code() == FleetException.Code.NOT_PRIMARY) {
-                failed(mine);
+        private void onResult(int attemptNumber, FleetException rejection) {
+            if (rejection != null && rejection.code() == FleetException.Code.NOT_PRIMARY) {
+                onAttemptFailed(attemptNumber);
                 return;
             }
             closed = true;
-            (refusal == null ? acknowledged : refused).run();
+            (rejection == null ? onAcknowledged : onRejected).run();
         }
     }
 
@@ -129,8 +131,8 @@
     private final Scenario scenario;
     private final HistoryChecker history;
     private final SplittableRandom random;
-    private long known;
-    private long highest;
+    private long knownVersion;
+    private long highestVersion;
 
     OperatorClients(Simulation simulation, Scenario scenario, HistoryChecker history) {
         this.simulation = simulation;
@@ -140,103 +142,109 @@
     }
 
     /** Some changes at once on the version last seen, at times under one number. */
-    void race(SplittableRandom details) {
+    void submitConcurrentChanges(SplittableRandom details) {
         int count = details.nextInt(4) > 0 ? 1 : 2 + details.nextInt(7);
-        boolean sameNumber = details.nextBoolean();
-        highest = Math.max(highest, known) + 1 + details.nextInt(3);
+        boolean sameVersion = details.nextBoolean();
+        highestVersion = Math.max(highestVersion, knownVersion) + 1 + details.nextInt(3);
         for (int i = 0; i < count; i++) {
-            if (i > 0 && !sameNumber) {
-                highest += 1 + details.nextInt(3);
+            if (i > 0 && !sameVersion) {
+                highestVersion += 1 + details.nextInt(3);
             }
-            String padding = "x".repeat(details.nextInt(20) == 0 ? scenario.largestPadding() : 0);
+            String padding = "x".repeat(details.nextInt(20) == 0 ? scenario.maxPaddingBytes() : 0);
             Change.Kind kind = details.nextInt(3) == 0 ? Change.Kind.REPLACE : Change.Kind.UPDATE;
-            ChangeOperation operation = history.change(kind, known, highest, true, padding);
-            simulation.queue().after(details.nextInt(30), () -> send(operation, 3 + random.nextInt(8)));
+            ChangeOperation operation = history.change(kind, knownVersion, highestVersion, true, padding);
+            simulation.queue().schedule(details.nextInt(30), () -> send(operation, 3 + random.nextInt(8)));
         }
     }
 
-    void invalid(SplittableRandom details) {
-        highest = Math.max(highest, known) + 1;
-        send(history.change(Change.Kind.REPLACE, known, highest, false, ""), 3);
+    void submitInvalidChange(SplittableRandom details) {
+        highestVersion = Math.max(highestVersion, knownVersion) + 1;
+        send(history.change(Change.Kind.REPLACE, knownVersion, highestVersion, false, ""), 3);
     }
 
     /** A change of earlier, sent again as it was. */
-    void resend(SplittableRandom details) {
-        List<ChangeOperation> all = history.operations();
-        if (!all.isEmpty()) {
-            int back = details.nextBoolean() ? details.nextInt(all.size()) : details.nextInt(Math.min(4, all.size()));
-            ChangeOperation operation = all.get(all.size() - 1 - back);
-            if (!operation.refused) {
+    void resendChange(SplittableRandom details) {
+        List<ChangeOperation> operations = history.operations();
+        if (!operations.isEmpty()) {
+            int age = details.nextBoolean()
+                    ? details.nextInt(operations.size())
+                    : details.nextInt(Math.min(4, operations.size()));
+            ChangeOperation operation = operations.get(operations.size() - 1 - age);
+            if (!operation.rejected) {
                 send(operation, 4);
             }
         }
     }
 
-    private void send(ChangeOperation operation, int tries) {
+    private void send(ChangeOperation operation, int maxAttempts) {
         simulation.trace(() -> "an operator sends " + operation);
         Attempt attempt = new Attempt() {
             @Override
-            public void ask(ReplicaAdapter replica, long now, long requestId) {
-                replica.submit(now, requestId, operation.change);
+            public void send(ReplicaAdapter replica, long nowMs, long requestId) {
+                replica.submit(nowMs, requestId, operation.change);
             }
 
             @Override
-            public void answered(String by, FleetException refusal, ControlState state) {
-                simulation.trace(() -> by + " answers " + operation + " with "
-                        + (refusal == null ? "200" : refusal.code() + ": " + refusal.getMessage()));
-                history.changeAnswered(operation, refusal, state);
+            public void onReply(String machineName, FleetException rejection, ControlState state) {
+                simulation.trace(() -> machineName + " answers " + operation + " with "
+                        + (rejection == null ? "200" : rejection.code() + ": " + rejection.getMessage()));
+                history.onChangeReply(operation, rejection, state);
             }
         };
-        new OutgoingRequest(() -> attempt, tries, () -> known = Math.max(known, operation.version), this::readSoon)
-                .next(0);
+        new OutgoingRequest(
+                        () -> attempt,
+                        maxAttempts,
+                        () -> knownVersion = Math.max(knownVersion, operation.version),
+                        this::scheduleRead)
+                .scheduleAttempt(0);
     }
 
-    private void readSoon() {
-        simulation.queue().after(random.nextInt(50), () -> read(3));
+    private void scheduleRead() {
+        simulation.queue().schedule(random.nextInt(50), () -> read(3));
     }
 
-    void read(int tries) {
-        read(tries, () -> {});
+    void read(int maxAttempts) {
+        read(maxAttempts, () -> {});
     }
 
-    void read(int tries, Runnable then) {
-        new OutgoingRequest(Read::new, tries, then, () -> {}).next(0);
+    void read(int maxAttempts, Runnable onAcknowledged) {
+        new OutgoingRequest(Read::new, maxAttempts, onAcknowledged, () -> {}).scheduleAttempt(0);
     }
 
     private final class Read implements Attempt {
-        private final long floorThen = history.floor();
-        private final Map<String, Long> weightsThen = history.weightsFloor();
+        private final long versionFloor = history.knownVersionFloor();
+        private final Map<String, Long> weightsFloor = history.acknowledgedWeights();
 
         @Override
-        public void ask(ReplicaAdapter replica, long now, long requestId) {
-            replica.read(now, requestId);
+        public void send(ReplicaAdapter replica, long nowMs, long requestId) {
+            replica.read(nowMs, requestId);
         }
 
         @Override
-        public void answered(String by, FleetException refusal, ControlState state) {
-            if (refusal == null) {
-                history.readAnswered(by, floorThen, weightsThen, state);
-                known = Math.max(known, state.configuration().version());
+        public void onReply(String machineName, FleetException rejection, ControlState state) {
+            if (rejection == null) {
+                history.onReadReply(machineName, versionFloor, weightsFloor, state);
+                knownVersion = Math.max(knownVersion, state.configuration().version());
             }
         }
     }
 
-    void nameWeights(SplittableRandom details) {
+    void submitWeightsVersion(SplittableRandom details) {
         String model = MODELS.get(details.nextInt(MODELS.size()));
-        long version = history.nextWeights(model);
+        long version = history.nextWeightsVersion(model);
         String body = "{\"model\":\"" + model + "\",\"version\":" + version + "}";
         Change change = new Change(Change.Kind.WEIGHTS, 0, body.getBytes(StandardCharsets.UTF_8));
         Attempt attempt = new Attempt() {
             @Override
-            public void ask(ReplicaAdapter replica, long now, long requestId) {
-                replica.submit(now, requestId, change);
+            public void send(ReplicaAdapter replica, long nowMs, long requestId) {
+                replica.submit(nowMs, requestId, change);
             }
 
             @Override
-            public void answered(String by, FleetException refusal, ControlState state) {
-                history.weightsAnswered(model, version, refusal, state);
+            public void onReply(String machineName, FleetException rejection, ControlState state) {
+                history.onWeightsReply(model, version, rejection, state);
             }
         };
-        new OutgoingRequest(() -> attempt, 6, () -> {}, () -> {}).next(0);
+        new OutgoingRequest(() -> attempt, 6, () -> {}, () -> {}).scheduleAttempt(0);
     }
 }
--- a/src/test/java/quartzspan/replication/simulation/ReplicaAdapter.java
+++ b/src/test/java/quartzspan/replication/simulation/ReplicaAdapter.java
@@ -23,7 +23,7 @@
 
         void persist(long number, byte[] record);
 
-        void answered(long requestId, FleetException refusal, ControlState state);
+        void completed(long requestId, FleetException rejection, ControlState state);
 
         void committed(Position position, ControlState state);
     }
@@ -42,88 +42,91 @@
     /** @throws FleetException if the store can't be read */
     ReplicaAdapter(
             String self,
-            List<String> seeds,
-            int losses,
-            boolean found,
+            List<String> seedNodes,
+            int toleratedFailures,
+            boolean bootstrap,
             SimulatedDisk disk,
-            long seed,
-            long now,
+            long randomSeed,
+            long nowMs,
             Host host) {
         store = new ReplicaStore(new SlotStore(disk));
-        List<byte[]> kept = store.open();
-        replica = new Replica(self, seeds, losses, found, kept, seed, now, new Replica.Output() {
-            @Override
-            public void send(String to, ReplicaMessage message) {
-                host.send(to, message);
-            }
-
-            @Override
-            public void persist(long number, byte[] record) {
-                host.persist(number, record);
-            }
-
-            @Override
-            public void completed(long requestId, FleetException why, ControlState state) {
-                host.answered(requestId, why, state);
-            }
-
-            @Override
-            public void committed(long index, ControlState state, ChangeHistory history) {
-                host.committed(new Position(index), state);
-            }
-        });
+        List<byte[]> storedRecords = store.open();
+        replica = new Replica(
+                self, seedNodes, toleratedFailures, bootstrap, storedRecords, randomSeed, nowMs, new Replica.Output() {
+                    @Override
+                    public void send(String to, ReplicaMessage message) {
+                        host.send(to, message);
+                    }
+
+                    @Override
+                    public void persist(long number, byte[] record) {
+                        host.persist(number, record);
+                    }
+
+                    @Override
+                    public void completed(long requestId, FleetException rejection, ControlState state) {
+                        host.completed(requestId, rejection, state);
+                    }
+
+                    @Override
+                    public void committed(long index, ControlState state, ChangeHistory history) {
+                        host.committed(new Position(index), state);
+                    }
+                });
     }
 
     /** Writes a record to the disk; whether the disk took it. */
-    boolean keep(byte[] record) {
+    boolean persist(byte[] record) {
         return store.persist(record);
     }
 
-    void tick(long now) {
-        replica.onTick(now);
+    void tick(long nowMs) {
+        replica.onTick(nowMs);
     }
 
-    void message(long now, String from, Object message) {
-        replica.onMessage(now, from, (ReplicaMessage) message);
+    void onMessage(long nowMs, String from, Object message) {
+        replica.onMessage(nowMs, from, (ReplicaMessage) message);
     }
 
     static String describe(Object message) {
-        ReplicaMessage m = (ReplicaMessage) message;
-        return m.kind() + " " + m.epoch().text() + " copy " + m.logEpoch().text() + " at " + m.logIndex() + " promised "
-                + m.promisedEpoch().text() + (m.granted() ? " ok" : "") + (m.recovering() ? " blank" : "")
+        ReplicaMessage replicaMessage = (ReplicaMessage) message;
+        return replicaMessage.kind() + " " + replicaMessage.epoch().text() + " copy "
+                + replicaMessage.logEpoch().text() + " at " + replicaMessage.logIndex() + " promised "
+                + replicaMessage.promisedEpoch().text() + (replicaMessage.granted() ? " ok" : "")
+                + (replicaMessage.recovering() ? " blank" : "")
                 + " generation "
-                + m.generation() + " nonce " + m.nonce() + " view ["
-                + m.membership().text() + "]";
+                + replicaMessage.generation() + " nonce " + replicaMessage.nonce() + " view ["
+                + replicaMessage.membership().text() + "]";
     }
 
-    void persisted(long now, long number, boolean ok) {
-        replica.onPersisted(now, number, ok);
+    void onPersisted(long nowMs, long number, boolean persisted) {
+        replica.onPersisted(nowMs, number, persisted);
     }
 
-    void submit(long now, long requestId, Change change) {
-        replica.submit(now, requestId, change);
+    void submit(long nowMs, long requestId, Change change) {
+        replica.submit(nowMs, requestId, change);
     }
 
-    void read(long now, long requestId) {
-        replica.read(now, requestId);
+    void read(long nowMs, long requestId) {
+        replica.read(nowMs, requestId);
     }
 
     /** SIGTERM: the machine is to end soon. */
-    void beginHandover(long now) {
-        replica.beginHandover(now);
+    void beginHandover(long nowMs) {
+        replica.beginHandover(nowMs);
     }
 
     /** Whether the process may end after {@link #beginHandover}. */
-    boolean isHandoverComplete(long now) {
-        return replica.isHandoverComplete(now);
+    boolean isHandoverComplete(long nowMs) {
+        return replica.isHandoverComplete(nowMs);
     }
 
     boolean isPrimary() {
         return replica.isPrimary();
     }
 
-    String knownPrimary(long now) {
-        return replica.knownPrimary(now);
+    String knownPrimary(long nowMs) {
+        return replica.knownPrimary(nowMs);
     }
 
     String role() {
@@ -140,8 +143,8 @@
     }
 
     /** The order of epochs as {@link #epoch} gives them. */
-    static int compareEpochs(String one, String other) {
-        return Epoch.parse(one).compareTo(Epoch.parse(other));
+    static int compareEpochs(String first, String second) {
+        return Epoch.parse(first).compareTo(Epoch.parse(second));
     }
 
     /** Primary, copies and voters of the view known here. */
@@ -156,7 +159,7 @@
     }
 
     /** Whether a change of voters is under way. */
-    boolean changingVoters() {
+    boolean isChangingVoters() {
         return replica.membership().isJoint();
     }
 
@@ -168,11 +171,11 @@
         return replica.membership().voters();
     }
 
-    Position copyPosition() {
+    Position logPosition() {
         return new Position(replica.logIndex());
     }
 
-    ControlState inForce() {
+    ControlState state() {
         return replica.state();
     }
 
--- a/src/test/java/quartzspan/replication/simulation/Scenario.java
+++ b/src/test/java/quartzspan/replication/simulation/Scenario.java
@@ -15,38 +15,40 @@
  */
 record Scenario(
         long seed,
-        int losses,
+        int toleratedFailures,
         int machines,
-        int lostPerMille,
-        int doubledPerMille,
-        int lostAnswersPerMille,
-        boolean beyondTolerance,
-        int largestPadding,
+        int messageLossPerMille,
+        int messageDuplicationPerMille,
+        int replyLossPerMille,
+        boolean allowsExcessFaults,
+        int maxPaddingBytes,
         long endMs,
         List<Step> steps) {
 
-    Scenario with(List<Step> fewer) {
+    Scenario withSteps(List<Step> newSteps) {
         return new Scenario(
                 seed,
-                losses,
+                toleratedFailures,
                 machines,
-                lostPerMille,
-                doubledPerMille,
-                lostAnswersPerMille,
-                beyondTolerance,
-                largestPadding,
+                messageLossPerMille,
+                messageDuplicationPerMille,
+                replyLossPerMille,
+                allowsExcessFaults,
+                maxPaddingBytes,
                 endMs,
-                List.copyOf(fewer));
+                List.copyOf(newSteps));
     }
 
     long catchUpMs() {
-        return losses <= 1 ? 4_000 : 6_000;
+        return toleratedFailures <= 1 ? 4_000 : 6_000;
     }
 
     String describe() {
-        StringBuilder text = new StringBuilder("seed " + seed + ": f = " + losses + ", " + machines + " machines, "
-                + lostPerMille + " per mille of messages lost, " + doubledPerMille + " doubled, " + lostAnswersPerMille
-                + " per mille of answers lost" + (beyondTolerance ? ", troubles beyond f with disks kept" : ""));
+        StringBuilder text = new StringBuilder("seed " + seed + ": f = " + toleratedFailures + ", " + machines
+                + " machines, "
+                + messageLossPerMille + " per mille of messages lost, " + messageDuplicationPerMille + " doubled, "
+                + replyLossPerMille
+                + " per mille of answers lost" + (allowsExcessFaults ? ", troubles beyond f with disks kept" : ""));
         steps.forEach(step -> text.append("\n  ").append(step.describe()));
         return text.toString();
     }
--- a/src/test/java/quartzspan/replication/simulation/ScenarioGenerator.java
+++ b/src/test/java/quartzspan/replication/simulation/ScenarioGenerator.java
@@ -10,7 +10,7 @@
 
 /** Draws scenarios from seeds. */
 final class ScenarioGenerator {
-    private static final Kind[] TROUBLES = {
+    private static final Kind[] FAULTS = {
         Kind.KILL,
         Kind.KILL,
         Kind.POWER_LOSS,
@@ -60,7 +60,7 @@
     };
 
     private static final Trigger[] PROTOCOL_TRIGGERS = {Trigger.ROLE_CHANGE, Trigger.MESSAGE, Trigger.RECORD};
-    private static final Kind[] FAILURES = {
+    private static final Kind[] PRIMARY_FAULTS = {
         Kind.KILL,
         Kind.POWER_LOSS,
         Kind.CUT,
@@ -71,7 +71,7 @@
         Kind.DISK_FULL,
         Kind.TERMINATE
     };
-    private static final Kind[] LOSSES = {
+    private static final Kind[] SECONDARY_FAULTS = {
         Kind.WIPE,
         Kind.WIPE,
         Kind.WIPE,
@@ -87,7 +87,7 @@
     private static final Kind[] DISK_LOSSES = {
         Kind.WIPE, Kind.WIPE, Kind.REPLACE_UNPLANNED, Kind.REPLACE_PLANNED, Kind.REPLACE_PLANNED
     };
-    private static final List<String> LEFT_OUT = Arrays.stream(
+    private static final List<String> EXCLUDED_KINDS = Arrays.stream(
                     System.getProperty("without", "").split(","))
             .filter(name -> !name.isEmpty())
             .toList();
@@ -101,92 +101,94 @@
     }
 
     /** The scenario of a seed; without the kinds of steps that the property {@code without} names. */
-    static Scenario draw(long seed) {
-        Scenario drawn = new ScenarioGenerator(seed).draw();
-        return LEFT_OUT.isEmpty()
-                ? drawn
-                : drawn.with(drawn.steps().stream()
-                        .filter(step -> !LEFT_OUT.contains(step.kind().name()))
+    static Scenario generate(long seed) {
+        Scenario generated = new ScenarioGenerator(seed).generate();
+        return EXCLUDED_KINDS.isEmpty()
+                ? generated
+                : generated.withSteps(generated.steps().stream()
+                        .filter(step -> !EXCLUDED_KINDS.contains(step.kind().name()))
                         .toList());
     }
 
-    private Scenario draw() {
-        int losses = random.nextInt(10) < 6 ? 1 : random.nextInt(5) < 4 ? 2 : 3;
-        int machines = 2 * losses + 1 + (random.nextInt(3) == 0 ? 1 + random.nextInt(2) : 0);
-        boolean calm = random.nextInt(20) == 0;
-        boolean longHistory = random.nextInt(60) == 0;
-        long firstTrouble = losses <= 1 ? 4_100 : 6_100;
+    private Scenario generate() {
+        int toleratedFailures = random.nextInt(10) < 6 ? 1 : random.nextInt(5) < 4 ? 2 : 3;
+        int machines = 2 * toleratedFailures + 1 + (random.nextInt(3) == 0 ? 1 + random.nextInt(2) : 0);
+        boolean faultFree = random.nextInt(20) == 0;
+        boolean manyOperations = random.nextInt(60) == 0;
+        long firstFaultMs = toleratedFailures <= 1 ? 4_100 : 6_100;
         List<Step> steps = new ArrayList<>();
-        long end = troubles(steps, firstTrouble, calm ? 0 : 2 + random.nextInt(9));
-        operations(steps, end, longHistory ? 60 : 300 + random.nextInt(900));
+        long endMs = addFaults(steps, firstFaultMs, faultFree ? 0 : 2 + random.nextInt(9));
+        addOperations(steps, endMs, manyOperations ? 60 : 300 + random.nextInt(900));
         steps.sort((a, b) -> Long.compare(a.atMs(), b.atMs()));
         return new Scenario(
                 seed,
-                losses,
+                toleratedFailures,
                 machines,
                 random.nextInt(3) == 0 ? 5 : 0,
                 random.nextInt(3) == 0 ? 30 : 0,
                 random.nextInt(2) * (20 + random.nextInt(200)),
                 random.nextInt(4) == 0,
                 random.nextInt(50) == 0 ? 60_000 : 0,
-                end,
+                endMs,
                 steps);
     }
 
     /** Troubles in bursts that overlap, with pauses between. */
-    private long troubles(List<Step> steps, long from, int count) {
-        long at = from;
+    private long addFaults(List<Step> steps, long startMs, int count) {
+        long atMs = startMs;
         for (int i = 0; i < count; i++) {
-            at += random.nextInt(5) < 3 ? random.nextLong(600) : 300 + random.nextLong(7_000);
+            atMs += random.nextInt(5) < 3 ? random.nextLong(600) : 300 + random.nextLong(7_000);
             switch (random.nextInt(8)) {
-                case 0 -> lossWithinViewChange(steps, at);
-                case 1 -> lossWithinMembershipChange(steps, at);
-                case 2 -> lossAfterLoss(steps, at);
-                default -> steps.add(trouble(at, pick(TROUBLES), pick(TRIGGERS), pick(TARGETS)));
+                case 0 -> addFaultsDuringElection(steps, atMs);
+                case 1 -> addFaultsDuringMembershipChange(steps, atMs);
+                case 2 -> addConsecutiveDiskLosses(steps, atMs);
+                default -> steps.add(fault(atMs, pick(FAULTS), pick(TRIGGERS), pick(TARGETS)));
             }
         }
-        return steps.stream().mapToLong(Step::atMs).max().orElse(from) + 4_000;
+        return steps.stream().mapToLong(Step::atMs).max().orElse(startMs) + 4_000;
     }
 
     /** The primary fails, and something else is lost at some step of the view change that follows. */
-    private void lossWithinViewChange(List<Step> steps, long at) {
-        steps.add(trouble(at, pick(FAILURES), Trigger.TIME, Target.PRIMARY));
-        for (int n = 1 + random.nextInt(3); n > 0; n--) {
-            steps.add(trouble(at + random.nextInt(900), pick(LOSSES), pick(PROTOCOL_TRIGGERS), pick(TARGETS)));
+    private void addFaultsDuringElection(List<Step> steps, long atMs) {
+        steps.add(fault(atMs, pick(PRIMARY_FAULTS), Trigger.TIME, Target.PRIMARY));
+        for (int remaining = 1 + random.nextInt(3); remaining > 0; remaining--) {
+            steps.add(
+                    fault(atMs + random.nextInt(900), pick(SECONDARY_FAULTS), pick(PROTOCOL_TRIGGERS), pick(TARGETS)));
         }
     }
 
     /** A machine is replaced, and something else is lost at some step of the change of voters. */
-    private void lossWithinMembershipChange(List<Step> steps, long at) {
+    private void addFaultsDuringMembershipChange(List<Step> steps, long atMs) {
         Kind kind = random.nextBoolean() ? Kind.REPLACE_PLANNED : Kind.REPLACE_UNPLANNED;
-        steps.add(trouble(at, kind, Trigger.TIME, pick(TARGETS)));
-        for (int n = 1 + random.nextInt(3); n > 0; n--) {
-            steps.add(trouble(at + random.nextLong(9_000), pick(LOSSES), pick(PROTOCOL_TRIGGERS), pick(TARGETS)));
+        steps.add(fault(atMs, kind, Trigger.TIME, pick(TARGETS)));
+        for (int remaining = 1 + random.nextInt(3); remaining > 0; remaining--) {
+            steps.add(fault(
+                    atMs + random.nextLong(9_000), pick(SECONDARY_FAULTS), pick(PROTOCOL_TRIGGERS), pick(TARGETS)));
         }
     }
 
     /** Losses, each at the first moment at which it is allowed. */
-    private void lossAfterLoss(List<Step> steps, long at) {
-        for (int n = 2 + random.nextInt(3); n > 0; n--) {
-            Step drawn = trouble(at, pick(DISK_LOSSES), Trigger.TIME, pick(TARGETS));
+    private void addConsecutiveDiskLosses(List<Step> steps, long atMs) {
+        for (int remaining = 2 + random.nextInt(3); remaining > 0; remaining--) {
+            Step generated = fault(atMs, pick(DISK_LOSSES), Trigger.TIME, pick(TARGETS));
             steps.add(new Step(
-                    at,
-                    drawn.kind(),
-                    drawn.trigger(),
+                    atMs,
+                    generated.kind(),
+                    generated.trigger(),
                     1,
                     0,
                     true,
-                    drawn.target(),
-                    Math.min(drawn.durationMs(), 1_000),
-                    drawn.variation()));
+                    generated.target(),
+                    Math.min(generated.durationMs(), 1_000),
+                    generated.detailSeed()));
         }
     }
 
-    private <T> T pick(T[] from) {
-        return from[random.nextInt(from.length)];
+    private <T> T pick(T[] values) {
+        return values[random.nextInt(values.length)];
     }
 
-    private Step trouble(long at, Kind kind, Trigger trigger, Target target) {
+    private Step fault(long atMs, Kind kind, Trigger trigger, Target target) {
         int count =
                 switch (trigger) {
                     case MESSAGE -> 1 + random.nextInt(200);
@@ -195,18 +197,18 @@
                     default -> 1;
                 };
         return new Step(
-                at,
+                atMs,
                 kind,
                 trigger,
                 count,
                 (long) random.nextInt(2) * random.nextInt(12),
                 random.nextInt(3) > 0,
                 target,
-                duration(kind),
+                durationMs(kind),
                 random.nextLong(1_000_000_000));
     }
 
-    private long duration(Kind kind) {
+    private long durationMs(Kind kind) {
         return switch (kind) {
             case CUT, CUT_LINKS -> random.nextInt(4) == 0
                     ? 5_000 + random.nextLong(20_000)
@@ -217,15 +219,15 @@
         };
     }
 
-    private void operations(List<Step> steps, long end, long pause) {
-        for (long at = 400; at < end; at += 1 + random.nextLong(2 * pause)) {
-            int draw = random.nextInt(20);
-            Kind kind = draw < 10
+    private void addOperations(List<Step> steps, long endMs, long meanIntervalMs) {
+        for (long atMs = 400; atMs < endMs; atMs += 1 + random.nextLong(2 * meanIntervalMs)) {
+            int choice = random.nextInt(20);
+            Kind kind = choice < 10
                     ? Kind.RACE
-                    : draw < 16
+                    : choice < 16
                             ? Kind.READ
-                            : draw < 18 ? Kind.RESEND : draw < 19 ? Kind.NAME_WEIGHTS : Kind.INVALID_CHANGE;
-            steps.add(new Step(at, kind, Trigger.TIME, 1, 0, false, Target.ANY, 0, random.nextLong(1_000_000_000)));
+                            : choice < 18 ? Kind.RESEND : choice < 19 ? Kind.NAME_WEIGHTS : Kind.INVALID_CHANGE;
+            steps.add(new Step(atMs, kind, Trigger.TIME, 1, 0, false, Target.ANY, 0, random.nextLong(1_000_000_000)));
         }
     }
 }
--- a/src/test/java/quartzspan/replication/simulation/ScenarioShrinker.java
+++ b/src/test/java/quartzspan/replication/simulation/ScenarioShrinker.java
@@ -6,15 +6,15 @@
 /** Makes a failing scenario smaller: leaves out steps as long as the same rule is still broken. */
 final class ScenarioShrinker {
     private final Violation.Rule rule;
-    private final long giveUpAt;
+    private final long deadlineMs;
 
-    private ScenarioShrinker(Violation.Rule rule, long forMs) {
+    private ScenarioShrinker(Violation.Rule rule, long limitMs) {
         this.rule = rule;
-        this.giveUpAt = System.nanoTime() / 1_000_000 + forMs;
+        this.deadlineMs = System.nanoTime() / 1_000_000 + limitMs;
     }
 
-    static Scenario shrink(Scenario failing, Violation.Rule rule, long forMs) {
-        return new ScenarioShrinker(rule, forMs).shrink(failing);
+    static Scenario shrink(Scenario failing, Violation.Rule rule, long limitMs) {
+        return new ScenarioShrinker(rule, limitMs).shrink(failing);
     }
 
     private Scenario shrink(Scenario failing) {
@@ -22,10 +22,10 @@
         int chunk = Math.max(1, best.steps().size() / 2);
         while (true) {
             boolean smaller = false;
-            for (int from = 0; from < best.steps().size() && !late(); ) {
+            for (int from = 0; from < best.steps().size() && !isTimeUp(); ) {
                 List<Step> fewer = new ArrayList<>(best.steps());
                 fewer.subList(from, Math.min(fewer.size(), from + chunk)).clear();
-                Scenario candidate = best.with(fewer);
+                Scenario candidate = best.withSteps(fewer);
                 if (fails(candidate)) {
                     best = candidate;
                     smaller = true;
@@ -33,15 +33,15 @@
                     from += chunk;
                 }
             }
-            if (late() || chunk == 1 && !smaller) {
+            if (isTimeUp() || chunk == 1 && !smaller) {
                 return best;
             }
             chunk = Math.max(1, chunk / 2);
         }
     }
 
-    private boolean late() {
-        return System.nanoTime() / 1_000_000 > giveUpAt;
+    private boolean isTimeUp() {
+        return System.nanoTime() / 1_000_000 > deadlineMs;
     }
 
     private boolean fails(Scenario candidate) {
--- a/src/test/java/quartzspan/replication/simulation/SimulatedDisk.java
+++ b/src/test/java/quartzspan/replication/simulation/SimulatedDisk.java
@@ -15,37 +15,37 @@
  */
 final class SimulatedDisk implements Disk {
     /** The process that used the disk ended within an operation. */
-    static final class Interrupted extends RuntimeException {
+    static final class OperationInterrupted extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
-        Interrupted() {
+        OperationInterrupted() {
             super(null, null, false, false);
         }
     }
 
     /** One change of a file since its last sync, with what it replaced; {@code bytes} is null for a truncation. */
-    private record Unsynced(int at, int lengthBefore, byte[] before, byte[] bytes) {}
+    private record UnsyncedChange(int at, int lengthBefore, byte[] before, byte[] bytes) {}
 
     private static final class File {
         private byte[] data = new byte[64];
         private int length;
         private boolean nameSynced;
-        private final List<Unsynced> unsynced = new ArrayList<>();
+        private final List<UnsyncedChange> unsynced = new ArrayList<>();
 
-        private void resize(int to) {
-            if (to > data.length) {
-                data = Arrays.copyOf(data, Math.max(to, 2 * data.length));
+        private void resize(int newLength) {
+            if (newLength > data.length) {
+                data = Arrays.copyOf(data, Math.max(newLength, 2 * data.length));
             }
-            if (to > length) {
-                Arrays.fill(data, length, to, (byte) 0);
+            if (newLength > length) {
+                Arrays.fill(data, length, newLength, (byte) 0);
             }
-            length = to;
+            length = newLength;
         }
 
         private void write(int at, byte[] bytes) {
             int end = at + bytes.length;
             byte[] before = at < length ? Arrays.copyOfRange(data, at, Math.min(end, length)) : new byte[0];
-            unsynced.add(new Unsynced(at, length, before, bytes));
+            unsynced.add(new UnsyncedChange(at, length, before, bytes));
             put(at, bytes);
         }
 
@@ -54,15 +54,15 @@
             System.arraycopy(bytes, 0, data, at, bytes.length);
         }
 
-        private void truncate(int to) {
-            byte[] before = to < length ? Arrays.copyOfRange(data, to, length) : new byte[0];
-            unsynced.add(new Unsynced(to, length, before, null));
-            resize(to);
+        private void truncate(int newLength) {
+            byte[] before = newLength < length ? Arrays.copyOfRange(data, newLength, length) : new byte[0];
+            unsynced.add(new UnsyncedChange(newLength, length, before, null));
+            resize(newLength);
         }
 
-        private void undoAll() {
+        private void revertUnsynced() {
             for (int i = unsynced.size() - 1; i >= 0; i--) {
-                Unsynced change = unsynced.get(i);
+                UnsyncedChange change = unsynced.get(i);
                 if (change.before().length > 0) {
                     put(change.at(), change.before());
                 }
@@ -70,15 +70,15 @@
             }
         }
 
-        private void losePower(SplittableRandom random, boolean all) {
-            undoAll();
-            for (Unsynced change : unsynced) {
-                int fate = all ? 0 : random.nextInt(3);
-                if (fate > 0 && change.bytes() == null) {
+        private void losePower(SplittableRandom random, boolean loseAll) {
+            revertUnsynced();
+            for (UnsyncedChange change : unsynced) {
+                int outcome = loseAll ? 0 : random.nextInt(3);
+                if (outcome > 0 && change.bytes() == null) {
                     resize(change.at());
-                } else if (fate == 1) {
+                } else if (outcome == 1) {
                     put(change.at(), change.bytes());
-                } else if (fate == 2) {
+                } else if (outcome == 2) {
                     byte[] torn = Arrays.copyOf(change.bytes(), random.nextInt(change.bytes().length + 1));
                     if (torn.length > 0 && random.nextBoolean()) {
                         torn[random.nextInt(torn.length)] = 0;
@@ -91,16 +91,16 @@
     }
 
     private final Map<String, File> files = new TreeMap<>();
-    private int operationsLeft = -1;
+    private int operationsBeforeInterrupt = -1;
     private boolean full;
 
-    void full(boolean refuses) {
-        full = refuses;
+    void setFull(boolean isFull) {
+        full = isFull;
     }
 
     /** Lets so many operations pass, then interrupts; negative for no limit. */
     void interruptAfter(int operations) {
-        operationsLeft = operations;
+        operationsBeforeInterrupt = operations;
     }
 
     void wipe() {
@@ -108,17 +108,17 @@
     }
 
     void losePower(SplittableRandom random) {
-        boolean all = random.nextInt(3) == 0;
+        boolean loseAll = random.nextInt(3) == 0;
         files.values().removeIf(file -> !file.nameSynced && random.nextInt(3) == 0);
-        files.values().forEach(file -> file.losePower(random, all));
+        files.values().forEach(file -> file.losePower(random, loseAll));
     }
 
-    private void operation() {
-        if (operationsLeft == 0) {
-            throw new Interrupted();
+    private void countOperation() {
+        if (operationsBeforeInterrupt == 0) {
+            throw new OperationInterrupted();
         }
-        if (operationsLeft > 0) {
-            operationsLeft--;
+        if (operationsBeforeInterrupt > 0) {
+            operationsBeforeInterrupt--;
         }
     }
 
@@ -134,7 +134,7 @@
 
     @Override
     public void write(String name, long at, byte[] bytes) {
-        operation();
+        countOperation();
         if (full) {
             file(name).write((int) at, Arrays.copyOf(bytes, bytes.length / 2));
             throw new FleetException(FleetException.Code.STORE_REFUSES, "no space left", "free space");
@@ -144,19 +144,19 @@
 
     @Override
     public void truncate(String name, long length) {
-        operation();
+        countOperation();
         file(name).truncate((int) length);
     }
 
     @Override
     public void sync(String name) {
-        operation();
+        countOperation();
         file(name).unsynced.clear();
     }
 
     @Override
     public void syncDirectory() {
-        operation();
+        countOperation();
         files.values().forEach(file -> file.nameSynced = true);
     }
 }
--- a/src/test/java/quartzspan/replication/simulation/SimulatedMachine.java
+++ b/src/test/java/quartzspan/replication/simulation/SimulatedMachine.java
@@ -15,11 +15,11 @@
     private static final int TICK_MS = 50;
 
     /** The answer to a request that the replica took. */
-    interface Reply {
-        void answered(FleetException refusal, ControlState state);
+    interface ReplyHandler {
+        void onReply(FleetException rejection, ControlState state);
 
         /** The process ended first. */
-        void reset();
+        void onConnectionReset();
     }
 
     private record Write(long number, byte[] record) {}
@@ -30,32 +30,32 @@
     private final SplittableRandom random;
     private final EventQueue queue;
     private ReplicaAdapter replica;
-    private int life;
-    private int freezes;
-    private final ArrayDeque<Runnable> piledUp = new ArrayDeque<>();
+    private int incarnation;
+    private int activeFreezes;
+    private final ArrayDeque<Runnable> deferredEvents = new ArrayDeque<>();
     /** Extra time that each event takes to be handled. */
-    private long slowness;
-
-    private int refusing;
-    private long diskDelay;
-    private long stalledUntil;
-    private final ArrayDeque<Write> writes = new ArrayDeque<>();
-    private final Map<Long, Reply> replies = new TreeMap<>();
-    private long requestIds;
-    private long clockOffset;
+    private long processingDelayMs;
+
+    private int diskFullFaults;
+    private long diskDelayMs;
+    private long diskStalledUntilMs;
+    private final ArrayDeque<Write> pendingWrites = new ArrayDeque<>();
+    private final Map<Long, ReplyHandler> pendingReplies = new TreeMap<>();
+    private long lastRequestId;
+    private long clockOffsetMs;
     private boolean removed;
     private int powerCycles;
-    private boolean leaving;
-    private boolean leftInOrder;
+    private boolean terminating;
+    private boolean handedOver;
     private String lastRole = "";
-    private Object checkedView;
+    private Object checkedMembership;
 
     SimulatedMachine(String name, Simulation simulation, SplittableRandom random) {
         this.name = name;
         this.simulation = simulation;
         this.random = random;
         this.queue = simulation.queue();
-        this.clockOffset = random.nextLong(1_000_000_000);
+        this.clockOffsetMs = random.nextLong(1_000_000_000);
     }
 
     // ---- its process ---------------------------------------------------------------------------------
@@ -68,66 +68,73 @@
         return removed;
     }
 
-    boolean leaving() {
-        return leaving;
+    boolean terminating() {
+        return terminating;
     }
 
     /** Whether its last process ended by itself after a SIGTERM, all handed over. */
-    boolean leftInOrder() {
-        return leftInOrder;
+    boolean handedOver() {
+        return handedOver;
     }
 
     boolean frozen() {
-        return freezes > 0;
+        return activeFreezes > 0;
     }
 
     ReplicaAdapter replica() {
         return replica;
     }
 
-    String lifeName() {
-        return name + " (life " + life + ")";
+    String incarnationName() {
+        return name + " (life " + incarnation + ")";
     }
 
-    long localTime() {
-        return queue.now() + clockOffset;
+    long localTimeMs() {
+        return queue.nowMs() + clockOffsetMs;
     }
 
-    void start(List<String> seeds, boolean found) {
+    void start(List<String> seedNodes, boolean bootstrap) {
         if (replica != null || removed) {
             return;
         }
-        life++;
-        leaving = false;
+        incarnation++;
+        terminating = false;
         lastRole = "";
-        checkedView = null;
-        int mine = life;
+        checkedMembership = null;
+        int startedIncarnation = incarnation;
         try {
             replica = new ReplicaAdapter(
-                    name, seeds, simulation.losses(), found, disk, random.nextLong(), localTime(), this);
-        } catch (FleetException why) {
-            throw new Violation(Violation.Rule.STORE_OUTLIVES_POWER_LOSS, name + ": " + why.getMessage());
+                    name,
+                    seedNodes,
+                    simulation.toleratedFailures(),
+                    bootstrap,
+                    disk,
+                    random.nextLong(),
+                    localTimeMs(),
+                    this);
+        } catch (FleetException failure) {
+            throw new Violation(Violation.Rule.STORE_SURVIVES_POWER_LOSS, name + ": " + failure.getMessage());
         }
-        simulation.trace(() -> lifeName() + " starts: " + replica.describe());
-        event(mine, now -> {});
-        tick(mine);
-    }
-
-    private void tick(int mine) {
-        event(mine, now -> {
-            replica.tick(now);
-            if (leaving && replica.isHandoverComplete(now)) {
-                simulation.trace(() -> lifeName() + " has left");
-                leftInOrder = true;
-                end(false);
+        simulation.trace(() -> incarnationName() + " starts: " + replica.describe());
+        dispatch(startedIncarnation, nowMs -> {});
+        tick(startedIncarnation);
+    }
+
+    private void tick(int startedIncarnation) {
+        dispatch(startedIncarnation, nowMs -> {
+            replica.tick(nowMs);
+            if (terminating && replica.isHandoverComplete(nowMs)) {
+                simulation.trace(() -> incarnationName() + " has left");
+                handedOver = true;
+                stop(false);
             }
         });
-        queue.after(TICK_MS + random.nextInt(3), () -> {
-            if (life == mine && replica != null) {
+        queue.schedule(TICK_MS + random.nextInt(3), () -> {
+            if (incarnation == startedIncarnation && replica != null) {
                 if (frozen()) {
-                    piledUp.add(() -> tick(mine));
+                    deferredEvents.add(() -> tick(startedIncarnation));
                 } else {
-                    tick(mine);
+                    tick(startedIncarnation);
                 }
             }
         });
@@ -135,44 +142,44 @@
 
     /** SIGTERM. */
     void terminate() {
-        int mine = life;
-        event(mine, now -> {
-            leaving = true;
-            simulation.trace(() -> lifeName() + " is told to leave");
-            replica.beginHandover(now);
+        int startedIncarnation = incarnation;
+        dispatch(startedIncarnation, nowMs -> {
+            terminating = true;
+            simulation.trace(() -> incarnationName() + " is told to leave");
+            replica.beginHandover(nowMs);
         });
     }
 
     /** The process ends; with a loss of power also what the disk had not synced. */
-    void end(boolean powerLost) {
+    void stop(boolean losesPower) {
         if (replica == null) {
             return;
         }
-        simulation.trace(() -> lifeName() + (powerLost ? " loses power" : " ends"));
+        simulation.trace(() -> incarnationName() + (losesPower ? " loses power" : " ends"));
         interruptWrites();
         replica = null;
-        life++;
-        leaving = false;
-        piledUp.clear();
-        if (powerLost) {
+        incarnation++;
+        terminating = false;
+        deferredEvents.clear();
+        if (losesPower) {
             powerCycles++;
             disk.losePower(random);
-            clockOffset = random.nextLong(1_000_000_000);
+            clockOffsetMs = random.nextLong(1_000_000_000);
         }
-        List<Reply> open = new ArrayList<>(replies.values());
-        replies.clear();
-        if (!powerLost) {
-            open.forEach(Reply::reset);
+        List<ReplyHandler> interruptedReplies = new ArrayList<>(pendingReplies.values());
+        pendingReplies.clear();
+        if (!losesPower) {
+            interruptedReplies.forEach(ReplyHandler::onConnectionReset);
         }
     }
 
     /** The view in which this machine, as its primary, was checked last. */
-    Object checkedView() {
-        return checkedView;
+    Object checkedMembership() {
+        return checkedMembership;
     }
 
-    void checked(Object view) {
-        checkedView = view;
+    void setCheckedMembership(Object membership) {
+        checkedMembership = membership;
     }
 
     /** How often this machine lost power: what the network holds up for it is lost then. */
@@ -181,75 +188,75 @@
     }
 
     void remove() {
-        end(random.nextBoolean());
+        stop(random.nextBoolean());
         powerCycles++;
         removed = true;
     }
 
     private void interruptWrites() {
-        if (writes.isEmpty() || queue.now() < stalledUntil) {
-            writes.clear();
+        if (pendingWrites.isEmpty() || queue.nowMs() < diskStalledUntilMs) {
+            pendingWrites.clear();
             return;
         }
         disk.interruptAfter(random.nextInt(5));
         try {
-            replica.keep(writes.peek().record());
-        } catch (SimulatedDisk.Interrupted ended) {
-            simulation.trace(() -> lifeName() + " ends within a write");
+            replica.persist(pendingWrites.peek().record());
+        } catch (SimulatedDisk.OperationInterrupted interrupted) {
+            simulation.trace(() -> incarnationName() + " ends within a write");
         }
         disk.interruptAfter(-1);
-        writes.clear();
+        pendingWrites.clear();
     }
 
     void freeze() {
-        freezes++;
+        activeFreezes++;
     }
 
     void thaw() {
-        freezes--;
-        if (freezes == 0) {
-            List<Runnable> held = new ArrayList<>(piledUp);
-            piledUp.clear();
-            held.forEach(run -> queue.after(0, run));
+        activeFreezes--;
+        if (activeFreezes == 0) {
+            List<Runnable> events = new ArrayList<>(deferredEvents);
+            deferredEvents.clear();
+            events.forEach(event -> queue.schedule(0, event));
         }
     }
 
-    void slow(long more) {
-        slowness += more;
+    void addProcessingDelay(long delayMs) {
+        processingDelayMs += delayMs;
     }
 
     /** Hands an event to the process as soon as it can take it; dropped if that life ends first. */
-    private void event(int ofLife, LongConsumer handle) {
-        if (life != ofLife || replica == null) {
+    private void dispatch(int expectedIncarnation, LongConsumer handler) {
+        if (incarnation != expectedIncarnation || replica == null) {
             return;
         }
         if (frozen()) {
-            piledUp.add(() -> event(ofLife, handle));
-        } else if (slowness > 0) {
-            queue.after(slowness, () -> handle(ofLife, handle));
+            deferredEvents.add(() -> dispatch(expectedIncarnation, handler));
+        } else if (processingDelayMs > 0) {
+            queue.schedule(processingDelayMs, () -> process(expectedIncarnation, handler));
         } else {
-            handle(ofLife, handle);
+            process(expectedIncarnation, handler);
         }
     }
 
-    private void handle(int ofLife, LongConsumer handle) {
-        if (life != ofLife || replica == null) {
+    private void process(int expectedIncarnation, LongConsumer handler) {
+        if (incarnation != expectedIncarnation || replica == null) {
             return;
         }
         if (frozen()) {
-            piledUp.add(() -> handle(ofLife, handle));
+            deferredEvents.add(() -> process(expectedIncarnation, handler));
             return;
         }
         try {
-            handle.accept(localTime());
-        } catch (FleetException | IllegalStateException | NullPointerException | IndexOutOfBoundsException e) {
-            throw new Violation(Violation.Rule.NO_EXCEPTION, e);
+            handler.accept(localTimeMs());
+        } catch (FleetException | IllegalStateException | NullPointerException | IndexOutOfBoundsException exception) {
+            throw new Violation(Violation.Rule.NO_EXCEPTION, exception);
         }
         if (replica != null) {
             simulation.invariants().check(this);
             if (!replica.role().equals(lastRole)) {
                 lastRole = replica.role();
-                simulation.trace(() -> lifeName() + " is " + replica.describe());
+                simulation.trace(() -> incarnationName() + " is " + replica.describe());
                 simulation.triggers().fire(Step.Trigger.ROLE_CHANGE);
             }
         }
@@ -260,25 +267,25 @@
     /** Something came for whoever runs here now. */
     void receive(String from, Object message) {
         if (replica != null) {
-            event(life, now -> {
+            dispatch(incarnation, nowMs -> {
                 simulation.trace(() -> name + " gets from " + from + ": " + ReplicaAdapter.describe(message));
-                replica.message(now, from, message);
+                replica.onMessage(nowMs, from, message);
             });
         }
     }
 
     /** An operator's request, once the process gets to it. */
-    void request(LongConsumer handle, Runnable refusedConnection) {
+    void request(LongConsumer handler, Runnable onConnectionRefused) {
         if (replica == null) {
-            refusedConnection.run();
+            onConnectionRefused.run();
         } else {
-            event(life, handle);
+            dispatch(incarnation, handler);
         }
     }
 
-    long requestId(Reply reply) {
-        replies.put(++requestIds, reply);
-        return requestIds;
+    long registerReply(ReplyHandler handler) {
+        pendingReplies.put(++lastRequestId, handler);
+        return lastRequestId;
     }
 
     @Override
@@ -288,67 +295,67 @@
     }
 
     @Override
-    public void answered(long requestId, FleetException refusal, ControlState state) {
-        Reply reply = replies.remove(requestId);
-        if (reply != null) {
-            reply.answered(refusal, state);
+    public void completed(long requestId, FleetException rejection, ControlState state) {
+        ReplyHandler handler = pendingReplies.remove(requestId);
+        if (handler != null) {
+            handler.onReply(rejection, state);
         }
     }
 
     @Override
     public void committed(ReplicaAdapter.Position position, ControlState state) {
-        simulation.trace(
-                () -> lifeName() + " commits version " + state.configuration().version() + " at " + position);
-        simulation.history().committed(this, position, state);
-        simulation.invariants().committed(this, state.configuration().version());
+        simulation.trace(() ->
+                incarnationName() + " commits version " + state.configuration().version() + " at " + position);
+        simulation.history().onCommitted(this, position, state);
+        simulation.invariants().onCommitted(this, state.configuration().version());
     }
 
     // ---- its disk ------------------------------------------------------------------------------------
 
-    void refuseWrites(boolean begins) {
-        refusing += begins ? 1 : -1;
-        disk.full(refusing > 0);
+    void setDiskFull(boolean full) {
+        diskFullFaults += full ? 1 : -1;
+        disk.setFull(diskFullFaults > 0);
     }
 
-    void slowDisk(long more) {
-        diskDelay += more;
+    void addDiskDelay(long delayMs) {
+        diskDelayMs += delayMs;
     }
 
-    void stallDisk(long until) {
-        stalledUntil = Math.max(stalledUntil, until);
+    void stallDisk(long untilMs) {
+        diskStalledUntilMs = Math.max(diskStalledUntilMs, untilMs);
     }
 
     @Override
     public void persist(long number, byte[] record) {
         simulation.triggers().fire(Step.Trigger.RECORD);
-        writes.add(new Write(number, record));
-        if (writes.size() == 1) {
-            schedule(life);
+        pendingWrites.add(new Write(number, record));
+        if (pendingWrites.size() == 1) {
+            scheduleWrite(incarnation);
         }
     }
 
-    private void schedule(int mine) {
-        long waits = Math.max(0, stalledUntil - queue.now());
-        queue.after(waits + 1 + random.nextInt(3) + diskDelay, () -> write(mine));
+    private void scheduleWrite(int startedIncarnation) {
+        long stallMs = Math.max(0, diskStalledUntilMs - queue.nowMs());
+        queue.schedule(stallMs + 1 + random.nextInt(3) + diskDelayMs, () -> performWrite(startedIncarnation));
     }
 
-    private void write(int mine) {
-        if (life != mine) {
+    private void performWrite(int startedIncarnation) {
+        if (incarnation != startedIncarnation) {
             return;
         }
-        if (queue.now() < stalledUntil) {
-            schedule(mine);
+        if (queue.nowMs() < diskStalledUntilMs) {
+            scheduleWrite(startedIncarnation);
             return;
         }
         if (frozen()) {
-            piledUp.add(() -> write(mine));
+            deferredEvents.add(() -> performWrite(startedIncarnation));
             return;
         }
-        Write head = writes.poll();
-        boolean kept = replica.keep(head.record());
-        if (!writes.isEmpty()) {
-            schedule(mine);
+        Write write = pendingWrites.poll();
+        boolean persisted = replica.persist(write.record());
+        if (!pendingWrites.isEmpty()) {
+            scheduleWrite(startedIncarnation);
         }
-        event(mine, now -> replica.persisted(now, head.number(), kept));
+        dispatch(startedIncarnation, nowMs -> replica.onPersisted(nowMs, write.number(), persisted));
     }
 }
--- a/src/test/java/quartzspan/replication/simulation/SimulatedNetwork.java
+++ b/src/test/java/quartzspan/replication/simulation/SimulatedNetwork.java
@@ -8,24 +8,24 @@
 
 /** Links between machines, each direction by itself. A cut loses messages, or holds some up until it is healed. */
 final class SimulatedNetwork {
-    private static final int DELAY_MS = 3;
-    private static final int LATE_PER_MILLE = 20;
-    private static final int LATE_MS = 120;
-    private static final int DOUBLED_LATE_MS = 4_000;
-    private static final int MOST_HELD = 64;
+    private static final int MAX_DELAY_MS = 3;
+    private static final int DELAYED_PER_MILLE = 20;
+    private static final int MAX_EXTRA_DELAY_MS = 120;
+    private static final int MAX_DUPLICATE_DELAY_MS = 4_000;
+    private static final int MAX_BUFFERED_MESSAGES = 64;
 
     private record Link(String from, String to) {}
 
     private static final class Cut {
         private int count;
-        private int heldPerMille;
-        private final List<Runnable> held = new ArrayList<>();
+        private int bufferedPerMille;
+        private final List<Runnable> buffered = new ArrayList<>();
     }
 
     private final Simulation simulation;
     private final Scenario scenario;
     private final Map<Link, Cut> cuts = new HashMap<>();
-    private final Map<String, Long> lateness = new HashMap<>();
+    private final Map<String, Long> extraDelaysMs = new HashMap<>();
     private final Map<String, SplittableRandom> randoms = new HashMap<>();
 
     SimulatedNetwork(Simulation simulation, Scenario scenario) {
@@ -37,10 +37,10 @@
         return randoms.computeIfAbsent(sender, s -> simulation.randomOf("network " + s));
     }
 
-    void cut(String from, String to, int heldPerMille) {
+    void cut(String from, String to, int bufferedPerMille) {
         Cut cut = cuts.computeIfAbsent(new Link(from, to), l -> new Cut());
         cut.count++;
-        cut.heldPerMille = heldPerMille;
+        cut.bufferedPerMille = bufferedPerMille;
     }
 
     void heal(String from, String to) {
@@ -48,33 +48,33 @@
         Cut cut = cuts.get(link);
         if (cut != null && --cut.count == 0) {
             cuts.remove(link);
-            cut.held.forEach(
-                    deliver -> simulation.queue().after(1 + random(from).nextInt(20), deliver));
+            cut.buffered.forEach(
+                    deliver -> simulation.queue().schedule(1 + random(from).nextInt(20), deliver));
         }
     }
 
     /** From now on some messages of this machine take up to so long; 0 for no longer. */
-    void late(String sender, long mostMs) {
-        lateness.merge(sender, mostMs, Long::sum);
+    void addDelay(String sender, long maxDelayMs) {
+        extraDelaysMs.merge(sender, maxDelayMs, Long::sum);
     }
 
     void send(String from, String to, Object message) {
         SplittableRandom random = random(from);
-        if (random.nextInt(1000) < scenario.lostPerMille()) {
+        if (random.nextInt(1000) < scenario.messageLossPerMille()) {
             return;
         }
-        long delay = 1L + random.nextInt(DELAY_MS);
-        if (random.nextInt(1000) < LATE_PER_MILLE) {
-            delay += random.nextInt(LATE_MS);
+        long delayMs = 1L + random.nextInt(MAX_DELAY_MS);
+        if (random.nextInt(1000) < DELAYED_PER_MILLE) {
+            delayMs += random.nextInt(MAX_EXTRA_DELAY_MS);
         }
-        long late = lateness.getOrDefault(from, 0L);
-        if (late > 0 && random.nextBoolean()) {
-            delay += random.nextLong(late);
+        long extraDelayMs = extraDelaysMs.getOrDefault(from, 0L);
+        if (extraDelayMs > 0 && random.nextBoolean()) {
+            delayMs += random.nextLong(extraDelayMs);
         }
         Runnable deliver = () -> deliver(from, to, message);
-        simulation.queue().after(delay, deliver);
-        if (random.nextInt(1000) < scenario.doubledPerMille()) {
-            simulation.queue().after(delay + random.nextInt(DOUBLED_LATE_MS), deliver);
+        simulation.queue().schedule(delayMs, deliver);
+        if (random.nextInt(1000) < scenario.messageDuplicationPerMille()) {
+            simulation.queue().schedule(delayMs + random.nextInt(MAX_DUPLICATE_DELAY_MS), deliver);
         }
     }
 
@@ -85,9 +85,9 @@
         }
         Cut cut = cuts.get(new Link(from, to));
         if (cut != null) {
-            if (cut.held.size() < MOST_HELD && random(from).nextInt(1000) < cut.heldPerMille) {
+            if (cut.buffered.size() < MAX_BUFFERED_MESSAGES && random(from).nextInt(1000) < cut.bufferedPerMille) {
                 int cycles = simulation.machine(from).powerCycles();
-                cut.held.add(() -> {
+                cut.buffered.add(() -> {
                     if (simulation.machine(from).powerCycles() == cycles) {
                         deliver(from, to, message);
                     }
