--- a/src/test/java/quartzspan/replication/simulation/Simulation.java
+++ b/src/test/java/quartzspan/replication/simulation/Simulation.java
@@ -13,38 +13,38 @@
 /** Plays one scenario in simulated time; throws {@link Violation} where a rule is broken. */
 final class Simulation {
     /** Time that members have beyond the catch-up time, after the last trouble. */
-    private static final long MARGIN_MS = 1_000;
+    private static final long SETTLE_MARGIN_MS = 1_000;
     /** Time for a change and a read in calm. */
-    private static final long ANSWER_MS = 3_000;
+    private static final long REQUEST_WAIT_MS = 3_000;
 
-    private static final long START = 1_000;
-    private static final int SEEDS = 3;
-    private static final int START_SPREAD_MS = 300;
+    private static final long START_MS = 1_000;
+    private static final int SEED_NODE_COUNT = 3;
+    private static final int START_JITTER_MS = 300;
 
     private final Scenario scenario;
-    private final EventQueue queue = new EventQueue(START);
+    private final EventQueue queue = new EventQueue(START_MS);
     private final Map<String, SimulatedMachine> machines = new TreeMap<>();
     private final List<String> trace;
     private final HistoryChecker history = new HistoryChecker();
     private final InvariantChecker invariants = new InvariantChecker();
-    private final TriggerBoard triggers = new TriggerBoard(queue);
+    private final StepTriggers triggers = new StepTriggers(queue);
     private final FaultBudget budget;
     private final SimulatedNetwork network;
     private final OperatorClients operators;
-    private final TroubleInjector troubles;
+    private final FaultInjector faultInjector;
     private final SplittableRandom random;
     private SimulatedMachine lastAcknowledging;
     private long fingerprint;
-    private boolean calm;
+    private boolean faultFree;
 
     Simulation(Scenario scenario, boolean tracing) {
         this.scenario = scenario;
         this.trace = tracing ? new ArrayList<>() : null;
         this.random = randomOf("simulation");
-        this.budget = new FaultBudget(scenario.losses(), scenario.catchUpMs());
+        this.budget = new FaultBudget(scenario.toleratedFailures(), scenario.catchUpMs());
         this.network = new SimulatedNetwork(this, scenario);
         this.operators = new OperatorClients(this, scenario, history);
-        this.troubles = new TroubleInjector(this, scenario);
+        this.faultInjector = new FaultInjector(this, scenario);
     }
 
     // ---- its parts -----------------------------------------------------------------------------------
@@ -61,7 +61,7 @@
         return invariants;
     }
 
-    TriggerBoard triggers() {
+    StepTriggers triggers() {
         return triggers;
     }
 
@@ -77,8 +77,8 @@
         return operators;
     }
 
-    int losses() {
-        return scenario.losses();
+    int toleratedFailures() {
+        return scenario.toleratedFailures();
     }
 
     long fingerprint() {
@@ -90,9 +90,9 @@
     }
 
     void trace(Supplier<String> line) {
-        fingerprint = fingerprint * 31 + queue.now();
+        fingerprint = fingerprint * 31 + queue.nowMs();
         if (trace != null) {
-            trace.add((queue.now() - START) + " ms: " + line.get());
+            trace.add((queue.nowMs() - START_MS) + " ms: " + line.get());
         }
     }
 
@@ -116,7 +116,7 @@
         return machines.values().stream().filter(SimulatedMachine::running).toList();
     }
 
-    SimulatedMachine add(int number) {
+    SimulatedMachine addMachine(int number) {
         String name = "10.0." + number / 200 + "." + (number % 200 + 1) + ":7000";
         SimulatedMachine machine = new SimulatedMachine(name, this, randomOf("machine " + name));
         machines.put(name, machine);
@@ -128,9 +128,9 @@
     }
 
     /** Whom an operator calls: mostly one that runs. */
-    SimulatedMachine anyMachine(SplittableRandom of) {
-        List<SimulatedMachine> all = of.nextInt(8) == 0 ? members() : running();
-        return all.isEmpty() ? null : all.get(of.nextInt(all.size()));
+    SimulatedMachine pickMachine(SplittableRandom machineRandom) {
+        List<SimulatedMachine> candidates = machineRandom.nextInt(8) == 0 ? members() : running();
+        return candidates.isEmpty() ? null : candidates.get(machineRandom.nextInt(candidates.size()));
     }
 
     SimulatedMachine primary() {
@@ -140,7 +140,7 @@
                 .orElse(null);
     }
 
-    void acknowledgedBy(SimulatedMachine machine) {
+    void onAcknowledged(SimulatedMachine machine) {
         lastAcknowledging = machine;
         triggers.fire(Step.Trigger.ACKNOWLEDGEMENT);
     }
@@ -151,96 +151,104 @@
 
     /** Three machines of the present ones, as the settings of a process name them. */
     List<String> seedNodes() {
-        List<String> all = new ArrayList<>(members().stream().map(m -> m.name).toList());
-        while (all.size() > SEEDS) {
-            all.remove(random.nextInt(all.size()));
+        List<String> candidates =
+                new ArrayList<>(members().stream().map(m -> m.name).toList());
+        while (candidates.size() > SEED_NODE_COUNT) {
+            candidates.remove(random.nextInt(candidates.size()));
         }
-        return all;
+        return candidates;
     }
 
     // ---- a history -----------------------------------------------------------------------------------
 
     void run() {
         for (int i = 0; i < scenario.machines(); i++) {
-            add(i);
+            addMachine(i);
         }
-        List<String> seeds = machines.keySet().stream().limit(SEEDS).toList();
+        List<String> seedNodes =
+                machines.keySet().stream().limit(SEED_NODE_COUNT).toList();
         for (SimulatedMachine machine : List.copyOf(machines.values())) {
-            budget.added(machine.name, queue.now());
-            queue.after(random.nextInt(START_SPREAD_MS), () -> machine.start(seeds, true));
+            budget.onAdded(machine.name, queue.nowMs());
+            queue.schedule(random.nextInt(START_JITTER_MS), () -> machine.start(seedNodes, true));
         }
         for (Step step : scenario.steps()) {
-            queue.after(step.atMs(), () -> triggers.add(step, () -> apply(step)));
+            queue.schedule(step.atMs(), () -> triggers.add(step, () -> apply(step)));
         }
-        queue.runUntil(START + scenario.endMs());
-        triggers.close();
-        while (budget.anyLost(queue.now())) {
-            queue.runUntil(Math.max(queue.now() + 1, budget.nextReturn(queue.now())));
+        queue.runUntil(START_MS + scenario.endMs());
+        triggers.cancelPending();
+        while (budget.isAnyUnavailable(queue.nowMs())) {
+            queue.runUntil(Math.max(queue.nowMs() + 1, budget.nextAvailableAtMs(queue.nowMs())));
         }
-        queue.runUntil(queue.now() + MARGIN_MS);
-        checkCalm();
+        queue.runUntil(queue.nowMs() + SETTLE_MARGIN_MS);
+        checkAfterFaults();
     }
 
     private void apply(Step step) {
-        SplittableRandom details = new SplittableRandom(step.variation());
+        SplittableRandom details = new SplittableRandom(step.detailSeed());
         switch (step.kind()) {
-            case RACE -> operators.race(details);
+            case RACE -> operators.submitConcurrentChanges(details);
             case READ -> operators.read(6);
-            case RESEND -> operators.resend(details);
-            case NAME_WEIGHTS -> operators.nameWeights(details);
-            case INVALID_CHANGE -> operators.invalid(details);
-            default -> troubles.apply(step, details);
+            case RESEND -> operators.resendChange(details);
+            case NAME_WEIGHTS -> operators.submitWeightsVersion(details);
+            case INVALID_CHANGE -> operators.submitInvalidChange(details);
+            default -> faultInjector.apply(step, details);
         }
     }
 
     /** Whether the last trouble is over. */
-    boolean calm() {
-        return calm;
+    boolean faultFree() {
+        return faultFree;
     }
 
-    private void checkCalm() {
-        calm = true;
-        require(primary() != null, Rule.CALM_HAS_A_PRIMARY, describe());
+    private void checkAfterFaults() {
+        faultFree = true;
+        require(primary() != null, Rule.PRIMARY_EXISTS_AFTER_FAULTS, describe());
         checkRedundancy();
-        int before = history.acknowledged();
-        operators.read(20, () -> operators.race(new SplittableRandom(1)));
-        queue.runUntil(queue.now() + ANSWER_MS);
-        require(history.acknowledged() > before, Rule.CALM_ACCEPTS_A_CHANGE, describe());
+        int acknowledgedBefore = history.acknowledged();
+        operators.read(20, () -> operators.submitConcurrentChanges(new SplittableRandom(1)));
+        queue.runUntil(queue.nowMs() + REQUEST_WAIT_MS);
+        require(history.acknowledged() > acknowledgedBefore, Rule.REQUESTS_SUCCEED_AFTER_FAULTS, describe());
         SimulatedMachine primary = primary();
-        require(primary != null, Rule.CALM_HAS_A_PRIMARY, describe());
-        int reads = history.reads();
+        require(primary != null, Rule.PRIMARY_EXISTS_AFTER_FAULTS, describe());
+        int readsBefore = history.reads();
         operators.read(20);
-        queue.runUntil(queue.now() + ANSWER_MS);
-        require(history.reads() > reads, Rule.CALM_ACCEPTS_A_CHANGE, "no read is answered: " + describe());
-        history.checkDurable(primary.replica().inForce());
+        queue.runUntil(queue.nowMs() + REQUEST_WAIT_MS);
+        require(
+                history.reads() > readsBefore,
+                Rule.REQUESTS_SUCCEED_AFTER_FAULTS,
+                "no read is answered: " + describe());
+        history.checkDurable(primary.replica().state());
         checkRedundancy();
     }
 
     /** Whatever may be lost next, nothing that was acknowledged is lost with it. */
     private void checkRedundancy() {
         ReplicaAdapter primary = primary().replica();
-        int machinesLeft = members().size();
-        List<String> copies = primary.dataReplicas();
+        int machineCount = members().size();
+        List<String> dataReplicas = primary.dataReplicas();
         List<String> voters = primary.voters();
         require(
-                copies.size() >= Math.min(scenario.losses() + 1, machinesLeft)
-                        && voters.size() >= Math.min(2 * scenario.losses() + 1, machinesLeft),
-                Rule.CALM_RESTORES_REDUNDANCY,
+                dataReplicas.size() >= Math.min(scenario.toleratedFailures() + 1, machineCount)
+                        && voters.size() >= Math.min(2 * scenario.toleratedFailures() + 1, machineCount),
+                Rule.REDUNDANCY_RESTORED_AFTER_FAULTS,
                 "too few copies or voters: " + describe());
-        require(!primary.changingVoters(), Rule.CALM_RESTORES_REDUNDANCY, "voters still change: " + describe());
+        require(
+                !primary.isChangingVoters(),
+                Rule.REDUNDANCY_RESTORED_AFTER_FAULTS,
+                "voters still change: " + describe());
         for (String name : voters) {
             SimulatedMachine machine = machines.get(name);
             require(
                     machine.running()
                             && !machine.replica().isRecovering()
                             && machine.replica().epoch().equals(primary.epoch()),
-                    Rule.CALM_RESTORES_REDUNDANCY,
+                    Rule.REDUNDANCY_RESTORED_AFTER_FAULTS,
                     name + " is a voter that is not caught up: " + describe());
         }
-        for (String name : copies) {
+        for (String name : dataReplicas) {
             require(
-                    machines.get(name).replica().copyPosition().equals(primary.copyPosition()),
-                    Rule.CALM_RESTORES_REDUNDANCY,
+                    machines.get(name).replica().logPosition().equals(primary.logPosition()),
+                    Rule.REDUNDANCY_RESTORED_AFTER_FAULTS,
                     name + " holds an old copy: " + describe());
         }
     }
--- a/src/test/java/quartzspan/replication/simulation/SimulationRunner.java
+++ b/src/test/java/quartzspan/replication/simulation/SimulationRunner.java
@@ -8,19 +8,19 @@
 
 /** Plays many scenarios, each on one thread, and tells which of them break a rule. */
 final class SimulationRunner {
-    private static final long SHRINK_MS = 20_000;
-    private static final long BLOCK = 100;
+    private static final long SHRINK_LIMIT_MS = 20_000;
+    private static final long BLOCK_SIZE = 100;
 
-    private final Map<Long, Violation> broken = new ConcurrentSkipListMap<>();
+    private final Map<Long, Violation> violations = new ConcurrentSkipListMap<>();
     private final AtomicLong acknowledged = new AtomicLong();
     private final AtomicLong reads = new AtomicLong();
-    private final AtomicLong played = new AtomicLong();
+    private final AtomicLong completed = new AtomicLong();
 
     /** Plays the scenarios of so many seeds; draws no new ones once so many are broken. */
-    void play(long first, long count, int stopAfter) {
-        LongStream.range(first, first + count).parallel().forEach(seed -> {
-            if (broken.size() < stopAfter) {
-                play(seed);
+    void run(long firstSeed, long count, int maxViolations) {
+        LongStream.range(firstSeed, firstSeed + count).parallel().forEach(seed -> {
+            if (violations.size() < maxViolations) {
+                run(seed);
             }
         });
     }
@@ -31,32 +31,32 @@
      *
      * @return the first broken seed; -1 if none is broken
      */
-    long playUntilBroken(long first, long count) {
-        for (long from = first; from < first + count; from += BLOCK) {
-            play(from, Math.min(BLOCK, first + count - from), Integer.MAX_VALUE);
-            if (!broken.isEmpty()) {
-                return broken.keySet().iterator().next();
+    long runUntilViolation(long firstSeed, long count) {
+        for (long blockStart = firstSeed; blockStart < firstSeed + count; blockStart += BLOCK_SIZE) {
+            run(blockStart, Math.min(BLOCK_SIZE, firstSeed + count - blockStart), Integer.MAX_VALUE);
+            if (!violations.isEmpty()) {
+                return violations.keySet().iterator().next();
             }
         }
         return -1;
     }
 
-    private void play(long seed) {
-        Simulation simulation = new Simulation(ScenarioGenerator.draw(seed), false);
+    private void run(long seed) {
+        Simulation simulation = new Simulation(ScenarioGenerator.generate(seed), false);
         try {
             simulation.run();
         } catch (Violation violation) {
-            broken.put(seed, violation);
+            violations.put(seed, violation);
         } catch (RuntimeException fault) {
             throw new IllegalStateException("history " + seed, fault);
         }
         acknowledged.addAndGet(simulation.history().acknowledged());
         reads.addAndGet(simulation.history().reads());
-        played.incrementAndGet();
+        completed.incrementAndGet();
     }
 
-    Map<Long, Violation> broken() {
-        return broken;
+    Map<Long, Violation> violations() {
+        return violations;
     }
 
     long acknowledged() {
@@ -68,12 +68,12 @@
     }
 
     String summary() {
-        StringBuilder text = new StringBuilder(
-                played + " histories, " + acknowledged + " changes, " + reads + " reads, " + broken.size() + " broken");
+        StringBuilder text = new StringBuilder(completed + " histories, " + acknowledged + " changes, " + reads
+                + " reads, " + violations.size() + " broken");
         Map<Violation.Rule, Integer> rules = new TreeMap<>();
-        broken.values().forEach(v -> rules.merge(v.rule(), 1, Integer::sum));
+        violations.values().forEach(v -> rules.merge(v.rule(), 1, Integer::sum));
         text.append(' ').append(rules);
-        broken.forEach((seed, v) -> text.append("\n  ")
+        violations.forEach((seed, v) -> text.append("\n  ")
                 .append(seed)
                 .append(' ')
                 .append(v.getMessage().split("\n")[0]));
@@ -82,18 +82,18 @@
 
     /** A broken scenario, shrunk, with its steps in words. */
     static String explain(long seed, Violation violation, boolean withTrace) {
-        Scenario drawn = ScenarioGenerator.draw(seed);
-        Scenario small = ScenarioShrinker.shrink(drawn, violation.rule(), SHRINK_MS);
-        Simulation replay = new Simulation(small, true);
+        Scenario generated = ScenarioGenerator.generate(seed);
+        Scenario shrunk = ScenarioShrinker.shrink(generated, violation.rule(), SHRINK_LIMIT_MS);
+        Simulation replay = new Simulation(shrunk, true);
         String failure = "nothing when played again";
         try {
             replay.run();
-        } catch (Violation again) {
-            failure = again.getMessage();
+        } catch (Violation repeated) {
+            failure = repeated.getMessage();
         }
         return "history " + seed + " breaks " + failure + "\nshrunk from "
-                + drawn.steps().size() + " to "
-                + small.steps().size() + " steps; " + small.describe()
+                + generated.steps().size() + " to "
+                + shrunk.steps().size() + " steps; " + shrunk.describe()
                 + (withTrace ? "\n" + String.join("\n", replay.traceLines()) : "");
     }
 
@@ -102,21 +102,21 @@
      * of them to explain.
      */
     public static void main(String[] arguments) {
-        long first = Long.parseLong(arguments[0]);
+        long firstSeed = Long.parseLong(arguments[0]);
         long count = Long.parseLong(arguments[1]);
-        int stopAfter = Integer.parseInt(arguments[2]);
-        int explained = Integer.parseInt(arguments[3]);
-        long begun = System.nanoTime();
+        int maxViolations = Integer.parseInt(arguments[2]);
+        int explainCount = Integer.parseInt(arguments[3]);
+        long startNs = System.nanoTime();
         SimulationRunner runner = new SimulationRunner();
-        if (stopAfter == 0) {
-            System.out.println("first broken: " + runner.playUntilBroken(first, count));
+        if (maxViolations == 0) {
+            System.out.println("first broken: " + runner.runUntilViolation(firstSeed, count));
         } else {
-            runner.play(first, count, stopAfter);
+            runner.run(firstSeed, count, maxViolations);
         }
         System.out.println(runner.summary());
-        System.out.println((System.nanoTime() - begun) / 1_000_000 + " ms");
-        runner.broken().entrySet().stream()
-                .limit(explained)
+        System.out.println((System.nanoTime() - startNs) / 1_000_000 + " ms");
+        runner.violations().entrySet().stream()
+                .limit(explainCount)
                 .forEach(e -> System.out.println(explain(e.getKey(), e.getValue(), Boolean.getBoolean("trace"))));
     }
 }
--- a/src/test/java/quartzspan/replication/simulation/SimulatorTest.java
+++ b/src/test/java/quartzspan/replication/simulation/SimulatorTest.java
@@ -19,25 +19,26 @@
  * </ul>
  */
 class SimulatorTest {
-    private static final long HISTORIES = Long.getLong("histories", 3_000);
-    private static final long FIRST = Long.getLong("first", 1);
+    private static final long SCENARIO_COUNT = Long.getLong("histories", 3_000);
+    private static final long FIRST_SEED = Long.getLong("first", 1);
 
     @Test
-    void noGeneratedHistoryViolatesAnInvariant() {
+    void noGeneratedScenarioViolatesAnInvariant() {
         SimulationRunner runner = new SimulationRunner();
-        int stopAfter = Integer.getInteger("findings", 1);
-        if (stopAfter == 0) {
-            System.out.println("first broken: " + runner.playUntilBroken(FIRST, HISTORIES));
+        int maxViolations = Integer.getInteger("findings", 1);
+        if (maxViolations == 0) {
+            System.out.println("first broken: " + runner.runUntilViolation(FIRST_SEED, SCENARIO_COUNT));
         } else {
-            runner.play(FIRST, HISTORIES, stopAfter);
+            runner.run(FIRST_SEED, SCENARIO_COUNT, maxViolations);
         }
         System.out.println(runner.summary());
-        for (Map.Entry<Long, Violation> first : runner.broken().entrySet()) {
+        for (Map.Entry<Long, Violation> first : runner.violations().entrySet()) {
             throw new AssertionError(
                     SimulationRunner.explain(first.getKey(), first.getValue(), Boolean.getBoolean("trace")));
         }
         assertTrue(
-                HISTORIES < 100 || runner.acknowledged() > 5 * HISTORIES && runner.reads() > 5 * HISTORIES,
+                SCENARIO_COUNT < 100
+                        || runner.acknowledged() > 5 * SCENARIO_COUNT && runner.reads() > 5 * SCENARIO_COUNT,
                 "too little was asked");
     }
 
@@ -49,7 +50,7 @@
     }
 
     private static String fingerprint(long seed) {
-        Simulation simulation = new Simulation(ScenarioGenerator.draw(seed), false);
+        Simulation simulation = new Simulation(ScenarioGenerator.generate(seed), false);
         try {
             simulation.run();
         } catch (Violation violation) {
--- a/src/test/java/quartzspan/replication/simulation/Step.java
+++ b/src/test/java/quartzspan/replication/simulation/Step.java
@@ -17,10 +17,10 @@
         Trigger trigger,
         int triggerCount,
         long triggerDelayMs,
-        boolean eager,
+        boolean waitsForBudget,
         Target target,
         long durationMs,
-        long variation) {
+        long detailSeed) {
 
     /** What happens. */
     enum Kind {
@@ -46,7 +46,7 @@
         REPLACE_PLANNED,
         REPLACE_UNPLANNED;
 
-        boolean operation() {
+        boolean isOperation() {
             return ordinal() <= INVALID_CHANGE.ordinal();
         }
     }
@@ -76,7 +76,9 @@
                         ? ""
                         : ", " + triggerDelayMs + " ms after " + trigger + " number " + triggerCount)
                 + ": " + kind
-                + (kind.operation() ? "" : " of " + target + " for " + durationMs + " ms" + (eager ? ", eager" : ""))
-                + " (variation " + variation + ")";
+                + (kind.isOperation()
+                        ? ""
+                        : " of " + target + " for " + durationMs + " ms" + (waitsForBudget ? ", eager" : ""))
+                + " (variation " + detailSeed + ")";
     }
 }
--- a/src/test/java/quartzspan/replication/simulation/Violation.java
+++ b/src/test/java/quartzspan/replication/simulation/Violation.java
@@ -6,29 +6,29 @@
 
     /** What must hold. */
     enum Rule {
-        ONE_PRIMARY_PER_BALLOT,
-        ONE_VIEW_PER_BALLOT,
-        COMMITS_ONLY_RISE,
+        ONE_PRIMARY_PER_EPOCH,
+        ONE_MEMBERSHIP_PER_EPOCH,
+        COMMITTED_VERSIONS_INCREASE,
         PRIMARY_HAS_ALL_COMMITS,
-        ACKNOWLEDGED_IS_IN_FORCE,
-        ACKNOWLEDGED_IS_DURABLE,
-        ONE_CHANGE_PER_BASE,
+        ACKNOWLEDGED_CHANGE_IS_COMMITTED,
+        ACKNOWLEDGED_CHANGE_IS_DURABLE,
+        ONE_CHANGE_PER_BASE_VERSION,
         READS_ARE_LINEARIZABLE,
-        READS_ONLY_WHAT_CAME_IN_FORCE,
-        NEVER_REFUSED_WHAT_IS_IN_FORCE,
-        REFUSED_WITH_REASON,
-        INVALID_IS_REFUSED,
-        STORE_OUTLIVES_POWER_LOSS,
-        CALM_HAS_A_PRIMARY,
-        CALM_ACCEPTS_A_CHANGE,
-        CALM_RESTORES_REDUNDANCY,
+        READS_RETURN_COMMITTED_STATE,
+        REJECTED_CHANGE_IS_NOT_COMMITTED,
+        REJECTION_HAS_VALID_REASON,
+        INVALID_CHANGE_IS_REJECTED,
+        STORE_SURVIVES_POWER_LOSS,
+        PRIMARY_EXISTS_AFTER_FAULTS,
+        REQUESTS_SUCCEED_AFTER_FAULTS,
+        REDUNDANCY_RESTORED_AFTER_FAULTS,
         NO_EXCEPTION
     }
 
     private final Rule rule;
 
-    Violation(Rule rule, String what) {
-        super(rule + ": " + what);
+    Violation(Rule rule, String detail) {
+        super(rule + ": " + detail);
         this.rule = rule;
     }
 
@@ -41,9 +41,9 @@
         return rule;
     }
 
-    static void require(boolean holds, Rule rule, String otherwise) {
+    static void require(boolean holds, Rule rule, String detail) {
         if (!holds) {
-            throw new Violation(rule, otherwise);
+            throw new Violation(rule, detail);
         }
     }
 }
