--- a/src/test/java/quartzspan/replication/EpochTest.java
+++ b/src/test/java/quartzspan/replication/EpochTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The total order of epochs, and that equality and hash follow it. */
+/** Tests the total order of epochs, and that equals and hashCode are consistent with it. */
 class EpochTest {
     private static final List<Epoch> ASCENDING_EPOCHS = List.of(
             Epoch.NONE,
--- a/src/test/java/quartzspan/replication/HandoverTest.java
+++ b/src/test/java/quartzspan/replication/HandoverTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import quartzspan.replication.SimulatedCluster.Machine;
 
-/** A replica that is told to end hands over the lead, its copy and its vote first. */
+/** A terminating replica first hands over the primary role, its data copy and its vote. */
 class HandoverTest {
     private static final long SETTLE_MS = 3_000;
     private static final long HANDOVER_MS = 1_500;
@@ -69,7 +69,7 @@
         assertEquals(2, membership.dataReplicas().size());
     }
 
-    /** The letter's third point: the leaver goes, and the primary's disk is lost right after. */
+    /** A terminating backup leaves, and right afterwards the primary's disk is lost. */
     @Test
     void acknowledgedChangesSurviveBackupTerminationAndPrimaryDiskLoss() {
         for (int toleratedFailures = 1; toleratedFailures <= 2; toleratedFailures++) {
@@ -82,7 +82,7 @@
             terminating.replica.beginHandover(cluster.nowMs);
             cluster.run(cluster.nowMs + HANDOVER_MS);
             assertTrue(terminating.replica.isHandoverComplete(cluster.nowMs));
-            assertEquals(ReplicaRole.STANDBY, terminating.replica.role(), "the standby has its vote");
+            assertEquals(ReplicaRole.STANDBY, terminating.replica.role(), "the other standby has taken over its vote");
             remove(cluster, terminating);
             Machine wiped = cluster.primary();
             wiped.kill();
@@ -97,7 +97,10 @@
         }
     }
 
-    /** A voter is gone, its successor comes and is lost again: a majority of the three is there all the while. */
+    /**
+     * A voter is lost and its successor starts: the voter set must not grow meanwhile, so that a majority of the three voters
+     * remains even if the successor is lost again.
+     */
     @Test
     void standbyIsNotAddedWhileAVoterIsUnresponsive() {
         SimulatedCluster cluster = settledCluster(1);
@@ -146,7 +149,7 @@
         backup.replica.beginHandover(cluster.nowMs);
         terminating.replica.beginHandover(cluster.nowMs);
         cluster.run(cluster.nowMs + HANDOVER_MS);
-        assertNotEquals(null, cluster.primary(), "somebody leads");
+        assertNotEquals(null, cluster.primary(), "there is still a primary");
         assertTakesChanges(cluster);
         assertEquals(2, others.size());
     }
--- a/src/test/java/quartzspan/replication/RecordedCluster.java
+++ b/src/test/java/quartzspan/replication/RecordedCluster.java
@@ -18,14 +18,14 @@
 import quartzspan.transport.MessageCodec;
 
 /**
- * Replicas with files on disk in simulated time, without any chance: every message and every record comes out the same in
- * each run. The trace has a line for each of them, with its time and the checksum of its bytes.
+ * Replicas with files on disk in simulated time, fully deterministic: each run produces the same messages and records. The
+ * trace has a line for each of them, with its time and the checksum of its bytes.
  */
 final class RecordedCluster {
     private static final long MESSAGE_DELAY_MS = 2;
     private static final long DISK_DELAY_MS = 3;
     private static final long TICK_INTERVAL_MS = 50;
-    /** Where an encoded message has its kind: behind the header. */
+    /** Offset of the message kind in an encoded message, after the header. */
     private static final int KIND_OFFSET = 8;
 
     private record Event(long atMs, long order, Runnable action) {}
@@ -46,7 +46,7 @@
         this.seedNodes = seedNodes;
     }
 
-    /** One machine: its replica in one incarnation after the other, and its disk. */
+    /** One machine: the successive incarnations of its replica, and its disk. */
     final class Machine implements Replica.Output {
         private final String name;
         private Replica replica;
@@ -157,7 +157,7 @@
         nowMs = endMs;
     }
 
-    /** Runs events until a condition holds; false if it does not by the end. */
+    /** Runs events until the condition holds; returns false if it does not hold by the end. */
     boolean runUntil(long endMs, BooleanSupplier condition) {
         while (!events.isEmpty() && events.peek().atMs <= endMs) {
             Event event = events.poll();
@@ -181,13 +181,13 @@
                 .orElseThrow();
     }
 
-    /** Whether a view of any machine is a joint one. */
+    /** Whether any machine has a joint membership. */
     boolean isChangingVoters() {
         return machines.values().stream()
                 .anyMatch(m -> m.replica != null && m.replica.membership().isJoint());
     }
 
-    /** Asks the primary for a change; its answer stands in {@link #answers}. */
+    /** Submits a change to the primary; {@link #replies} returns its reply. */
     void change(Change change) {
         primary().replica.submit(nowMs, ++lastRequestId, change);
         run(200);
--- a/src/test/java/quartzspan/replication/ReplicaGuardsTest.java
+++ b/src/test/java/quartzspan/replication/ReplicaGuardsTest.java
@@ -11,7 +11,7 @@
 import quartzspan.common.FleetException;
 import quartzspan.replication.ReplicaMessage.Kind;
 
-/** Each guard of the protocol by itself, at one machine: what chance seldom brings about is brought about here. */
+/** Tests each safety check of the protocol in isolation at one replica, in situations that random scenarios seldom reach. */
 class ReplicaGuardsTest {
     private static final String A = "10.0.0.1:7";
     private static final String B = "10.0.0.2:7";
@@ -42,12 +42,12 @@
 
             @Override
             public void completed(long requestId, FleetException rejection, ControlState state) {
-                replies.add(requestId + (rejection == null ? " yes" : " " + rejection.code()));
+                replies.add(requestId + (rejection == null ? " accepted" : " " + rejection.code()));
             }
 
             @Override
             public void committed(long index, ControlState state, ChangeHistory history) {
-                replies.add("in force " + index);
+                replies.add("committed " + index);
             }
         });
         sync();
@@ -123,18 +123,18 @@
         requestVote(C, 4);
         assertTrue(last(Kind.VOTE_REPLY).granted());
         requestVote(A, 4);
-        assertFalse(last(Kind.VOTE_REPLY).granted(), "granted to another");
+        assertFalse(last(Kind.VOTE_REPLY).granted(), "granted to another candidate");
         requestVote(C, 4);
-        assertTrue(last(Kind.VOTE_REPLY).granted(), "the same question again");
+        assertTrue(last(Kind.VOTE_REPLY).granted(), "the same vote request again");
         start(B, false);
         nowMs += 5_000;
         requestVote(A, 4);
-        assertFalse(last(Kind.VOTE_REPLY).granted(), "a new life keeps the promise");
+        assertFalse(last(Kind.VOTE_REPLY).granted(), "the promise survives a restart");
         requestVote(A, 5);
         assertTrue(last(Kind.VOTE_REPLY).granted());
     }
 
-    /** Two candidates with one number: whoever has granted it to the higher one takes nothing of the lower one. */
+    /** Two candidates with the same epoch number: a voter that granted the higher one rejects everything from the lower one. */
     @Test
     void membershipOfTheSameNumberByALowerCandidateIsRejected() {
         start(B, true);
@@ -157,10 +157,10 @@
         replica.onMessage(nowMs, C, ReplicaMessage.of(Kind.VOTE, epoch(4, C)));
         assertEquals(null, last(Kind.VOTE_REPLY));
         replica.onPersisted(nowMs, pendingRecordNumbers.remove(0)[0], false);
-        assertFalse(last(Kind.VOTE_REPLY).granted(), "the disk refused");
+        assertFalse(last(Kind.VOTE_REPLY).granted(), "the disk write failed");
     }
 
-    /** A view that is on its way to the disk may be lost with this life: nobody is told of it. */
+    /** A membership that is not yet durable may be lost in a crash, so it is not reported. */
     @Test
     void membershipIsReportedOnlyOnceDurable() {
         start(B, true);
@@ -189,7 +189,9 @@
                 recoveryReply(6, known).withNonce(request.nonce()).withGenerations(Map.of(B, request.generation()));
         replica.onMessage(nowMs, A, reply);
         sync();
-        assertTrue(replica.isRecovering(), "the third may have been granted more with our word");
+        assertTrue(
+                replica.isRecovering(),
+                "the third voter may have been promised a higher epoch together with the lost vote");
         replica.onMessage(nowMs, C, reply.withPromisedEpoch(epoch(9, C), false));
         sync();
         assertFalse(replica.isRecovering());
@@ -199,7 +201,7 @@
         assertFalse(last(Kind.VOTE_REPLY).granted());
     }
 
-    /** The disk was lost twice: what another still says to the life before helps this one to nothing. */
+    /** The disk is lost twice: a reply to the previous incarnation's recovery request must not count for this one. */
     @Test
     void recoveryReplyToAnEarlierIncarnationDoesNotCount() {
         start(B, false);
@@ -215,7 +217,10 @@
         replica.onMessage(nowMs, A, generationInUse);
         nowMs += 1_000;
         replica.onTick(nowMs);
-        assertEquals(request.generation() + 1, last(Kind.RECOVERY).generation(), "another life has used it");
+        assertEquals(
+                request.generation() + 1,
+                last(Kind.RECOVERY).generation(),
+                "an earlier incarnation has used that generation");
     }
 
     @Test
@@ -231,11 +236,11 @@
         assertTrue(last(Kind.RECOVERY_REPLY).granted());
         replica.onMessage(nowMs, B, request.withNonce(78));
         sync();
-        assertFalse(last(Kind.RECOVERY_REPLY).granted(), "another life has that generation");
+        assertFalse(last(Kind.RECOVERY_REPLY).granted(), "another incarnation has that generation");
         start(A, false);
         replica.onMessage(nowMs, B, request.withNonce(78));
         sync();
-        assertFalse(last(Kind.RECOVERY_REPLY).granted(), "a new process knows it too");
+        assertFalse(last(Kind.RECOVERY_REPLY).granted(), "the recorded generation survives a restart");
     }
 
     @Test
@@ -278,13 +283,13 @@
         assertEquals(null, last(Kind.REPLICATE_REPLY));
         pendingRecordNumbers.forEach(record -> replica.onPersisted(nowMs, record[0], false));
         pendingRecordNumbers.clear();
-        assertEquals(null, last(Kind.REPLICATE_REPLY), "the disk refused");
+        assertEquals(null, last(Kind.REPLICATE_REPLY), "the disk write failed");
         replica.onMessage(nowMs, A, snapshot(epoch(3, A), 9));
         sync();
         assertTrue(last(Kind.REPLICATE_REPLY).granted());
     }
 
-    /** The copies of the newest view hold what it answered; a copy from before it may not. */
+    /** Data replicas of the latest membership hold all changes acknowledged under it; an older replica may lack some. */
     @Test
     void replicaWithoutTheLatestMembershipIsNotAStateSource() {
         start(A, true);
@@ -299,7 +304,7 @@
         Epoch newer = new Epoch(0, B, 1);
         replica.onMessage(nowMs, C, vote(epoch, membership(newer, B, A), Epoch.NONE, -1));
         sync();
-        assertEquals(null, last(Kind.REPLICATE), "its own copy is from before that view");
+        assertEquals(null, last(Kind.REPLICATE), "its own state is older than that membership");
         replica.onMessage(nowMs, B, vote(epoch, membership(newer, B, A), newer, 4));
         sync();
         assertEquals(ReplicaRole.CANDIDATE, replica.role());
@@ -343,7 +348,7 @@
         }
     }
 
-    /** While voters change, a majority of either set is needed: those of the new ones alone may not know the old primary. */
+    /** A joint membership needs majorities of both voter sets: the new voters alone may not know of the old primary. */
     @Test
     void jointMembershipNeedsMajoritiesOfBothVoterSets() {
         String d = "10.0.0.4:7";
@@ -378,17 +383,18 @@
                         .withLogPosition(epoch, replicateMessage.logIndex()));
         sync();
         Membership nextMembership = last(Kind.ACCEPT).membership();
-        assertEquals(List.of(A, C, d), nextMembership.voters(), "the change of voters is carried to the end");
+        assertEquals(List.of(A, C, d), nextMembership.voters(), "the change of voters is completed");
         assertEquals(ALL, nextMembership.previousVoters());
         replica.onMessage(nowMs, d, ReplicaMessage.of(Kind.ACCEPT_REPLY, epoch).withGranted(true));
         assertFalse(replica.isPrimary(), "a majority of the new voters only");
         replica.onMessage(nowMs, B, ReplicaMessage.of(Kind.ACCEPT_REPLY, epoch).withGranted(true));
         sync();
         assertTrue(replica.isPrimary());
-        assertEquals(List.of(), replica.membership().previousVoters(), "in force: the old voters are needed no more");
+        assertEquals(
+                List.of(), replica.membership().previousVoters(), "accepted, so the old voters are no longer needed");
     }
 
-    /** It was away while the others dropped it: their votes would make a primary of one that nobody counts as a voter. */
+    /** The others removed this replica while it was disconnected: it must not become primary although they grant pre-votes. */
     @Test
     void removedVoterAbandonsItsElection() {
         start(A, true);
@@ -413,7 +419,7 @@
         assertEquals(ReplicaRole.STANDBY, replica.role());
     }
 
-    /** A vote that was given before its disk was lost does not count beside one that knows of the loss. */
+    /** A vote sent before the voter lost its disk does not count once the candidate knows of the loss. */
     @Test
     void voteFromBeforeADiskLossDoesNotCount() {
         start(A, true);
@@ -438,14 +444,17 @@
         sync();
         replica.onMessage(nowMs, B, vote(epoch, initialMembership, Epoch.INITIAL, 0));
         sync();
-        assertEquals(null, last(Kind.REPLICATE), "its disk was lost since");
+        assertEquals(null, last(Kind.REPLICATE), "the voter has lost its disk since");
         replica.onMessage(
                 nowMs, B, vote(epoch, initialMembership, Epoch.INITIAL, 0).withGeneration(1));
         sync();
         assertEquals(epoch, last(Kind.REPLICATE).epoch());
     }
 
-    /** The view that a late vote tells was accepted before it: what it answered may not have been taken over. */
+    /**
+     * A late vote reports a membership accepted before that vote: changes acknowledged under it may be missing from the state
+     * that the candidate has adopted.
+     */
     @Test
     void newerMembershipInALateVoteEndsTheElection() {
         start(A, true);
@@ -465,12 +474,12 @@
         assertEquals(ReplicaRole.WITNESS, replica.role());
     }
 
-    /** Every step of a candidacy waits for whom it must. */
+    /** Each step of an election waits for its quorum; a change waits for all backups. */
     @Test
     void electionNeedsAQuorumAtEachStepAndAChangeNeedsAllBackups() {
         start(A, true);
         tickUntil(Kind.PRE_VOTE);
-        assertEquals(null, last(Kind.VOTE), "sounded alone");
+        assertEquals(null, last(Kind.VOTE), "only its own pre-vote");
         Membership initialMembership = replica.membership();
         replica.onMessage(
                 nowMs,
@@ -481,55 +490,55 @@
         sync();
         Epoch epoch = last(Kind.VOTE).epoch();
         assertEquals(1, epoch.number());
-        assertEquals(null, last(Kind.REPLICATE), "granted by itself alone");
+        assertEquals(null, last(Kind.REPLICATE), "only its own vote");
         replica.onMessage(nowMs, B, vote(epoch, initialMembership, Epoch.INITIAL, 0));
         sync();
         assertEquals(epoch, last(Kind.REPLICATE).epoch());
-        assertEquals(null, last(Kind.ACCEPT), "no backup has it");
+        assertEquals(null, last(Kind.ACCEPT), "no backup has the state");
         ReplicaMessage replicated =
                 ReplicaMessage.of(Kind.REPLICATE_REPLY, epoch).withGranted(true).withPromisedEpoch(epoch, false);
         replica.onMessage(nowMs, B, replicated.withLogPosition(epoch, 1));
-        assertEquals(null, last(Kind.ACCEPT), "its own vote for the view is not on its disk");
+        assertEquals(null, last(Kind.ACCEPT), "its own acceptance of the membership is not durable");
         nowMs += 300;
         replica.onTick(nowMs);
-        assertEquals(null, last(Kind.ACCEPT), "nor when it asks again");
+        assertEquals(null, last(Kind.ACCEPT), "still not durable when requests are resent");
         sync();
         assertEquals(List.of(A, B), last(Kind.ACCEPT).membership().dataReplicas());
-        assertFalse(replica.isPrimary(), "accepted by itself alone");
+        assertFalse(replica.isPrimary(), "accepted only by itself");
         ReplicaMessage accepted =
                 ReplicaMessage.of(Kind.ACCEPT_REPLY, epoch).withGranted(true).withPromisedEpoch(epoch, false);
         replica.onMessage(nowMs, B, accepted);
         assertTrue(replica.isPrimary());
         replies.clear();
         replica.read(nowMs, 7);
-        assertEquals(List.of(), replies, "a read needs a majority's word");
+        assertEquals(List.of(), replies, "a read needs confirmation by a majority");
         ReplicaMessage heartbeat = last(Kind.HEARTBEAT);
         ReplicaMessage acknowledged = ReplicaMessage.of(Kind.HEARTBEAT_REPLY, epoch)
                 .withGranted(true)
                 .withPromisedEpoch(epoch, false)
                 .withLogPosition(epoch, 1);
         replica.onMessage(nowMs, C, acknowledged.withNonce(heartbeat.nonce() - 1));
-        assertEquals(List.of(), replies, "an answer to a heartbeat before the question");
+        assertEquals(List.of(), replies, "reply to a heartbeat sent before the read");
         replica.onMessage(nowMs, C, acknowledged.withNonce(heartbeat.nonce()));
-        assertEquals(List.of("7 yes"), replies);
+        assertEquals(List.of("7 accepted"), replies);
         replica.submit(nowMs, 8, new Change(Change.Kind.REPLACE, 0, SimulatedCluster.document(5)));
         sync();
         replica.onMessage(nowMs, C, replicated.withLogPosition(epoch, 2));
-        assertEquals(1, replies.size(), "a witness is no backup");
+        assertEquals(1, replies.size(), "a witness does not count as a backup");
         replica.onMessage(nowMs, B, replicated.withLogPosition(epoch, 2));
-        assertEquals(List.of("7 yes", "in force 2", "8 yes"), replies);
+        assertEquals(List.of("7 accepted", "committed 2", "8 accepted"), replies);
         nowMs += 800;
         replica.onTick(nowMs);
-        assertFalse(replica.isPrimary(), "no majority for long: nobody's primary");
+        assertFalse(replica.isPrimary(), "steps down after too long without a majority");
     }
 
-    /** Found by the local run: with one voter its own word is a majority, and it deposed itself for want of others. */
+    /** With one voter its own confirmation is a majority; in a local run such a primary stepped down for lack of peer replies. */
     @Test
     void singleVoterStaysPrimary() {
         replica = new Replica(A, List.of(A), 0, true, List.of(), 5, nowMs, new Replica.Output() {
             @Override
             public void send(String to, ReplicaMessage message) {
-                throw new AssertionError("to nobody");
+                throw new AssertionError("unexpected message to " + to);
             }
 
             @Override
--- a/src/test/java/quartzspan/replication/ReplicaSimulationTest.java
+++ b/src/test/java/quartzspan/replication/ReplicaSimulationTest.java
@@ -8,10 +8,10 @@
 import quartzspan.replication.SimulatedCluster.Machine;
 
 /**
- * Plays seeded histories of troubles against the control state: kills, lost disks, cuts (one way too), freezes, late and lost
- * messages, disks that refuse or are slow, machines replaced by empty ones at other addresses, two operators at once. What was
- * acknowledged must be there, changes on one version exclude each other, what is read is the newest, and calm brings a
- * primary that takes changes.
+ * Runs seeded fault scenarios against the replicated control state: crashes, lost disks, network partitions (one-way too),
+ * process freezes, delayed and lost messages, full or slow disks, machines replaced by empty ones at other addresses, two
+ * concurrent operators. Acknowledged changes must not be lost, at most one change succeeds per base version, reads return the
+ * newest version, and after the faults a primary accepts changes.
  */
 class ReplicaSimulationTest {
     static final int SCENARIO_COUNT = Integer.getInteger("quartzspan.histories", 1_500);
@@ -25,7 +25,7 @@
             try {
                 runScenario(cluster);
             } catch (AssertionError | RuntimeException failure) {
-                throw new AssertionError("history " + seed + ": " + failure.getMessage(), failure);
+                throw new AssertionError("scenario " + seed + ": " + failure.getMessage(), failure);
             }
             reads += cluster.reads;
             acknowledgedCount += cluster.acknowledgedChanges.size();
@@ -52,7 +52,8 @@
         }
         cluster.messageLossPerMille = 0;
         cluster.run(cluster.nowMs + 6_000);
-        SimulatedCluster.require(cluster.primary() != null, "calm brings no primary: " + describeMachines(cluster));
+        SimulatedCluster.require(
+                cluster.primary() != null, "no primary after the faults ended: " + describeMachines(cluster));
         long lastVersion = cluster.acknowledgedChanges.isEmpty() ? 0 : cluster.acknowledgedChanges.lastKey();
         cluster.read();
         cluster.run(cluster.nowMs + 1_000);
@@ -60,10 +61,10 @@
         cluster.run(cluster.nowMs + 4_000);
         SimulatedCluster.require(
                 !cluster.acknowledgedChanges.isEmpty() && cluster.acknowledgedChanges.lastKey() > lastVersion,
-                "calm brings no change: " + describeMachines(cluster));
+                "no change acknowledged after the faults ended: " + describeMachines(cluster));
         ControlState state = cluster.primary().replica.state();
         for (Change change : cluster.acknowledgedChanges.values()) {
-            SimulatedCluster.require(state.with(change) == state, "an acknowledged change is not there");
+            SimulatedCluster.require(state.with(change) == state, "an acknowledged change is missing");
         }
     }
 
@@ -78,7 +79,7 @@
                 .toString();
     }
 
-    /** One trouble, or one that strikes right after a change was acknowledged. */
+    /** Injects one random fault. */
     private static void injectFault(SimulatedCluster cluster) {
         List<Machine> machines = new ArrayList<>(cluster.machines.values());
         Machine machine = cluster.pickRunningMachine();
@@ -90,7 +91,7 @@
                 machine.start(cluster.nowMs < 1_004_000 && cluster.random.nextBoolean());
             }
             case 2 -> {
-                // Everybody at once.
+                // All machines crash at once.
                 machines.forEach(Machine::kill);
                 cluster.run(cluster.nowMs + 300 + cluster.random.nextInt(1_500));
                 machines.forEach(a -> cluster.schedule(cluster.random.nextInt(300), () -> a.start(false)));
@@ -121,7 +122,7 @@
             case 9 -> replaceMachine(cluster, machine);
             case 10, 11, 12 -> cutRandomLinks(cluster, machines, 200 + cluster.random.nextInt(4_000));
             default -> {
-                // A change is on its way when its primary dies.
+                // The primary crashes while changes are in flight.
                 Machine primary = cluster.primary();
                 if (primary != null) {
                     cluster.submitConcurrentChanges(2);
@@ -134,7 +135,7 @@
         }
     }
 
-    /** One machine is cut off from all others, in one direction or both. */
+    /** Cuts one machine off from all others, in one direction or both. */
     private static void isolate(SimulatedCluster cluster, Machine machine, List<Machine> machines) {
         boolean singleDirection = cluster.random.nextBoolean();
         boolean outbound = cluster.random.nextBoolean();
@@ -150,7 +151,7 @@
         }
     }
 
-    /** Some links fail, each in one direction or both, while everybody else hears everybody. */
+    /** Cuts random links, each in one direction or both, while all other links work. */
     private static void cutRandomLinks(SimulatedCluster cluster, List<Machine> machines, long durationMs) {
         for (int remaining = 1 + cluster.random.nextInt(machines.size()); remaining > 0; remaining--) {
             Machine a = machines.get(cluster.random.nextInt(machines.size()));
@@ -163,13 +164,16 @@
         for (long endMs = cluster.nowMs + durationMs;
                 cluster.nowMs < endMs;
                 cluster.run(cluster.nowMs + 50 + cluster.random.nextInt(300))) {
-            // Whoever thinks that it decides is asked.
+            // Changes go to every machine that considers itself primary.
             cluster.submitConcurrentChanges(1);
         }
         cluster.cutLinks.clear();
     }
 
-    /** As many disks as may be lost are, in a calm time, perhaps while all others lose power; then calm until caught up. */
+    /**
+     * Loses as many disks as are tolerated while there are no other faults, perhaps together with a crash of all other machines;
+     * then waits until the machines have caught up.
+     */
     private static void loseDisks(SimulatedCluster cluster, List<Machine> machines) {
         cluster.run(cluster.nowMs + 4_500);
         boolean stopOthers = cluster.random.nextBoolean();
@@ -203,14 +207,15 @@
             }
         }
         if (cluster.random.nextBoolean()) {
-            // Disks are not the only trouble: what has come back empty vouches for nothing meanwhile.
+            // Link failures during recovery: a machine that restarted with an empty disk must not confirm anything
+            // meanwhile.
             cluster.run(cluster.nowMs + cluster.random.nextInt(700));
             cutRandomLinks(cluster, machines, 1_500);
         }
         cluster.run(cluster.nowMs + 4_500);
     }
 
-    /** A machine goes for good, and an empty one at another address comes. */
+    /** Removes a machine permanently and starts an empty one at another address. */
     private static void replaceMachine(SimulatedCluster cluster, Machine old) {
         cluster.run(cluster.nowMs + 4_500);
         if (old.replica == null || cluster.machines.size() > 9) {
--- a/src/test/java/quartzspan/replication/SimulatedCluster.java
+++ b/src/test/java/quartzspan/replication/SimulatedCluster.java
@@ -14,11 +14,11 @@
 import java.util.TreeMap;
 import quartzspan.common.FleetException;
 
-/** Core machines in simulated time: their replicas, disks and links, operators who race, and troubles drawn from a seed. */
+/** Core machines in simulated time: replicas, disks, links, concurrent operators, and faults generated from a seed. */
 final class SimulatedCluster {
     private record Event(long atMs, long order, Runnable action) {}
 
-    /** One machine; the disk outlives the replica, unless it is lost. */
+    /** One machine; its disk survives a crash of the replica, unless the disk is lost. */
     final class Machine implements Replica.Output {
         final String name;
         List<byte[]> disk = new ArrayList<>();
@@ -28,7 +28,7 @@
         boolean diskFull;
         long diskDelayMs;
         long diskIdleAtMs;
-        /** A life that ended while records were on their way, one of which did not reach the disk. */
+        /** The incarnation that ended with writes in flight, at least one of which did not reach the disk. */
         int incarnationWithLostWrite = -1;
 
         final ArrayDeque<Runnable> deferredEvents = new ArrayDeque<>();
@@ -58,7 +58,7 @@
             replica = null;
             incarnation++;
             deferredEvents.clear();
-            // What was on its way to the disk is there or not, in order.
+            // Of the writes in flight, a prefix reaches the disk.
             diskIdleAtMs = nowMs;
         }
 
@@ -89,7 +89,7 @@
             diskIdleAtMs = doneAtMs;
             boolean writeFails = diskFull;
             scheduleAt(doneAtMs, () -> {
-                // A log keeps what was on its way in order: nothing is there whose predecessor is not.
+                // The log is written in order: after a lost write, the later writes of that incarnation are lost, too.
                 boolean lost = incarnation != startedIncarnation
                         && (writeFails
                                 || incarnationWithLostWrite == startedIncarnation
@@ -119,20 +119,24 @@
             long[] position = {index};
             Epoch epoch = replica.membership().epoch();
             String primary = primaryByEpoch.putIfAbsent(epoch, name);
-            require(primary == null || primary.equals(name), "two primaries in epoch " + epoch);
+            require(primary == null || primary.equals(name), "two primaries committed in epoch " + epoch);
             Long otherVersion = versionByPosition.get(position);
             require(
                     otherVersion == null
                             || otherVersion == state.configuration().version(),
-                    "two states at index " + index);
+                    "two versions committed at index " + index);
             long version = state.configuration().version();
             for (Map.Entry<long[], Long> entry :
                     versionByPosition.headMap(position, true).entrySet()) {
-                require(entry.getValue() <= version, "version " + version + " after " + entry.getValue());
+                require(
+                        entry.getValue() <= version,
+                        "version " + version + " committed after version " + entry.getValue());
             }
             for (Map.Entry<long[], Long> entry :
                     versionByPosition.tailMap(position, false).entrySet()) {
-                require(entry.getValue() >= version, "version " + version + " before " + entry.getValue());
+                require(
+                        entry.getValue() >= version,
+                        "version " + version + " committed before version " + entry.getValue());
             }
             versionByPosition.put(position, version);
         }
@@ -156,7 +160,7 @@
             : Long.compare(first.order, second.order));
     private final TreeMap<long[], Long> versionByPosition = new TreeMap<>(Arrays::compare);
     private final Map<Epoch, String> primaryByEpoch = new HashMap<>();
-    /** Acknowledged changes: base, by version. */
+    /** Acknowledged changes by version. */
     final TreeMap<Long, Change> acknowledgedChanges = new TreeMap<>();
 
     private final Set<Long> acknowledgedBaseVersions = new HashSet<>();
@@ -189,7 +193,7 @@
         scheduleAt(nowMs + delayMs, action);
     }
 
-    /** An event at a machine: dropped if that life is over, held up while it is frozen. */
+    /** Runs an event at a machine: dropped if that incarnation has ended, deferred while the machine is frozen. */
     private void dispatch(Machine machine, int incarnation, Runnable action) {
         if (machine.incarnation != incarnation) {
             return;
@@ -217,13 +221,11 @@
         }
     }
 
-    // ---- operators -----------------------------------------------------------------------------------
-
     static byte[] document(long version) {
         return ("{\"version\":" + version + ",\"routes\":[],\"services\":[]}").getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Two changes on the version last seen, at two machines; whoever is told yes is held to it. */
+    /** Submits concurrent changes based on the latest known version; each acknowledgement is recorded and checked. */
     void submitConcurrentChanges(int count) {
         for (int i = 0; i < count; i++) {
             nextVersion = Math.max(nextVersion, knownVersion) + 1 + random.nextInt(3);
@@ -236,14 +238,15 @@
             return;
         }
         for (Machine machine : machines.values()) {
-            // The operator is sent from one to the other until one says that it decides; a cut-off one may say so too.
+            // An operator follows redirects to a machine that considers itself primary, which a partitioned one may do
+            // as well.
             if (machine.replica != null && machine.replica.isPrimary() && !machine.frozen) {
                 long requestId = ++lastRequestId;
                 machine.pendingRequests.put(requestId, state -> {
                     if (!acknowledgedChanges.containsKey(version)) {
                         require(
                                 acknowledgedBaseVersions.add(change.baseVersion()),
-                                "two changes on version " + change.baseVersion());
+                                "two changes acknowledged on base version " + change.baseVersion());
                     }
                     acknowledgedChanges.put(version, change);
                     knownVersion = Math.max(knownVersion, version);
@@ -258,7 +261,7 @@
         });
     }
 
-    /** A read, at everybody who thinks that it decides. */
+    /** Reads from every machine that considers itself primary. */
     void read() {
         long newestVersion = acknowledgedChanges.isEmpty() ? 0 : acknowledgedChanges.lastKey();
         for (Machine machine : machines.values()) {
@@ -268,7 +271,8 @@
                     reads++;
                     require(
                             state.configuration().version() >= newestVersion,
-                            "read " + state.configuration().version() + " after " + newestVersion);
+                            "read version " + state.configuration().version() + " after acknowledged version "
+                                    + newestVersion);
                     knownVersion = Math.max(knownVersion, state.configuration().version());
                 });
                 machine.replica.read(nowMs, requestId);
--- a/src/test/java/quartzspan/replication/StoredStateCompatibilityTest.java
+++ b/src/test/java/quartzspan/replication/StoredStateCompatibilityTest.java
@@ -16,7 +16,7 @@
 import quartzspan.store.FileDisk;
 import quartzspan.store.SlotStore;
 
-/** What earlier versions have written to disks and sent is read, and written again byte for byte. */
+/** Data that earlier versions stored and sent can be read, and is written again byte for byte. */
 class StoredStateCompatibilityTest {
     private static final String A = "10.0.0.1:7640";
     private static final String B = "10.0.0.2:7640";
@@ -33,7 +33,7 @@
         return new Change(kind, base, body.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** A history with a change of each kind, a change of voters and a lost disk: each byte sent and written is the same. */
+    /** A scenario with a change of each kind, a change of voters and a lost disk sends and writes exactly the same bytes. */
     @Test
     void recordedScenarioIsSentAndWrittenByteForByte() {
         Path disks = folder.resolve("disks");
@@ -77,7 +77,7 @@
         GoldenFile.assertFolder("replication/" + stage, disks);
     }
 
-    /** Each store is opened as at a start; the state found there, written anew, has the same bytes. */
+    /** Opens each store as on a start; the state read from it has the same bytes when it is encoded again. */
     @Test
     void storesOfEarlierVersionsAreReadAndTheirStateIsRewrittenUnchanged() {
         StringBuilder described = new StringBuilder();
@@ -112,7 +112,7 @@
                 + replica.state().fencingToken();
     }
 
-    /** The records of each store, kept one by one in an empty folder, make the same files again. */
+    /** Writes the records of each store one by one to an empty folder, which results in identical files. */
     @Test
     void recordsOfEarlierVersionsAreRewrittenToIdenticalFiles() {
         for (String name : List.of(A, B, C)) {
--- a/src/test/java/quartzspan/replication/simulation/ChangeOperation.java
+++ b/src/test/java/quartzspan/replication/simulation/ChangeOperation.java
@@ -3,13 +3,13 @@
 import java.nio.charset.StandardCharsets;
 import quartzspan.replication.Change;
 
-/** A change that an operator asks for, and what is known of its fate. */
+/** A configuration change submitted by an operator, with its known outcome. */
 final class ChangeOperation {
     final int id;
     final long version;
     final Change change;
     final boolean valid;
-    /** The newest version of which anybody knew when the change was first sent. */
+    /** The newest version known to any client when the change was first sent. */
     final long knownVersionFloor;
 
     boolean acknowledged;
@@ -23,7 +23,7 @@
         this.knownVersionFloor = knownVersionFloor;
     }
 
-    /** The service by which the change is recognised in a configuration. */
+    /** Name of the service that identifies the change in a configuration. */
     static String marker(int id) {
         return "op" + id;
     }
@@ -39,7 +39,7 @@
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    /** A route that names a service that is not there. */
+    /** A configuration whose route refers to a missing service. */
     static byte[] invalid(int id, long version) {
         return ("{\"version\":" + version + ",\"routes\":[{\"name\":\"r\",\"hostname\":\"h\",\"path_prefix\":\"/\","
                         + "\"route_type\":\"read_only\",\"timeout_ms\":5,\"service\":\"none\"}],\"services\":[{\"name\":\""
--- a/src/test/java/quartzspan/replication/simulation/EventQueue.java
+++ b/src/test/java/quartzspan/replication/simulation/EventQueue.java
@@ -2,7 +2,7 @@
 
 import java.util.PriorityQueue;
 
-/** Simulated time: events run in the order of their times, and of their scheduling where these are equal. */
+/** Event queue of simulated time: events run in time order; events of the same time run in scheduling order. */
 final class EventQueue {
     private record Event(long atMs, long order, Runnable action) {}
 
--- a/src/test/java/quartzspan/replication/simulation/FaultBudget.java
+++ b/src/test/java/quartzspan/replication/simulation/FaultBudget.java
@@ -5,16 +5,16 @@
 import java.util.TreeMap;
 
 /**
- * Which machines count as lost: while down, frozen, slowed or cut off, and for the catch-up time after they are back, or
- * after the start of a new one. A removed machine counts until its successor has had that time.
+ * Tracks which machines count as unavailable: while they are down, frozen, slowed or cut off, and during the catch-up time
+ * after their return or first start. A removed machine counts until the catch-up time of its successor is over.
  */
 final class FaultBudget {
     private static final class MachineFaults {
         private int activeFaults;
         private long unavailableUntilMs;
-        /** Until when it may lack what its disk held. */
+        /** Time until which the machine may lack data that its disk held. */
         private long dataMissingUntilMs;
-        /** Whether the trouble at hand struck before it had its time to catch up. */
+        /** Whether the current fault began before the catch-up time was over. */
         private boolean faultedBeforeCaughtUp;
     }
 
@@ -29,25 +29,25 @@
         this.catchUpMs = catchUpMs;
     }
 
-    /** A machine that has just started for the first time, with an empty disk. */
+    /** Adds a machine that has just started for the first time, with an empty disk. */
     void onAdded(String name, long nowMs) {
         MachineFaults faults = faultsByMachine.computeIfAbsent(name, n -> new MachineFaults());
         faults.unavailableUntilMs = Math.max(faults.unavailableUntilMs, nowMs + catchUpMs);
         faults.dataMissingUntilMs = faults.unavailableUntilMs;
     }
 
-    /** A successor that takes over the account of one that was removed without notice. */
+    /** Counts a successor in place of a machine that was removed without a handover. */
     void onReplaced(String successor, String removed, long nowMs) {
         faultsByMachine.remove(removed);
         onAdded(successor, nowMs);
     }
 
-    /** One whose successor runs already: the successor's account stands for both. */
+    /** Stops counting a removed machine; its successor is already running and counts for both. */
     void onRemoved(String name) {
         faultsByMachine.remove(name);
     }
 
-    /** Trouble strikes; one that leaves for good has no account any more. */
+    /** Records the start of a fault, unless the machine is no longer counted. */
     void beginFault(String name, long nowMs) {
         MachineFaults faults = faultsByMachine.get(name);
         if (faults != null) {
@@ -88,7 +88,7 @@
         return faults.activeFaults > 0 || nowMs < faults.unavailableUntilMs;
     }
 
-    /** Whether these may be lost as well. */
+    /** Whether the given machines may become unavailable in addition. */
     boolean allows(Collection<String> additional, long nowMs) {
         long otherUnavailable = faultsByMachine.entrySet().stream()
                 .filter(e -> isUnavailable(e.getValue(), nowMs) && !additional.contains(e.getKey()))
@@ -96,12 +96,12 @@
         return otherUnavailable + additional.size() <= toleratedFailures;
     }
 
-    /** Whether a machine may still lack what its disk held. */
+    /** Whether any machine may still lack data that its disk held. */
     boolean isAnyDataMissing(long nowMs) {
         return faultsByMachine.values().stream().anyMatch(a -> a.faultedBeforeCaughtUp || nowMs < a.dataMissingUntilMs);
     }
 
-    /** Something goes on that is no loss yet or no longer, such as a planned replacement. */
+    /** Starts an action that does not count as a fault itself, such as a planned replacement. */
     void beginPending() {
         pendingReplacements++;
     }
@@ -110,12 +110,12 @@
         pendingReplacements--;
     }
 
-    /** A machine was removed that no longer counts; the others still have to settle. */
+    /** Extends the time in which the other machines settle after a removal that no longer counts. */
     void extendSettling(long untilMs) {
         settledAtMs = Math.max(settledAtMs, untilMs);
     }
 
-    /** Whether a planned replacement is under way. */
+    /** Whether a planned replacement is in progress. */
     boolean isSettling(long nowMs) {
         return pendingReplacements > 0 || nowMs < settledAtMs;
     }
@@ -126,7 +126,7 @@
                 || faultsByMachine.values().stream().anyMatch(a -> isUnavailable(a, nowMs));
     }
 
-    /** The next time at which a machine stops counting as lost, as far as is known. */
+    /** The next known time at which a machine stops counting as unavailable. */
     long nextAvailableAtMs(long nowMs) {
         return faultsByMachine.values().stream()
                 .filter(a -> a.activeFaults == 0 && a.unavailableUntilMs > nowMs)
--- a/src/test/java/quartzspan/replication/simulation/FaultInjector.java
+++ b/src/test/java/quartzspan/replication/simulation/FaultInjector.java
@@ -6,14 +6,14 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** Brings troubles about, as far as the tolerance for losses allows at that moment. */
+/** Injects faults as far as the fault budget currently allows. */
 final class FaultInjector {
     private static final long BUDGET_WAIT_MS = 15_000;
     private static final long TERMINATION_GRACE_MS = 8_000;
     private static final int MAX_MACHINES = 24;
     /**
-     * Whether a machine whose successor has caught up counts as lost no more from its SIGTERM on, as the letter of the pages
-     * has it, or only once its process has ended.
+     * Whether a machine whose successor has caught up stops counting as unavailable at its SIGTERM, as the specification
+     * literally says, or only once its process has ended.
      */
     private static final boolean STRICT_PLANNED_REPLACEMENT = Boolean.getBoolean("strict");
 
@@ -59,8 +59,6 @@
         }
     }
 
-    // ---- whom, and whether ---------------------------------------------------------------------------
-
     private List<SimulatedMachine> targets(Step step, SplittableRandom details) {
         List<SimulatedMachine> candidates = new ArrayList<>(
                 simulation.running().stream().filter(m -> !m.terminating()).toList());
@@ -99,11 +97,11 @@
         return matching.isEmpty() ? null : matching.get(details.nextInt(matching.size()));
     }
 
-    /** Where no disk may be missing, troubles that keep the disks may strike any number of machines. */
+    /** While no machine lacks its data, faults that keep the disks may affect any number of machines. */
     private boolean isAllowed(Step step, List<SimulatedMachine> targets) {
         long nowMs = queue.nowMs();
         if (step.kind() == Step.Kind.REPLACE_PLANNED) {
-            return simulation.machineCount() < MAX_MACHINES && budget.allows(List.of("a new one"), nowMs);
+            return simulation.machineCount() < MAX_MACHINES && budget.allows(List.of("successor"), nowMs);
         }
         if (step.kind() == Step.Kind.REPLACE_UNPLANNED && simulation.machineCount() >= MAX_MACHINES) {
             return false;
@@ -118,11 +116,9 @@
         return budget.allows(targets.stream().map(m -> m.name).toList(), nowMs);
     }
 
-    // ---- troubles ------------------------------------------------------------------------------------
-
     private void inject(Step step, List<SimulatedMachine> targets, SplittableRandom details) {
         SimulatedMachine machine = targets.get(0);
-        simulation.trace(() -> "TROUBLE " + step.kind() + " of "
+        simulation.trace(() -> "FAULT " + step.kind() + " of "
                 + targets.stream()
                         .map(m -> m.name + (m.running() ? " (" + m.replica().role() + ")" : ""))
                         .toList()
@@ -186,7 +182,7 @@
     }
 
     private void crashAll(Step step, SplittableRandom details, boolean losesPower) {
-        simulation.trace(() -> "TROUBLE " + step.kind());
+        simulation.trace(() -> "FAULT " + step.kind());
         long downMs = losesPower ? 100 + details.nextLong(2_500) : 100 + details.nextLong(800);
         for (SimulatedMachine machine : simulation.running()) {
             if (!isExempt(machine)) {
@@ -195,12 +191,15 @@
         }
     }
 
-    /** One that leaves for good and no longer counts has its grace period: no quorum could bear its sudden loss too. */
+    /**
+     * Exempts a machine that is being removed and no longer counts against the budget during its grace period: no quorum could
+     * tolerate its sudden loss as well.
+     */
     private static boolean isExempt(SimulatedMachine machine) {
         return STRICT_PLANNED_REPLACEMENT && machine.terminating();
     }
 
-    /** Disks are lost, at times while all others lose power or are killed. */
+    /** Wipes disks, sometimes while all other machines lose power or are killed. */
     private void wipeDisks(List<SimulatedMachine> targets, Step step, SplittableRandom details) {
         int others = details.nextInt(4);
         for (SimulatedMachine machine : simulation.running()) {
@@ -246,7 +245,7 @@
                 }));
     }
 
-    /** Some links of one machine, each in one direction or both. */
+    /** Cuts some links of one machine, each in one direction or both. */
     private void cutLinks(SimulatedMachine machine, Step step, SplittableRandom details) {
         int bufferedPerMille = details.nextInt(3) * 500;
         List<String[]> links = new ArrayList<>();
@@ -268,7 +267,7 @@
                 () -> links.forEach(link -> network.heal(link[0], link[1])));
     }
 
-    /** SIGTERM, and a new process soon after the end of the old one, or SIGKILL after the grace period. */
+    /** Sends SIGTERM, then SIGKILL after the grace period, and starts a new process soon after the old one has ended. */
     private void terminate(SimulatedMachine machine, SplittableRandom details) {
         budget.beginFault(machine.name, queue.nowMs());
         machine.terminate();
@@ -291,7 +290,7 @@
         }
     }
 
-    /** The successor starts first; once it has had its time, or sooner, the old machine gets SIGTERM. */
+    /** Starts the successor first; the old machine gets SIGTERM once the catch-up time is over, or up to 3 s later. */
     private void replacePlanned(SimulatedMachine old, SplittableRandom details) {
         SimulatedMachine successor = simulation.addMachine(simulation.machineCount());
         budget.onAdded(successor.name, queue.nowMs());
@@ -309,10 +308,11 @@
                     || successor.removed()
                     || budget.isUnavailable(old.name, nowMs)
                     || !allowed) {
-                // In trouble of its own it can't be asked to leave; it stays.
+                // A machine that is faulty itself can't hand over, so it stays.
                 return;
             }
-            simulation.trace(() -> "TROUBLE " + old.name + " is told to leave for good, " + successor.name + " is new");
+            simulation.trace(() -> "FAULT " + old.name
+                    + " receives SIGTERM and is removed afterwards, its successor is " + successor.name);
             budget.beginFault(old.name, queue.nowMs());
             if (STRICT_PLANNED_REPLACEMENT) {
                 budget.onRemoved(old.name);
@@ -322,7 +322,7 @@
             whenStopped(old, queue.nowMs() + TERMINATION_GRACE_MS, () -> {
                 old.remove();
                 budget.extendSettling(queue.nowMs() + scenario.catchUpMs());
-                // Whose hand-over was cut short counts until the others have settled without it.
+                // After an incomplete handover the machine counts until the others have settled without it.
                 queue.schedule(old.handedOver() ? 0 : scenario.catchUpMs(), () -> {
                     budget.onRemoved(old.name);
                     budget.endPending();
--- a/src/test/java/quartzspan/replication/simulation/HistoryChecker.java
+++ b/src/test/java/quartzspan/replication/simulation/HistoryChecker.java
@@ -16,14 +16,15 @@
 import quartzspan.replication.simulation.Violation.Rule;
 
 /**
- * The record of operations, checked at each commit and each answer. Versions rise along the chain of configurations, so each
- * operation has a known place in it; the record is linearizable if and only if no operation that began after another one
- * ended has an earlier place. A try whose answer is lost is held to what the replica answered all the same.
+ * Records the history of client operations and checks it at each commit and each reply. Versions increase along the chain of
+ * configurations, so each operation has a known position in it; the history is linearizable if and only if no operation that
+ * began after another one ended has an earlier position. An attempt whose reply is lost on the way to the client is still
+ * checked against the reply that the replica sent.
  */
 final class HistoryChecker {
     private final List<ChangeOperation> operations = new ArrayList<>();
     private final Map<Long, List<ChangeOperation>> byVersion = new HashMap<>();
-    /** What came in force, by version. */
+    /** Committed changes by version. */
     private final TreeMap<Long, ChangeOperation> committedByVersion = new TreeMap<>();
 
     private final Map<Long, Set<String>> serviceNamesByVersion = new HashMap<>();
@@ -32,14 +33,12 @@
     private final Map<String, Long> acknowledgedWeights = new TreeMap<>();
     private final Map<String, Long> requestedWeights = new TreeMap<>();
     private long newestCommittedVersion;
-    /** The newest version that an answer has told of. */
+    /** The newest version that a reply has confirmed as committed. */
     private long knownVersionFloor;
 
     private int acknowledged;
     private int reads;
 
-    // ---- operations ----------------------------------------------------------------------------------
-
     ChangeOperation change(Change.Kind kind, long baseVersion, long version, boolean valid, String padding) {
         int id = operations.size();
         byte[] body = !valid
@@ -70,13 +69,11 @@
         return knownVersionFloor;
     }
 
-    /** Next number for weights of a model. */
+    /** Returns the next unused weights version of a model. */
     long nextWeightsVersion(String model) {
         return requestedWeights.merge(model, 1L, Long::sum);
     }
 
-    // ---- what is told --------------------------------------------------------------------------------
-
     void onCommitted(SimulatedMachine machine, Position position, ControlState state) {
         observe(state);
         long version = state.configuration().version();
@@ -99,7 +96,7 @@
         return newestCommittedVersion;
     }
 
-    /** Notes a state that is in force somewhere. */
+    /** Records a state that a replica committed or returned, and matches it to the change that produced it. */
     private ChangeOperation observe(ControlState state) {
         Configuration configuration = state.configuration();
         long version = configuration.version();
@@ -112,7 +109,7 @@
             require(
                     serviceNames.equals(serviceNamesByVersion.get(version)),
                     Rule.ONE_CHANGE_PER_BASE_VERSION,
-                    "two contents of version " + version + ": " + serviceNames + " and "
+                    "different configurations with version " + version + ": " + serviceNames + " and "
                             + serviceNamesByVersion.get(version));
             return committed;
         }
@@ -122,18 +119,18 @@
         require(
                 candidates.size() == 1,
                 Rule.READS_RETURN_COMMITTED_STATE,
-                "version " + version + " is of the changes " + candidates);
+                "version " + version + " matches the changes " + candidates + ", expected exactly one");
         ChangeOperation operation = candidates.get(0);
-        require(operation.valid, Rule.INVALID_CHANGE_IS_REJECTED, operation + " is invalid and in force");
+        require(operation.valid, Rule.INVALID_CHANGE_IS_REJECTED, operation + " is invalid but was committed");
         require(
                 !operation.rejected,
                 Rule.REJECTED_CHANGE_IS_NOT_COMMITTED,
-                operation + " was refused and is in force all the same");
+                operation + " was rejected but is committed");
         ChangeOperation conflicting = changeByBaseVersion.putIfAbsent(operation.change.baseVersion(), operation);
         require(
                 conflicting == null,
                 Rule.ONE_CHANGE_PER_BASE_VERSION,
-                operation + " and " + conflicting + " are both in force");
+                operation + " and " + conflicting + " are both committed");
         committedByVersion.put(version, operation);
         serviceNamesByVersion.put(version, Set.copyOf(serviceNames));
         return operation;
@@ -148,22 +145,22 @@
     }
 
     private void acknowledge(ChangeOperation operation, ControlState state) {
-        require(operation.valid, Rule.INVALID_CHANGE_IS_REJECTED, operation + " is invalid and acknowledged");
+        require(operation.valid, Rule.INVALID_CHANGE_IS_REJECTED, operation + " is invalid but was acknowledged");
         observe(state);
         require(
                 committedByVersion.get(operation.version) == operation && newestCommittedVersion >= operation.version,
                 Rule.ACKNOWLEDGED_CHANGE_IS_COMMITTED,
-                operation + " is acknowledged, in force under its number is "
+                operation + " is acknowledged, but the change committed with its version is "
                         + committedByVersion.get(operation.version));
         require(
                 operation.version > operation.knownVersionFloor,
                 Rule.READS_ARE_LINEARIZABLE,
-                operation + " was taken, though version " + operation.knownVersionFloor
-                        + " was known before it was sent");
+                operation + " was accepted, although version " + operation.knownVersionFloor
+                        + " was known to be committed before it was sent");
         require(
                 state.configuration().version() >= operation.version,
                 Rule.ACKNOWLEDGED_CHANGE_IS_COMMITTED,
-                operation + " is acknowledged on a state of version "
+                operation + " is acknowledged with a state of version "
                         + state.configuration().version());
         if (!operation.acknowledged) {
             operation.acknowledged = true;
@@ -176,7 +173,7 @@
         require(
                 committedByVersion.get(operation.version) != operation,
                 Rule.REJECTED_CHANGE_IS_NOT_COMMITTED,
-                operation + " is in force and refused with " + rejection.code());
+                operation + " is committed but was rejected with " + rejection.code());
         operation.rejected = true;
         if (!operation.valid) {
             return;
@@ -185,28 +182,29 @@
         require(
                 rejection.code() == FleetException.Code.CONFIG_STALE && newestCommittedVersion > baseVersion,
                 Rule.REJECTION_HAS_VALID_REASON,
-                operation + " is refused with " + rejection.code() + " (" + rejection.getMessage() + "), newest is "
-                        + newestCommittedVersion);
+                operation + " is rejected with " + rejection.code() + " (" + rejection.getMessage()
+                        + "), newest committed version is " + newestCommittedVersion);
         knownVersionFloor = Math.max(knownVersionFloor, committedByVersion.higherKey(baseVersion));
     }
 
-    /** A read that began when {@code floorThen} was known. */
+    /** Checks a read that began when {@code versionFloor} was known to be committed. */
     void onReadReply(String machineName, long versionFloor, Map<String, Long> weightsFloor, ControlState state) {
         long version = state.configuration().version();
         require(
                 version >= versionFloor,
                 Rule.READS_ARE_LINEARIZABLE,
-                machineName + " reads version " + version + ", before it began " + versionFloor + " was known");
+                machineName + " reads version " + version + ", but " + versionFloor
+                        + " was known to be committed before it began");
         observe(state);
         require(
                 version <= newestCommittedVersion,
                 Rule.READS_RETURN_COMMITTED_STATE,
-                machineName + " reads version " + version + ", newest in force is " + newestCommittedVersion);
+                machineName + " reads version " + version + ", newest committed version is " + newestCommittedVersion);
         weightsFloor.forEach((model, minVersion) -> require(
                 state.weights().getOrDefault(model, 0L) >= minVersion,
                 Rule.READS_ARE_LINEARIZABLE,
-                machineName + " reads weights " + state.weights() + ", before it began " + weightsFloor
-                        + " was known"));
+                machineName + " reads weights " + state.weights() + ", but " + weightsFloor
+                        + " was known to be committed before it began"));
         reads++;
         knownVersionFloor = Math.max(knownVersionFloor, version);
     }
@@ -220,17 +218,17 @@
             require(
                     state.weights().getOrDefault(model, 0L) >= version,
                     Rule.ACKNOWLEDGED_CHANGE_IS_COMMITTED,
-                    "weights " + version + " of " + model + " are acknowledged on " + state.weights());
+                    "weights " + version + " of " + model + " are acknowledged, but the state has " + state.weights());
             acknowledgedWeights.merge(model, version, Math::max);
         } else {
             require(
                     rejection.code() == FleetException.Code.NOT_PRIMARY,
                     Rule.REJECTION_HAS_VALID_REASON,
-                    "weights refused with " + rejection.code());
+                    "weights change rejected with " + rejection.code());
         }
     }
 
-    /** Everything that ever came in force is on the way to the state that is in force at the end. */
+    /** Checks that every committed change is an ancestor of the final state. */
     void checkDurable(ControlState finalState) {
         observe(finalState);
         int chainLength = 0;
@@ -240,24 +238,26 @@
             require(
                     operation != null,
                     Rule.ACKNOWLEDGED_CHANGE_IS_DURABLE,
-                    "version " + version + " is on the way to the last one and was never in force");
+                    "version " + version + " is an ancestor of the final version but was never committed");
             chainLength++;
             version = operation.change.baseVersion();
         }
         require(
                 chainLength == committedByVersion.size(),
                 Rule.ACKNOWLEDGED_CHANGE_IS_DURABLE,
-                "of the versions " + committedByVersion.keySet() + " only " + chainLength + " lead to the last, "
+                "of the committed versions " + committedByVersion.keySet() + " only " + chainLength
+                        + " are ancestors of the final version "
                         + finalState.configuration().version());
         for (ChangeOperation operation : operations) {
             require(
                     !operation.acknowledged || committedByVersion.get(operation.version) == operation,
                     Rule.ACKNOWLEDGED_CHANGE_IS_DURABLE,
-                    operation + " was acknowledged and is not there");
+                    operation + " was acknowledged but is not committed");
         }
         acknowledgedWeights.forEach((model, minVersion) -> require(
                 finalState.weights().getOrDefault(model, 0L) >= minVersion,
                 Rule.ACKNOWLEDGED_CHANGE_IS_DURABLE,
-                "weights " + acknowledgedWeights + " were acknowledged, there are " + finalState.weights()));
+                "weights " + acknowledgedWeights + " were acknowledged, but the final state has "
+                        + finalState.weights()));
     }
 }
--- a/src/test/java/quartzspan/replication/simulation/InvariantChecker.java
+++ b/src/test/java/quartzspan/replication/simulation/InvariantChecker.java
@@ -7,15 +7,15 @@
 import java.util.TreeMap;
 import quartzspan.replication.simulation.Violation.Rule;
 
-/** What must hold at a machine after each of its events. */
+/** Checks the safety invariants of a machine after each of its events. */
 final class InvariantChecker {
-    /** The newest version that came in force, by the epoch under which it did. */
+    /** The newest version committed in each epoch. */
     private final TreeMap<String, Long> newestCommittedByEpoch = new TreeMap<>(ReplicaAdapter::compareEpochs);
 
     private final Map<String, String> primaryByEpoch = new HashMap<>();
     private final Map<String, String> membershipByEpoch = new HashMap<>();
 
-    /** A state came in force at a machine. */
+    /** Records that a machine committed a version. */
     void onCommitted(SimulatedMachine machine, long version) {
         newestCommittedByEpoch.merge(machine.replica().epoch(), version, Math::max);
     }
@@ -41,7 +41,7 @@
         require(
                 knownMembership == null || knownMembership.equals(replica.membership()),
                 Rule.ONE_MEMBERSHIP_PER_EPOCH,
-                "epoch " + epoch + " has the views " + knownMembership + " and " + replica.membership());
+                "epoch " + epoch + " has the memberships " + knownMembership + " and " + replica.membership());
         if (knownPrimary == null) {
             long version = replica.state().configuration().version();
             long newestCommitted = newestCommittedByEpoch.headMap(epoch).values().stream()
@@ -52,7 +52,7 @@
                     version >= newestCommitted,
                     Rule.PRIMARY_HAS_ALL_COMMITS,
                     machine.incarnationName() + " becomes primary of " + epoch + " with version " + version
-                            + ", in force under a lower epoch was " + newestCommitted);
+                            + ", but a lower epoch committed version " + newestCommitted);
         }
     }
 }
--- a/src/test/java/quartzspan/replication/simulation/OperatorClients.java
+++ b/src/test/java/quartzspan/replication/simulation/OperatorClients.java
@@ -9,20 +9,20 @@
 import quartzspan.replication.ControlState;
 
 /**
- * Operators and readers: they call any machine, follow redirections, and go on to another machine after a failure or a
- * second of silence. A change with no clear answer is sent again as it was.
+ * Simulated operators and readers. They send requests to any machine, follow redirects, and retry on another machine after a
+ * failure or when no reply arrives within a second. A change without a definite reply is sent again unchanged.
  */
 final class OperatorClients {
     private static final long REPLY_TIMEOUT_MS = 1_000;
     private static final int MAX_REDIRECTS = 2;
     private static final List<String> MODELS = List.of("m1", "m2");
 
-    /** What is asked of a machine that is primary; each try is judged by itself. */
+    /** A request to a primary; each attempt is checked separately. */
     private interface Request {
         Attempt newAttempt();
     }
 
-    /** One try at one machine. */
+    /** One attempt at one machine. */
     private interface Attempt {
         void send(ReplicaAdapter replica, long nowMs, long requestId);
 
@@ -141,7 +141,7 @@
         this.random = simulation.randomOf("operators");
     }
 
-    /** Some changes at once on the version last seen, at times under one number. */
+    /** Submits concurrent changes based on the latest known version, sometimes with the same new version. */
     void submitConcurrentChanges(SplittableRandom details) {
         int count = details.nextInt(4) > 0 ? 1 : 2 + details.nextInt(7);
         boolean sameVersion = details.nextBoolean();
@@ -162,7 +162,7 @@
         send(history.change(Change.Kind.REPLACE, knownVersion, highestVersion, false, ""), 3);
     }
 
-    /** A change of earlier, sent again as it was. */
+    /** Sends an earlier change again unchanged. */
     void resendChange(SplittableRandom details) {
         List<ChangeOperation> operations = history.operations();
         if (!operations.isEmpty()) {
@@ -186,7 +186,7 @@
 
             @Override
             public void onReply(String machineName, FleetException rejection, ControlState state) {
-                simulation.trace(() -> machineName + " answers " + operation + " with "
+                simulation.trace(() -> machineName + " replies to " + operation + " with "
                         + (rejection == null ? "200" : rejection.code() + ": " + rejection.getMessage()));
                 history.onChangeReply(operation, rejection, state);
             }
--- a/src/test/java/quartzspan/replication/simulation/ReplicaAdapter.java
+++ b/src/test/java/quartzspan/replication/simulation/ReplicaAdapter.java
@@ -13,11 +13,11 @@
 import quartzspan.store.SlotStore;
 
 /**
- * One life of a core machine's process: the replica and its store. The only class of the simulation that names them, so that
- * a change of their interface is followed here.
+ * One process incarnation of a core machine: the replica and its store. No other class of the simulator refers to them, so
+ * changes of their interfaces affect only this class.
  */
 final class ReplicaAdapter {
-    /** Where the replica's decisions go. */
+    /** Receives the output of the replica. */
     interface Host {
         void send(String to, Object message);
 
@@ -28,7 +28,7 @@
         void committed(Position position, ControlState state);
     }
 
-    /** The place of a state among all states that came in force. */
+    /** The position of a state in the sequence of committed states. */
     record Position(long index) implements Comparable<Position> {
         @Override
         public int compareTo(Position other) {
@@ -75,7 +75,7 @@
                 });
     }
 
-    /** Writes a record to the disk; whether the disk took it. */
+    /** Writes a record to the disk; returns whether the write succeeded. */
     boolean persist(byte[] record) {
         return store.persist(record);
     }
@@ -90,12 +90,12 @@
 
     static String describe(Object message) {
         ReplicaMessage replicaMessage = (ReplicaMessage) message;
-        return replicaMessage.kind() + " " + replicaMessage.epoch().text() + " copy "
+        return replicaMessage.kind() + " " + replicaMessage.epoch().text() + " log "
                 + replicaMessage.logEpoch().text() + " at " + replicaMessage.logIndex() + " promised "
-                + replicaMessage.promisedEpoch().text() + (replicaMessage.granted() ? " ok" : "")
-                + (replicaMessage.recovering() ? " blank" : "")
+                + replicaMessage.promisedEpoch().text() + (replicaMessage.granted() ? " granted" : "")
+                + (replicaMessage.recovering() ? " recovering" : "")
                 + " generation "
-                + replicaMessage.generation() + " nonce " + replicaMessage.nonce() + " view ["
+                + replicaMessage.generation() + " nonce " + replicaMessage.nonce() + " membership ["
                 + replicaMessage.membership().text() + "]";
     }
 
@@ -111,12 +111,12 @@
         replica.read(nowMs, requestId);
     }
 
-    /** SIGTERM: the machine is to end soon. */
+    /** Starts the handover that follows a SIGTERM. */
     void beginHandover(long nowMs) {
         replica.beginHandover(nowMs);
     }
 
-    /** Whether the process may end after {@link #beginHandover}. */
+    /** Whether the handover is complete, so that the process may exit. */
     boolean isHandoverComplete(long nowMs) {
         return replica.isHandoverComplete(nowMs);
     }
@@ -137,28 +137,28 @@
         return replica.isRecovering();
     }
 
-    /** The epoch of the view known here. */
+    /** The epoch of the membership known to this replica. */
     String epoch() {
         return replica.membership().epoch().text();
     }
 
-    /** The order of epochs as {@link #epoch} gives them. */
+    /** Compares epochs in the text form that {@link #epoch} returns. */
     static int compareEpochs(String first, String second) {
         return Epoch.parse(first).compareTo(Epoch.parse(second));
     }
 
-    /** Primary, copies and voters of the view known here. */
+    /** Primary, data replicas and voters of the membership known to this replica. */
     String membership() {
         Membership membership = replica.membership();
-        return membership.primary() + " copies " + membership.dataReplicas() + " voters " + membership.voters();
+        return membership.primary() + " data replicas " + membership.dataReplicas() + " voters " + membership.voters();
     }
 
-    /** Identifies the view known here: another view is another object. */
+    /** Identifies the membership known to this replica: a different membership is a different object. */
     Object membershipObject() {
         return replica.membership();
     }
 
-    /** Whether a change of voters is under way. */
+    /** Whether the membership is joint, with a change of voters in progress. */
     boolean isChangingVoters() {
         return replica.membership().isJoint();
     }
@@ -180,7 +180,7 @@
     }
 
     String describe() {
-        return role() + " promised " + replica.promisedEpoch().text() + " view ["
-                + replica.membership().text() + "] copy " + replica.logEpoch().text() + " at " + replica.logIndex();
+        return role() + " promised " + replica.promisedEpoch().text() + " membership ["
+                + replica.membership().text() + "] log " + replica.logEpoch().text() + " at " + replica.logIndex();
     }
 }
--- a/src/test/java/quartzspan/replication/simulation/Scenario.java
+++ b/src/test/java/quartzspan/replication/simulation/Scenario.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * A history to play: everything that happens follows from it.
+ * A generated scenario, which determines the whole simulation run.
  *
- * @param losses machines that may be lost at once
+ * @param toleratedFailures machines that may be unavailable at once
  * @param machines machines at the start
- * @param lostPerMille messages between machines that are lost
- * @param doubledPerMille messages between machines that come twice, the second time up to seconds later
- * @param lostAnswersPerMille answers that do not reach operators
- * @param largestPadding bytes by which some configurations are larger
- * @param beyondTolerance whether more machines than {@code losses} may be in trouble while all disks are kept
+ * @param messageLossPerMille messages between machines that are lost
+ * @param messageDuplicationPerMille messages between machines that arrive twice, the second time up to seconds later
+ * @param replyLossPerMille replies that do not reach operators
+ * @param maxPaddingBytes bytes by which some configurations are larger
+ * @param allowsExcessFaults whether more machines than {@code toleratedFailures} may be faulty while no disk is lost
  */
 record Scenario(
         long seed,
@@ -46,9 +46,10 @@
     String describe() {
         StringBuilder text = new StringBuilder("seed " + seed + ": f = " + toleratedFailures + ", " + machines
                 + " machines, "
-                + messageLossPerMille + " per mille of messages lost, " + messageDuplicationPerMille + " doubled, "
+                + messageLossPerMille + " per mille of messages lost, " + messageDuplicationPerMille + " duplicated, "
                 + replyLossPerMille
-                + " per mille of answers lost" + (allowsExcessFaults ? ", troubles beyond f with disks kept" : ""));
+                + " per mille of replies lost"
+                + (allowsExcessFaults ? ", more than f faulty machines while no disk is lost" : ""));
         steps.forEach(step -> text.append("\n  ").append(step.describe()));
         return text.toString();
     }
--- a/src/test/java/quartzspan/replication/simulation/ScenarioGenerator.java
+++ b/src/test/java/quartzspan/replication/simulation/ScenarioGenerator.java
@@ -8,7 +8,7 @@
 import quartzspan.replication.simulation.Step.Target;
 import quartzspan.replication.simulation.Step.Trigger;
 
-/** Draws scenarios from seeds. */
+/** Generates scenarios from seeds. */
 final class ScenarioGenerator {
     private static final Kind[] FAULTS = {
         Kind.KILL,
@@ -100,7 +100,7 @@
         this.random = new SplittableRandom(seed);
     }
 
-    /** The scenario of a seed; without the kinds of steps that the property {@code without} names. */
+    /** Generates the scenario of a seed, omitting the kinds of steps that the property {@code without} lists. */
     static Scenario generate(long seed) {
         Scenario generated = new ScenarioGenerator(seed).generate();
         return EXCLUDED_KINDS.isEmpty()
@@ -133,7 +133,7 @@
                 steps);
     }
 
-    /** Troubles in bursts that overlap, with pauses between. */
+    /** Adds bursts of overlapping faults with pauses between them; returns the end of the fault phase. */
     private long addFaults(List<Step> steps, long startMs, int count) {
         long atMs = startMs;
         for (int i = 0; i < count; i++) {
@@ -148,7 +148,7 @@
         return steps.stream().mapToLong(Step::atMs).max().orElse(startMs) + 4_000;
     }
 
-    /** The primary fails, and something else is lost at some step of the view change that follows. */
+    /** The primary fails, and further faults occur during the election that follows. */
     private void addFaultsDuringElection(List<Step> steps, long atMs) {
         steps.add(fault(atMs, pick(PRIMARY_FAULTS), Trigger.TIME, Target.PRIMARY));
         for (int remaining = 1 + random.nextInt(3); remaining > 0; remaining--) {
@@ -157,7 +157,7 @@
         }
     }
 
-    /** A machine is replaced, and something else is lost at some step of the change of voters. */
+    /** A machine is replaced, and further faults occur during the change of voters. */
     private void addFaultsDuringMembershipChange(List<Step> steps, long atMs) {
         Kind kind = random.nextBoolean() ? Kind.REPLACE_PLANNED : Kind.REPLACE_UNPLANNED;
         steps.add(fault(atMs, kind, Trigger.TIME, pick(TARGETS)));
@@ -167,7 +167,7 @@
         }
     }
 
-    /** Losses, each at the first moment at which it is allowed. */
+    /** Adds disk losses, each of which occurs as soon as the fault budget allows it. */
     private void addConsecutiveDiskLosses(List<Step> steps, long atMs) {
         for (int remaining = 2 + random.nextInt(3); remaining > 0; remaining--) {
             Step generated = fault(atMs, pick(DISK_LOSSES), Trigger.TIME, pick(TARGETS));
--- a/src/test/java/quartzspan/replication/simulation/ScenarioShrinker.java
+++ b/src/test/java/quartzspan/replication/simulation/ScenarioShrinker.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Makes a failing scenario smaller: leaves out steps as long as the same rule is still broken. */
+/** Shrinks a failing scenario: removes steps as long as the same rule is still violated. */
 final class ScenarioShrinker {
     private final Violation.Rule rule;
     private final long deadlineMs;
--- a/src/test/java/quartzspan/replication/simulation/SimulatedDisk.java
+++ b/src/test/java/quartzspan/replication/simulation/SimulatedDisk.java
@@ -10,11 +10,11 @@
 import quartzspan.store.Disk;
 
 /**
- * A disk with a page cache. The death of a process leaves files as they stood; after a loss of power each write since the
- * file's last sync is there, absent or torn, and a file made since the folder's last sync may be gone.
+ * A disk with a page cache. A process crash leaves files unchanged; after a power loss each write since the file's last sync is
+ * present, absent or torn, and a file created since the directory's last sync may be missing.
  */
 final class SimulatedDisk implements Disk {
-    /** The process that used the disk ended within an operation. */
+    /** The process that used the disk stopped during an operation. */
     static final class OperationInterrupted extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
@@ -23,7 +23,7 @@
         }
     }
 
-    /** One change of a file since its last sync, with what it replaced; {@code bytes} is null for a truncation. */
+    /** One file change since the last sync, with the bytes that it replaced; {@code bytes} is null for a truncation. */
     private record UnsyncedChange(int at, int lengthBefore, byte[] before, byte[] bytes) {}
 
     private static final class File {
@@ -98,7 +98,7 @@
         full = isFull;
     }
 
-    /** Lets so many operations pass, then interrupts; negative for no limit. */
+    /** Interrupts the operation that follows the given number of operations; a negative number sets no limit. */
     void interruptAfter(int operations) {
         operationsBeforeInterrupt = operations;
     }
@@ -137,7 +137,8 @@
         countOperation();
         if (full) {
             file(name).write((int) at, Arrays.copyOf(bytes, bytes.length / 2));
-            throw new FleetException(FleetException.Code.STORE_REFUSES, "no space left", "free space");
+            throw new FleetException(
+                    FleetException.Code.STORE_REFUSES, "no space left on the simulated disk", "free disk space");
         }
         file(name).write((int) at, bytes);
     }
--- a/src/test/java/quartzspan/replication/simulation/SimulatedMachine.java
+++ b/src/test/java/quartzspan/replication/simulation/SimulatedMachine.java
@@ -10,15 +10,15 @@
 import quartzspan.common.FleetException;
 import quartzspan.replication.ControlState;
 
-/** A core machine: its disk, and the lives of its process one after the other. */
+/** A core machine: its disk and the successive incarnations of its process. */
 final class SimulatedMachine implements ReplicaAdapter.Host {
     private static final int TICK_MS = 50;
 
-    /** The answer to a request that the replica took. */
+    /** Handles the reply to a request that reached the replica. */
     interface ReplyHandler {
         void onReply(FleetException rejection, ControlState state);
 
-        /** The process ended first. */
+        /** The process ended before it replied. */
         void onConnectionReset();
     }
 
@@ -33,7 +33,7 @@
     private int incarnation;
     private int activeFreezes;
     private final ArrayDeque<Runnable> deferredEvents = new ArrayDeque<>();
-    /** Extra time that each event takes to be handled. */
+    /** Extra processing time of each event. */
     private long processingDelayMs;
 
     private int diskFullFaults;
@@ -58,8 +58,6 @@
         this.clockOffsetMs = random.nextLong(1_000_000_000);
     }
 
-    // ---- its process ---------------------------------------------------------------------------------
-
     boolean running() {
         return replica != null;
     }
@@ -72,7 +70,7 @@
         return terminating;
     }
 
-    /** Whether its last process ended by itself after a SIGTERM, all handed over. */
+    /** Whether the last process completed its handover after a SIGTERM and exited by itself. */
     boolean handedOver() {
         return handedOver;
     }
@@ -86,7 +84,7 @@
     }
 
     String incarnationName() {
-        return name + " (life " + incarnation + ")";
+        return name + " (incarnation " + incarnation + ")";
     }
 
     long localTimeMs() {
@@ -124,7 +122,7 @@
         dispatch(startedIncarnation, nowMs -> {
             replica.tick(nowMs);
             if (terminating && replica.isHandoverComplete(nowMs)) {
-                simulation.trace(() -> incarnationName() + " has left");
+                simulation.trace(() -> incarnationName() + " completed its handover");
                 handedOver = true;
                 stop(false);
             }
@@ -140,17 +138,17 @@
         });
     }
 
-    /** SIGTERM. */
+    /** Sends SIGTERM to the process. */
     void terminate() {
         int startedIncarnation = incarnation;
         dispatch(startedIncarnation, nowMs -> {
             terminating = true;
-            simulation.trace(() -> incarnationName() + " is told to leave");
+            simulation.trace(() -> incarnationName() + " receives SIGTERM");
             replica.beginHandover(nowMs);
         });
     }
 
-    /** The process ends; with a loss of power also what the disk had not synced. */
+    /** Stops the process; a power loss also discards what the disk has not synced. */
     void stop(boolean losesPower) {
         if (replica == null) {
             return;
@@ -173,7 +171,7 @@
         }
     }
 
-    /** The view in which this machine, as its primary, was checked last. */
+    /** The membership at the last invariant check of this machine as primary. */
     Object checkedMembership() {
         return checkedMembership;
     }
@@ -182,7 +180,7 @@
         checkedMembership = membership;
     }
 
-    /** How often this machine lost power: what the network holds up for it is lost then. */
+    /** Number of power losses; each one discards the messages from this machine that the network has buffered. */
     int powerCycles() {
         return powerCycles;
     }
@@ -202,7 +200,7 @@
         try {
             replica.persist(pendingWrites.peek().record());
         } catch (SimulatedDisk.OperationInterrupted interrupted) {
-            simulation.trace(() -> incarnationName() + " ends within a write");
+            simulation.trace(() -> incarnationName() + " ends during a write");
         }
         disk.interruptAfter(-1);
         pendingWrites.clear();
@@ -225,7 +223,7 @@
         processingDelayMs += delayMs;
     }
 
-    /** Hands an event to the process as soon as it can take it; dropped if that life ends first. */
+    /** Passes an event to the process as soon as it can run; dropped if that incarnation ends first. */
     private void dispatch(int expectedIncarnation, LongConsumer handler) {
         if (incarnation != expectedIncarnation || replica == null) {
             return;
@@ -262,19 +260,17 @@
         }
     }
 
-    // ---- messages and requests -----------------------------------------------------------------------
-
-    /** Something came for whoever runs here now. */
+    /** Delivers a message to the current process, if there is one. */
     void receive(String from, Object message) {
         if (replica != null) {
             dispatch(incarnation, nowMs -> {
-                simulation.trace(() -> name + " gets from " + from + ": " + ReplicaAdapter.describe(message));
+                simulation.trace(() -> name + " receives from " + from + ": " + ReplicaAdapter.describe(message));
                 replica.onMessage(nowMs, from, message);
             });
         }
     }
 
-    /** An operator's request, once the process gets to it. */
+    /** Passes an operator's request to the process, or reports a refused connection if none is running. */
     void request(LongConsumer handler, Runnable onConnectionRefused) {
         if (replica == null) {
             onConnectionRefused.run();
@@ -310,8 +306,6 @@
         simulation.invariants().onCommitted(this, state.configuration().version());
     }
 
-    // ---- its disk ------------------------------------------------------------------------------------
-
     void setDiskFull(boolean full) {
         diskFullFaults += full ? 1 : -1;
         disk.setFull(diskFullFaults > 0);
--- a/src/test/java/quartzspan/replication/simulation/SimulatedNetwork.java
+++ b/src/test/java/quartzspan/replication/simulation/SimulatedNetwork.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** Links between machines, each direction by itself. A cut loses messages, or holds some up until it is healed. */
+/** Unidirectional links between machines. A cut link drops messages, or buffers some of them until it is healed. */
 final class SimulatedNetwork {
     private static final int MAX_DELAY_MS = 3;
     private static final int DELAYED_PER_MILLE = 20;
@@ -53,7 +53,7 @@
         }
     }
 
-    /** From now on some messages of this machine take up to so long; 0 for no longer. */
+    /** Adds to the maximum extra delay of this sender's messages; a negative value takes it back. */
     void addDelay(String sender, long maxDelayMs) {
         extraDelaysMs.merge(sender, maxDelayMs, Long::sum);
     }
@@ -80,7 +80,7 @@
 
     private void deliver(String from, String to, Object message) {
         if (simulation.machine(from).removed()) {
-            // What a machine that is gone for good had on the way is lost: it would seem alive.
+            // Messages in flight from a removed machine are dropped: they would make it appear to be still running.
             return;
         }
         Cut cut = cuts.get(new Link(from, to));
--- a/src/test/java/quartzspan/replication/simulation/Simulation.java
+++ b/src/test/java/quartzspan/replication/simulation/Simulation.java
@@ -10,11 +10,11 @@
 import java.util.function.Supplier;
 import quartzspan.replication.simulation.Violation.Rule;
 
-/** Plays one scenario in simulated time; throws {@link Violation} where a rule is broken. */
+/** Runs one scenario in simulated time; throws {@link Violation} if a rule is violated. */
 final class Simulation {
-    /** Time that members have beyond the catch-up time, after the last trouble. */
+    /** Time to settle beyond the catch-up time after the last fault. */
     private static final long SETTLE_MARGIN_MS = 1_000;
-    /** Time for a change and a read in calm. */
+    /** Time for a change and a read once all faults are over. */
     private static final long REQUEST_WAIT_MS = 3_000;
 
     private static final long START_MS = 1_000;
@@ -47,8 +47,6 @@
         this.faultInjector = new FaultInjector(this, scenario);
     }
 
-    // ---- its parts -----------------------------------------------------------------------------------
-
     EventQueue queue() {
         return queue;
     }
@@ -96,18 +94,16 @@
         }
     }
 
-    /** A stream of random numbers that depends on nothing but the seed and a name. */
+    /** Returns a random number stream that depends only on the seed of the scenario and the given name. */
     SplittableRandom randomOf(String name) {
         return new SplittableRandom(scenario.seed() * 0x9E3779B97F4A7C15L ^ name.hashCode() * 0xC2B2AE3D27D4EB4FL);
     }
 
-    // ---- machines ------------------------------------------------------------------------------------
-
     SimulatedMachine machine(String name) {
         return machines.get(name);
     }
 
-    /** Machines that were not removed. */
+    /** Machines that have not been removed. */
     List<SimulatedMachine> members() {
         return machines.values().stream().filter(m -> !m.removed()).toList();
     }
@@ -127,7 +123,7 @@
         return machines.size();
     }
 
-    /** Whom an operator calls: mostly one that runs. */
+    /** Picks the machine for an operator's request, mostly a running one. */
     SimulatedMachine pickMachine(SplittableRandom machineRandom) {
         List<SimulatedMachine> candidates = machineRandom.nextInt(8) == 0 ? members() : running();
         return candidates.isEmpty() ? null : candidates.get(machineRandom.nextInt(candidates.size()));
@@ -149,7 +145,7 @@
         return lastAcknowledging;
     }
 
-    /** Three machines of the present ones, as the settings of a process name them. */
+    /** Picks three of the current machines as the seed nodes in the settings of a process. */
     List<String> seedNodes() {
         List<String> candidates =
                 new ArrayList<>(members().stream().map(m -> m.name).toList());
@@ -159,8 +155,6 @@
         return candidates;
     }
 
-    // ---- a history -----------------------------------------------------------------------------------
-
     void run() {
         for (int i = 0; i < scenario.machines(); i++) {
             addMachine(i);
@@ -195,7 +189,7 @@
         }
     }
 
-    /** Whether the last trouble is over. */
+    /** Whether the last fault is over. */
     boolean faultFree() {
         return faultFree;
     }
@@ -213,15 +207,12 @@
         int readsBefore = history.reads();
         operators.read(20);
         queue.runUntil(queue.nowMs() + REQUEST_WAIT_MS);
-        require(
-                history.reads() > readsBefore,
-                Rule.REQUESTS_SUCCEED_AFTER_FAULTS,
-                "no read is answered: " + describe());
+        require(history.reads() > readsBefore, Rule.REQUESTS_SUCCEED_AFTER_FAULTS, "no read succeeded: " + describe());
         history.checkDurable(primary.replica().state());
         checkRedundancy();
     }
 
-    /** Whatever may be lost next, nothing that was acknowledged is lost with it. */
+    /** Checks that no tolerated failure that comes next can lose an acknowledged change. */
     private void checkRedundancy() {
         ReplicaAdapter primary = primary().replica();
         int machineCount = members().size();
@@ -231,11 +222,11 @@
                 dataReplicas.size() >= Math.min(scenario.toleratedFailures() + 1, machineCount)
                         && voters.size() >= Math.min(2 * scenario.toleratedFailures() + 1, machineCount),
                 Rule.REDUNDANCY_RESTORED_AFTER_FAULTS,
-                "too few copies or voters: " + describe());
+                "too few data replicas or voters: " + describe());
         require(
                 !primary.isChangingVoters(),
                 Rule.REDUNDANCY_RESTORED_AFTER_FAULTS,
-                "voters still change: " + describe());
+                "change of voters still in progress: " + describe());
         for (String name : voters) {
             SimulatedMachine machine = machines.get(name);
             require(
@@ -243,13 +234,13 @@
                             && !machine.replica().isRecovering()
                             && machine.replica().epoch().equals(primary.epoch()),
                     Rule.REDUNDANCY_RESTORED_AFTER_FAULTS,
-                    name + " is a voter that is not caught up: " + describe());
+                    name + " is a voter but has not caught up: " + describe());
         }
         for (String name : dataReplicas) {
             require(
                     machines.get(name).replica().logPosition().equals(primary.logPosition()),
                     Rule.REDUNDANCY_RESTORED_AFTER_FAULTS,
-                    name + " holds an old copy: " + describe());
+                    name + " is a data replica with an outdated log: " + describe());
         }
     }
 
--- a/src/test/java/quartzspan/replication/simulation/SimulationRunner.java
+++ b/src/test/java/quartzspan/replication/simulation/SimulationRunner.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.stream.LongStream;
 
-/** Plays many scenarios, each on one thread, and tells which of them break a rule. */
+/** Runs many scenarios, each on one thread, and collects the violations. */
 final class SimulationRunner {
     private static final long SHRINK_LIMIT_MS = 20_000;
     private static final long BLOCK_SIZE = 100;
@@ -16,7 +16,7 @@
     private final AtomicLong reads = new AtomicLong();
     private final AtomicLong completed = new AtomicLong();
 
-    /** Plays the scenarios of so many seeds; draws no new ones once so many are broken. */
+    /** Runs the scenarios of {@code count} seeds; starts no new ones after {@code maxViolations} violations. */
     void run(long firstSeed, long count, int maxViolations) {
         LongStream.range(firstSeed, firstSeed + count).parallel().forEach(seed -> {
             if (violations.size() < maxViolations) {
@@ -26,10 +26,10 @@
     }
 
     /**
-     * Plays scenarios in blocks, in the order of their seeds, until one breaks a rule: after how many histories a fault that was
-     * brought in on purpose is found, the same each time.
+     * Runs scenarios in blocks, in the order of their seeds, until one violates a rule. Measures reproducibly after how many
+     * scenarios a deliberately introduced defect is detected.
      *
-     * @return the first broken seed; -1 if none is broken
+     * @return the first seed with a violation; -1 if there is none
      */
     long runUntilViolation(long firstSeed, long count) {
         for (long blockStart = firstSeed; blockStart < firstSeed + count; blockStart += BLOCK_SIZE) {
@@ -48,7 +48,7 @@
         } catch (Violation violation) {
             violations.put(seed, violation);
         } catch (RuntimeException fault) {
-            throw new IllegalStateException("history " + seed, fault);
+            throw new IllegalStateException("scenario " + seed + " failed", fault);
         }
         acknowledged.addAndGet(simulation.history().acknowledged());
         reads.addAndGet(simulation.history().reads());
@@ -68,8 +68,8 @@
     }
 
     String summary() {
-        StringBuilder text = new StringBuilder(completed + " histories, " + acknowledged + " changes, " + reads
-                + " reads, " + violations.size() + " broken");
+        StringBuilder text = new StringBuilder(completed + " scenarios, " + acknowledged + " changes, " + reads
+                + " reads, " + violations.size() + " violations");
         Map<Violation.Rule, Integer> rules = new TreeMap<>();
         violations.values().forEach(v -> rules.merge(v.rule(), 1, Integer::sum));
         text.append(' ').append(rules);
@@ -80,26 +80,26 @@
         return text.toString();
     }
 
-    /** A broken scenario, shrunk, with its steps in words. */
+    /** Shrinks a failing scenario and describes its violation and its steps. */
     static String explain(long seed, Violation violation, boolean withTrace) {
         Scenario generated = ScenarioGenerator.generate(seed);
         Scenario shrunk = ScenarioShrinker.shrink(generated, violation.rule(), SHRINK_LIMIT_MS);
         Simulation replay = new Simulation(shrunk, true);
-        String failure = "nothing when played again";
+        String failure = "no rule when run again";
         try {
             replay.run();
         } catch (Violation repeated) {
             failure = repeated.getMessage();
         }
-        return "history " + seed + " breaks " + failure + "\nshrunk from "
+        return "scenario " + seed + " violates " + failure + "\nshrunk from "
                 + generated.steps().size() + " to "
                 + shrunk.steps().size() + " steps; " + shrunk.describe()
                 + (withTrace ? "\n" + String.join("\n", replay.traceLines()) : "");
     }
 
     /**
-     * Arguments: first seed, number of histories, broken ones after which to stop (0: in order, until the first one), how many
-     * of them to explain.
+     * Arguments: first seed, number of scenarios, number of violations after which to stop (0: run in order until the first
+     * violation), number of violations to explain.
      */
     public static void main(String[] arguments) {
         long firstSeed = Long.parseLong(arguments[0]);
@@ -109,7 +109,7 @@
         long startNs = System.nanoTime();
         SimulationRunner runner = new SimulationRunner();
         if (maxViolations == 0) {
-            System.out.println("first broken: " + runner.runUntilViolation(firstSeed, count));
+            System.out.println("first seed with a violation: " + runner.runUntilViolation(firstSeed, count));
         } else {
             runner.run(firstSeed, count, maxViolations);
         }
--- a/src/test/java/quartzspan/replication/simulation/SimulatorTest.java
+++ b/src/test/java/quartzspan/replication/simulation/SimulatorTest.java
@@ -7,15 +7,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Plays drawn histories of overlapping troubles. A broken one is shrunk, and told with its seed and its steps.
+ * Runs generated scenarios of overlapping faults. A failing scenario is shrunk and reported with its seed and its steps.
  *
  * <ul>
- *   <li>More than the build plays: {@code mvn -o test -Dtest=SimulatorTest -Dhistories=100000}
- *   <li>Another part of the seeds: {@code -Dfirst=100001}; without some kinds of steps: {@code -Dwithout=WIPE,FREEZE}
- *   <li>Planned replacements by the letter, the leaving machine counting as lost no more from its SIGTERM: {@code -Dstrict=true}
- *   <li>One history with its trace: {@code -Dhistories=1 -Dfirst=SEED -Dtrace=true}
- *   <li>After how many histories a guard that was taken out is found: take it out, then {@code -Dfindings=0}; the seeds are
- *       played in order until the first broken one, whose number is told.
+ *   <li>More scenarios than in the build: {@code mvn -o test -Dtest=SimulatorTest -Dhistories=100000}
+ *   <li>Other seeds: {@code -Dfirst=100001}; without some kinds of steps: {@code -Dwithout=WIPE,FREEZE}
+ *   <li>Strict planned replacements, in which the terminating machine stops counting as unavailable at its SIGTERM:
+ *       {@code -Dstrict=true}
+ *   <li>One scenario with its trace: {@code -Dhistories=1 -Dfirst=SEED -Dtrace=true}
+ *   <li>Number of scenarios until the removal of a safety check is detected: remove the check, then {@code -Dfindings=0}; the
+ *       seeds run in order up to the first violation, whose seed is printed.
  * </ul>
  */
 class SimulatorTest {
@@ -27,7 +28,7 @@
         SimulationRunner runner = new SimulationRunner();
         int maxViolations = Integer.getInteger("findings", 1);
         if (maxViolations == 0) {
-            System.out.println("first broken: " + runner.runUntilViolation(FIRST_SEED, SCENARIO_COUNT));
+            System.out.println("first seed with a violation: " + runner.runUntilViolation(FIRST_SEED, SCENARIO_COUNT));
         } else {
             runner.run(FIRST_SEED, SCENARIO_COUNT, maxViolations);
         }
@@ -39,7 +40,7 @@
         assertTrue(
                 SCENARIO_COUNT < 100
                         || runner.acknowledged() > 5 * SCENARIO_COUNT && runner.reads() > 5 * SCENARIO_COUNT,
-                "too little was asked");
+                "too few changes or reads succeeded");
     }
 
     @Test
--- a/src/test/java/quartzspan/replication/simulation/Step.java
+++ b/src/test/java/quartzspan/replication/simulation/Step.java
@@ -1,15 +1,15 @@
 package quartzspan.replication.simulation;
 
 /**
- * One step of a history.
+ * One step of a scenario.
  *
- * @param atMs since the start of the history
- * @param trigger the event after {@code atMs} at which the step takes place
- * @param triggerCount how many such events have to come
- * @param triggerDelayMs the time between the event and the step
- * @param eager whether a trouble that exceeds the tolerance waits for the first moment at which it is allowed
- * @param durationMs how long a trouble lasts
- * @param variation a seed for the details
+ * @param atMs time since the start of the scenario
+ * @param trigger the event after {@code atMs} that starts the step
+ * @param triggerCount number of such events before the step starts
+ * @param triggerDelayMs time between the event and the step
+ * @param waitsForBudget whether a fault that exceeds the fault budget is retried as soon as the budget allows it
+ * @param durationMs duration of a fault
+ * @param detailSeed random seed for the details of the step
  */
 record Step(
         long atMs,
@@ -22,7 +22,7 @@
         long durationMs,
         long detailSeed) {
 
-    /** What happens. */
+    /** The operation or fault. */
     enum Kind {
         RACE,
         READ,
@@ -51,7 +51,7 @@
         }
     }
 
-    /** When a step takes place: at its time, or at an event after it. */
+    /** What starts a step: its time, or an event after that time. */
     enum Trigger {
         TIME,
         ACKNOWLEDGEMENT,
@@ -60,7 +60,7 @@
         RECORD
     }
 
-    /** Whom a trouble strikes. */
+    /** The machine that a fault affects. */
     enum Target {
         ANY,
         PRIMARY,
@@ -78,7 +78,8 @@
                 + ": " + kind
                 + (kind.isOperation()
                         ? ""
-                        : " of " + target + " for " + durationMs + " ms" + (waitsForBudget ? ", eager" : ""))
-                + " (variation " + detailSeed + ")";
+                        : " of " + target + " for " + durationMs + " ms"
+                                + (waitsForBudget ? ", waits for fault budget" : ""))
+                + " (detail seed " + detailSeed + ")";
     }
 }
--- a/src/test/java/quartzspan/replication/simulation/StepTriggers.java
+++ b/src/test/java/quartzspan/replication/simulation/StepTriggers.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Steps that wait for an event. */
+/** Runs steps that wait for an event. */
 final class StepTriggers {
     private static final class PendingStep {
         private final Step.Trigger trigger;
@@ -34,7 +34,7 @@
         }
     }
 
-    /** What still waits does not take place. */
+    /** Discards the steps that are still waiting. */
     void cancelPending() {
         pendingSteps.clear();
     }
--- a/src/test/java/quartzspan/replication/simulation/Violation.java
+++ b/src/test/java/quartzspan/replication/simulation/Violation.java
@@ -1,10 +1,10 @@
 package quartzspan.replication.simulation;
 
-/** A rule that a history broke. */
+/** Violation of a safety or liveness rule in a scenario. */
 final class Violation extends AssertionError {
     private static final long serialVersionUID = 1L;
 
-    /** What must hold. */
+    /** The rules that every scenario must satisfy. */
     enum Rule {
         ONE_PRIMARY_PER_EPOCH,
         ONE_MEMBERSHIP_PER_EPOCH,
