--- a/src/test/java/quartzspan/replication/ReplicaGuardsTest.java
+++ b/src/test/java/quartzspan/replication/ReplicaGuardsTest.java
@@ -265,11 +265,11 @@
                 nowMs, A, ReplicaMessage.replicate(StateUpdate.ofEntries(epoch, 7, List.of(disconnectedEntry)), 0));
         sync();
         assertFalse(last(Kind.REPLICATE_REPLY).granted());
-        ChangeHistory.Entry nextMembership = new ChangeHistory.Entry(1, epoch, null);
+        ChangeHistory.Entry followingEntry = new ChangeHistory.Entry(1, epoch, null);
         replica.onMessage(
                 nowMs,
                 A,
-                ReplicaMessage.replicate(StateUpdate.ofEntries(Epoch.INITIAL, 0, List.of(nextMembership)), 0));
+                ReplicaMessage.replicate(StateUpdate.ofEntries(Epoch.INITIAL, 0, List.of(followingEntry)), 0));
         sync();
         assertTrue(last(Kind.REPLICATE_REPLY).granted());
         assertEquals(1, replica.logIndex());
--- a/src/test/java/quartzspan/replication/ReplicaSimulationTest.java
+++ b/src/test/java/quartzspan/replication/ReplicaSimulationTest.java
@@ -79,7 +79,7 @@
                 .toString();
     }
 
-    /** Injects one random fault. */
+    /** Injects one random fault, in some cases a crash of the primary right after changes were submitted. */
     private static void injectFault(SimulatedCluster cluster) {
         List<Machine> machines = new ArrayList<>(cluster.machines.values());
         Machine machine = cluster.pickRunningMachine();
--- a/src/test/java/quartzspan/replication/simulation/FaultBudget.java
+++ b/src/test/java/quartzspan/replication/simulation/FaultBudget.java
@@ -19,7 +19,7 @@
     }
 
     private final Map<String, MachineFaults> faultsByMachine = new TreeMap<>();
-    private int pendingReplacements;
+    private int pendingActions;
     private long settledAtMs;
     private final int toleratedFailures;
     private final long catchUpMs;
@@ -98,16 +98,17 @@
 
     /** Whether any machine may still lack data that its disk held. */
     boolean isAnyDataMissing(long nowMs) {
-        return faultsByMachine.values().stream().anyMatch(a -> a.faultedBeforeCaughtUp || nowMs < a.dataMissingUntilMs);
+        return faultsByMachine.values().stream()
+                .anyMatch(faults -> faults.faultedBeforeCaughtUp || nowMs < faults.dataMissingUntilMs);
     }
 
     /** Starts an action that does not count as a fault itself, such as a planned replacement. */
     void beginPending() {
-        pendingReplacements++;
+        pendingActions++;
     }
 
     void endPending() {
-        pendingReplacements--;
+        pendingActions--;
     }
 
     /** Extends the time in which the other machines settle after a removal that no longer counts. */
@@ -117,20 +118,20 @@
 
     /** Whether a planned replacement is in progress. */
     boolean isSettling(long nowMs) {
-        return pendingReplacements > 0 || nowMs < settledAtMs;
+        return pendingActions > 0 || nowMs < settledAtMs;
     }
 
     boolean isAnyUnavailable(long nowMs) {
-        return pendingReplacements > 0
+        return pendingActions > 0
                 || nowMs < settledAtMs
-                || faultsByMachine.values().stream().anyMatch(a -> isUnavailable(a, nowMs));
+                || faultsByMachine.values().stream().anyMatch(faults -> isUnavailable(faults, nowMs));
     }
 
     /** The next known time at which a machine stops counting as unavailable. */
     long nextAvailableAtMs(long nowMs) {
         return faultsByMachine.values().stream()
-                .filter(a -> a.activeFaults == 0 && a.unavailableUntilMs > nowMs)
-                .mapToLong(a -> a.unavailableUntilMs)
+                .filter(faults -> faults.activeFaults == 0 && faults.unavailableUntilMs > nowMs)
+                .mapToLong(faults -> faults.unavailableUntilMs)
                 .min()
                 .orElse(nowMs + 50);
     }
--- a/src/test/java/quartzspan/replication/simulation/FaultInjector.java
+++ b/src/test/java/quartzspan/replication/simulation/FaultInjector.java
@@ -162,6 +162,7 @@
         }
     }
 
+    /** Injects a fault that ends after the duration of the step. */
     private void injectForDuration(SimulatedMachine machine, Step step, Runnable start, Runnable end) {
         budget.beginFault(machine.name, queue.nowMs());
         start.run();
@@ -201,13 +202,13 @@
 
     /** Wipes disks, sometimes while all other machines lose power or are killed. */
     private void wipeDisks(List<SimulatedMachine> targets, Step step, SplittableRandom details) {
-        int others = details.nextInt(4);
+        int otherFault = details.nextInt(4);
         for (SimulatedMachine machine : simulation.running()) {
-            boolean lost = targets.contains(machine);
-            if (lost || others < 2 && !isExempt(machine)) {
+            boolean losesDisk = targets.contains(machine);
+            if (losesDisk || otherFault < 2 && !isExempt(machine)) {
                 long downMs = 100 + Math.min(step.durationMs(), 3_000) + details.nextInt(300);
-                crash(machine, lost ? details.nextBoolean() : others == 0, downMs);
-                if (lost) {
+                crash(machine, losesDisk ? details.nextBoolean() : otherFault == 0, downMs);
+                if (losesDisk) {
                     machine.disk.wipe();
                     budget.onDiskLost(machine.name);
                     queue.schedule(downMs, () -> budget.onRestartedWithoutData(machine.name, queue.nowMs()));
@@ -216,6 +217,7 @@
         }
     }
 
+    /** Cuts one machine off from all others; direction 1 cuts only its incoming links, 2 only its outgoing links. */
     private void cutMachine(SimulatedMachine machine, Step step, SplittableRandom details) {
         int direction = details.nextInt(4);
         int bufferedPerMille = details.nextInt(3) * 500;
--- a/src/test/java/quartzspan/replication/simulation/OperatorClients.java
+++ b/src/test/java/quartzspan/replication/simulation/OperatorClients.java
@@ -138,7 +138,7 @@
         this.simulation = simulation;
         this.scenario = scenario;
         this.history = history;
-        this.random = simulation.randomOf("operators");
+        this.random = simulation.randomStream("operators");
     }
 
     /** Submits concurrent changes based on the latest known version, sometimes with the same new version. */
--- a/src/test/java/quartzspan/replication/simulation/SimulatedNetwork.java
+++ b/src/test/java/quartzspan/replication/simulation/SimulatedNetwork.java
@@ -34,7 +34,7 @@
     }
 
     private SplittableRandom random(String sender) {
-        return randoms.computeIfAbsent(sender, s -> simulation.randomOf("network " + s));
+        return randoms.computeIfAbsent(sender, s -> simulation.randomStream("network " + s));
     }
 
     void cut(String from, String to, int bufferedPerMille) {
--- a/src/test/java/quartzspan/replication/simulation/Simulation.java
+++ b/src/test/java/quartzspan/replication/simulation/Simulation.java
@@ -40,7 +40,7 @@
     Simulation(Scenario scenario, boolean tracing) {
         this.scenario = scenario;
         this.trace = tracing ? new ArrayList<>() : null;
-        this.random = randomOf("simulation");
+        this.random = randomStream("simulation");
         this.budget = new FaultBudget(scenario.toleratedFailures(), scenario.catchUpMs());
         this.network = new SimulatedNetwork(this, scenario);
         this.operators = new OperatorClients(this, scenario, history);
@@ -95,7 +95,7 @@
     }
 
     /** Returns a random number stream that depends only on the seed of the scenario and the given name. */
-    SplittableRandom randomOf(String name) {
+    SplittableRandom randomStream(String name) {
         return new SplittableRandom(scenario.seed() * 0x9E3779B97F4A7C15L ^ name.hashCode() * 0xC2B2AE3D27D4EB4FL);
     }
 
@@ -114,7 +114,7 @@
 
     SimulatedMachine addMachine(int number) {
         String name = "10.0." + number / 200 + "." + (number % 200 + 1) + ":7000";
-        SimulatedMachine machine = new SimulatedMachine(name, this, randomOf("machine " + name));
+        SimulatedMachine machine = new SimulatedMachine(name, this, randomStream("machine " + name));
         machines.put(name, machine);
         return machine;
     }
