--- a/src/test/java/quartzspan/replication/simulation/ReplicaAdapter.java
+++ b/src/test/java/quartzspan/replication/simulation/ReplicaAdapter.java
@@ -13,22 +13,22 @@
 import quartzspan.store.SlotStore;
 
 /**
- * One life of a core machine's process: the replica and its store. The only class of the simulation that names them, so that
- * a change of their interface is followed here.
+ * One process incarnation of a core machine: the replica and its store. No other class of the simulator refers to them, so
+ * changes of their interfaces affect only this class.
  */
 final class ReplicaAdapter {
-    /** Where the replica's decisions go. */
+    /** Receives the output of the replica. */
     interface Host {
         void send(String to, Object message);
 
         void persist(long number, byte[] record);
 
-        void answered(long requestId, FleetException refusal, ControlState state);
+        void completed(long requestId, FleetException rejection, ControlState state);
 
         void committed(Position position, ControlState state);
     }
 
-    /** The place of a state among all states that came in force. */
+    /** The position of a state in the sequence of committed states. */
     record Position(long index) implements Comparable<Position> {
         @Override
         public int compareTo(Position other) {
@@ -42,88 +42,91 @@
     /** @throws FleetException if the store can't be read */
     ReplicaAdapter(
             String self,
-            List<String> seeds,
-            int losses,
-            boolean found,
+            List<String> seedNodes,
+            int toleratedFailures,
+            boolean bootstrap,
             SimulatedDisk disk,
-            long seed,
-            long now,
+            long randomSeed,
+            long nowMs,
             Host host) {
         store = new ReplicaStore(new SlotStore(disk));
-        List<byte[]> kept = store.open();
-        replica = new Replica(self, seeds, losses, found, kept, seed, now, new Replica.Output() {
-            @Override
-            public void send(String to, ReplicaMessage message) {
-                host.send(to, message);
-            }
-
-            @Override
-            public void persist(long number, byte[] record) {
-                host.persist(number, record);
-            }
-
-            @Override
-            public void completed(long requestId, FleetException why, ControlState state) {
-                host.answered(requestId, why, state);
-            }
-
-            @Override
-            public void committed(long index, ControlState state, ChangeHistory history) {
-                host.committed(new Position(index), state);
-            }
-        });
-    }
-
-    /** Writes a record to the disk; whether the disk took it. */
-    boolean keep(byte[] record) {
+        List<byte[]> storedRecords = store.open();
+        replica = new Replica(
+                self, seedNodes, toleratedFailures, bootstrap, storedRecords, randomSeed, nowMs, new Replica.Output() {
+                    @Override
+                    public void send(String to, ReplicaMessage message) {
+                        host.send(to, message);
+                    }
+
+                    @Override
+                    public void persist(long number, byte[] record) {
+                        host.persist(number, record);
+                    }
+
+                    @Override
+                    public void completed(long requestId, FleetException rejection, ControlState state) {
+                        host.completed(requestId, rejection, state);
+                    }
+
+                    @Override
+                    public void committed(long index, ControlState state, ChangeHistory history) {
+                        host.committed(new Position(index), state);
+                    }
+                });
+    }
+
+    /** Writes a record to the disk; returns whether the write succeeded. */
+    boolean persist(byte[] record) {
         return store.persist(record);
     }
 
-    void tick(long now) {
-        replica.onTick(now);
+    void tick(long nowMs) {
+        replica.onTick(nowMs);
     }
 
-    void message(long now, String from, Object message) {
-        replica.onMessage(now, from, (ReplicaMessage) message);
+    void onMessage(long nowMs, String from, Object message) {
+        replica.onMessage(nowMs, from, (ReplicaMessage) message);
     }
 
     static String describe(Object message) {
-        ReplicaMessage m = (ReplicaMessage) message;
-        return m.kind() + " " + m.epoch().text() + " copy " + m.logEpoch().text() + " at " + m.logIndex() + " promised "
-                + m.promisedEpoch().text() + (m.granted() ? " ok" : "") + (m.recovering() ? " blank" : "")
+        ReplicaMessage replicaMessage = (ReplicaMessage) message;
+        return replicaMessage.kind() + " " + replicaMessage.epoch().text() + " log "
+                + replicaMessage.logEpoch().text() + " at " + replicaMessage.logIndex() + " promised "
+                + replicaMessage.promisedEpoch().text() + (replicaMessage.granted() ? " granted" : "")
+                + (replicaMessage.recovering() ? " recovering" : "")
                 + " generation "
-                + m.generation() + " nonce " + m.nonce() + " view ["
-                + m.membership().text() + "]";
+                + replicaMessage.generation() + " nonce " + replicaMessage.nonce() + " membership ["
+                + replicaMessage.membership().text() + "]";
     }
 
-    void persisted(long now, long number, boolean ok) {
-        replica.onPersisted(now, number, ok);
+    void onPersisted(long nowMs, long number, boolean persisted) {
+        replica.onPersisted(nowMs, number, persisted);
     }
 
-    void submit(long now, long requestId, Change change) {
-        replica.submit(now, requestId, change);
+    void submit(long nowMs, long requestId, Change change) {
+        replica.submit(nowMs, requestId, change);
     }
 
-    void read(long now, long requestId) {
-        replica.read(now, requestId);
+    void read(long nowMs, long requestId) {
+        replica.read(nowMs, requestId);
     }
 
-    /** SIGTERM: the machine is to end soon. */
-    void beginHandover(long now) {
-        replica.beginHandover(now);
+    /** Starts the handover that follows a SIGTERM. */
+    void beginHandover(long nowMs) {
+        replica.beginHandover(nowMs);
     }
 
-    /** Whether the process may end after {@link #beginHandover}. */
-    boolean isHandoverComplete(long now) {
-        return replica.isHandoverComplete(now);
+    /** Whether the handover is complete, so that the process may exit. */
+    boolean isHandoverComplete(long nowMs) {
+        return replica.isHandoverComplete(nowMs);
     }
 
     boolean isPrimary() {
         return replica.isPrimary();
     }
 
-    String knownPrimary(long now) {
-        return replica.knownPrimary(now);
+    String knownPrimary(long nowMs) {
+        return replica.knownPrimary(nowMs);
     }
 
     String role() {
@@ -134,29 +137,29 @@
         return replica.isRecovering();
     }
 
-    /** The epoch of the view known here. */
+    /** The epoch of the membership known to this replica. */
     String epoch() {
         return replica.membership().epoch().text();
     }
 
-    /** The order of epochs as {@link #epoch} gives them. */
-    static int compareEpochs(String one, String other) {
-        return Epoch.parse(one).compareTo(Epoch.parse(other));
+    /** Compares epochs in the text form that {@link #epoch} returns. */
+    static int compareEpochs(String first, String second) {
+        return Epoch.parse(first).compareTo(Epoch.parse(second));
     }
 
-    /** Primary, copies and voters of the view known here. */
+    /** Primary, data replicas and voters of the membership known to this replica. */
     String membership() {
         Membership membership = replica.membership();
-        return membership.primary() + " copies " + membership.dataReplicas() + " voters " + membership.voters();
+        return membership.primary() + " data replicas " + membership.dataReplicas() + " voters " + membership.voters();
     }
 
-    /** Identifies the view known here: another view is another object. */
+    /** Identifies the membership known to this replica: a different membership is a different object. */
     Object membershipObject() {
         return replica.membership();
     }
 
-    /** Whether a change of voters is under way. */
-    boolean changingVoters() {
+    /** Whether the membership is joint, with a change of voters in progress. */
+    boolean isChangingVoters() {
         return replica.membership().isJoint();
     }
 
@@ -168,16 +171,16 @@
         return replica.membership().voters();
     }
 
-    Position copyPosition() {
+    Position logPosition() {
         return new Position(replica.logIndex());
     }
 
-    ControlState inForce() {
+    ControlState state() {
         return replica.state();
     }
 
     String describe() {
-        return role() + " promised " + replica.promisedEpoch().text() + " view ["
-                + replica.membership().text() + "] copy " + replica.logEpoch().text() + " at " + replica.logIndex();
+        return role() + " promised " + replica.promisedEpoch().text() + " membership ["
+                + replica.membership().text() + "] log " + replica.logEpoch().text() + " at " + replica.logIndex();
     }
 }
--- a/src/test/java/quartzspan/replication/simulation/SimulatorTest.java
+++ b/src/test/java/quartzspan/replication/simulation/SimulatorTest.java
@@ -7,38 +7,40 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Plays drawn histories of overlapping troubles. A broken one is shrunk, and told with its seed and its steps.
+ * Runs generated scenarios of overlapping faults. A failing scenario is shrunk and reported with its seed and its steps.
  *
  * <ul>
- *   <li>More than the build plays: {@code mvn -o test -Dtest=SimulatorTest -Dhistories=100000}
- *   <li>Another part of the seeds: {@code -Dfirst=100001}; without some kinds of steps: {@code -Dwithout=WIPE,FREEZE}
- *   <li>Planned replacements by the letter, the leaving machine counting as lost no more from its SIGTERM: {@code -Dstrict=true}
- *   <li>One history with its trace: {@code -Dhistories=1 -Dfirst=SEED -Dtrace=true}
- *   <li>After how many histories a guard that was taken out is found: take it out, then {@code -Dfindings=0}; the seeds are
- *       played in order until the first broken one, whose number is told.
+ *   <li>More scenarios than in the build: {@code mvn -o test -Dtest=SimulatorTest -Dhistories=100000}
+ *   <li>Other seeds: {@code -Dfirst=100001}; without some kinds of steps: {@code -Dwithout=WIPE,FREEZE}
+ *   <li>Strict planned replacements, in which the terminating machine stops counting as unavailable at its SIGTERM:
+ *       {@code -Dstrict=true}
+ *   <li>One scenario with its trace: {@code -Dhistories=1 -Dfirst=SEED -Dtrace=true}
+ *   <li>Number of scenarios until the removal of a safety check is detected: remove the check, then {@code -Dfindings=0}; the
+ *       seeds run in order up to the first violation, whose seed is printed.
  * </ul>
  */
 class SimulatorTest {
-    private static final long HISTORIES = Long.getLong("histories", 3_000);
-    private static final long FIRST = Long.getLong("first", 1);
+    private static final long SCENARIO_COUNT = Long.getLong("histories", 3_000);
+    private static final long FIRST_SEED = Long.getLong("first", 1);
 
     @Test
-    void noGeneratedHistoryViolatesAnInvariant() {
+    void noGeneratedScenarioViolatesAnInvariant() {
         SimulationRunner runner = new SimulationRunner();
-        int stopAfter = Integer.getInteger("findings", 1);
-        if (stopAfter == 0) {
-            System.out.println("first broken: " + runner.playUntilBroken(FIRST, HISTORIES));
+        int maxViolations = Integer.getInteger("findings", 1);
+        if (maxViolations == 0) {
+            System.out.println("first seed with a violation: " + runner.runUntilViolation(FIRST_SEED, SCENARIO_COUNT));
         } else {
-            runner.play(FIRST, HISTORIES, stopAfter);
+            runner.run(FIRST_SEED, SCENARIO_COUNT, maxViolations);
         }
         System.out.println(runner.summary());
-        for (Map.Entry<Long, Violation> first : runner.broken().entrySet()) {
+        for (Map.Entry<Long, Violation> first : runner.violations().entrySet()) {
             throw new AssertionError(
                     SimulationRunner.explain(first.getKey(), first.getValue(), Boolean.getBoolean("trace")));
         }
         assertTrue(
-                HISTORIES < 100 || runner.acknowledged() > 5 * HISTORIES && runner.reads() > 5 * HISTORIES,
-                "too little was asked");
+                SCENARIO_COUNT < 100
+                        || runner.acknowledged() > 5 * SCENARIO_COUNT && runner.reads() > 5 * SCENARIO_COUNT,
+                "too few changes or reads succeeded");
     }
 
     @Test
@@ -49,7 +51,7 @@
     }
 
     private static String fingerprint(long seed) {
-        Simulation simulation = new Simulation(ScenarioGenerator.draw(seed), false);
+        Simulation simulation = new Simulation(ScenarioGenerator.generate(seed), false);
         try {
             simulation.run();
         } catch (Violation violation) {
