--- a/src/main/java/quartzspan/clientproxy/Main.java
+++ b/src/main/java/quartzspan/clientproxy/Main.java
@@ -41,7 +41,7 @@
                 }
             }
         } catch (Exception e) {
-            System.err.println("quartzspan: " + Adapter.plain(e));
+            System.err.println("quartzspan: " + Adapter.errorMessage(e));
             System.exit(1);
         }
     }
@@ -88,7 +88,7 @@
         try {
             proxy.reload(ClientProxyConfig.load(file));
         } catch (IOException | RuntimeException e) {
-            System.err.println("quartzspan: the configuration stays as it was: " + Adapter.plain(e));
+            System.err.println("quartzspan: the configuration stays as it was: " + Adapter.errorMessage(e));
         }
     }
 
--- a/src/main/java/quartzspan/simulator/Adapter.java
+++ b/src/main/java/quartzspan/simulator/Adapter.java
@@ -21,7 +21,11 @@
 
 /** Speaks the bench's wire and hosts one {@link LoadBalancer} for each instance; decides nothing. */
 public final class Adapter {
-    private static final int TABLES = 16;
+    private static final int MAX_TABLES = 16;
+    /** Bits of an order: whether it has its expected work, whether it is a repeat. */
+    private static final int EXPECTED_WORK_BIT = 1;
+
+    private static final int REPEAT_BIT = 2;
 
     private final JsonParser in;
     private final JsonGenerator out;
@@ -39,7 +43,7 @@
         this.out = factory.createGenerator(output);
         this.out.setRootValueSeparator(null);
         this.events = new EventReader(in);
-        for (int i = 0; i < TABLES; i++) {
+        for (int i = 0; i < MAX_TABLES; i++) {
             tables.add(List.of());
         }
     }
@@ -51,30 +55,30 @@
      */
     public static void run(InputStream input, OutputStream output) throws IOException {
         Adapter adapter = new Adapter(input, output);
-        while (adapter.batch()) {
-            adapter.reply();
+        while (adapter.readBatch()) {
+            adapter.writeReply();
         }
     }
 
     /** One plain line that says what went wrong. */
-    public static String plain(Exception e) {
+    public static String errorMessage(Exception e) {
         String text = e instanceof JsonProcessingException j
                 ? "malformed input: " + j.getOriginalMessage()
                 : String.valueOf(e.getMessage());
         return text.replace('\n', ' ');
     }
 
-    private boolean batch() throws IOException {
+    private boolean readBatch() throws IOException {
         JsonToken first = in.nextToken();
         if (first == null) {
             return false;
         }
         addressed.clear();
         if (first != JsonToken.START_OBJECT) {
-            throw new WireException("a batch must be an object");
+            throw new SimulatorInputException("a batch must be an object");
         }
         long now = 0;
-        boolean clock = false;
+        boolean hasTime = false;
         events.reset();
         while (in.nextToken() == JsonToken.FIELD_NAME) {
             String name = in.currentName();
@@ -82,20 +86,20 @@
             switch (name) {
                 case "wallUs" -> {
                     now = in.getLongValue();
-                    clock = true;
+                    hasTime = true;
                 }
                 case "proxys" -> events.readGroups();
                 default -> in.skipChildren();
             }
         }
         if (in.currentToken() != JsonToken.END_OBJECT) {
-            throw new WireException("a batch ends early");
+            throw new SimulatorInputException("a batch ends early");
         }
-        if (!clock) {
-            throw new WireException("a batch without wallUs");
+        if (!hasTime) {
+            throw new SimulatorInputException("a batch without wallUs");
         }
-        for (int g = 0; g < events.groups(); g++) {
-            dispatch(events.instance(g), events.from(g), events.to(g), now);
+        for (int group = 0; group < events.groupCount(); group++) {
+            dispatch(events.instance(group), events.firstEvent(group), events.endEvent(group), now);
         }
         return true;
     }
@@ -106,39 +110,39 @@
             addressed.add(instance);
         }
         for (int i = from; i < to; i++) {
-            EventReader.Event e = events.event(i);
-            if (e.type == null) {
-                throw new WireException("an event without m");
+            EventReader.Event event = events.event(i);
+            if (event.type == null) {
+                throw new SimulatorInputException("an event without m");
             }
-            if (e.type.equals("CATALOG")) {
-                if (e.table < 0 || e.table >= TABLES) {
-                    throw new WireException("CATALOG: table out of range");
+            if (event.type.equals("CATALOG")) {
+                if (event.table < 0 || event.table >= MAX_TABLES) {
+                    throw new SimulatorInputException("CATALOG: table out of range");
                 }
-                tables.set(e.table, e.rows);
+                tables.set(event.table, event.rows);
                 continue;
             }
             try {
-                instance.handle(e, now);
+                instance.handle(event, now);
             } catch (RuntimeException failure) {
-                instance.crash(failure);
+                instance.reportCrash(failure);
             }
         }
     }
 
-    private void reply() throws IOException {
+    private void writeReply() throws IOException {
         out.writeStartObject();
         out.writeArrayFieldStart("proxys");
         for (Instance instance : addressed) {
-            if (!instance.pending.isEmpty()) {
+            if (!instance.pendingActions.isEmpty()) {
                 out.writeStartObject();
                 out.writeNumberField("i", instance.number);
                 out.writeArrayFieldStart("actions");
-                for (Action a : instance.pending) {
-                    a.write(out);
+                for (Action action : instance.pendingActions) {
+                    action.write(out);
                 }
                 out.writeEndArray();
                 out.writeEndObject();
-                instance.pending.clear();
+                instance.pendingActions.clear();
             }
         }
         out.writeEndArray();
@@ -174,108 +178,110 @@
     /** One instance: its balancer, and the actions of the batch at hand. */
     private final class Instance implements Actions {
         final int number;
-        final List<Action> pending = new ArrayList<>();
+        final List<Action> pendingActions = new ArrayList<>();
         LoadBalancer balancer;
 
         Instance(int number) {
             this.number = number;
         }
 
-        void handle(EventReader.Event e, long now) throws WireException {
-            if (e.type.equals("BOOT")) {
-                if (e.settings == null) {
+        void handle(EventReader.Event event, long now) throws SimulatorInputException {
+            if (event.type.equals("BOOT")) {
+                if (event.settings == null) {
                     throw new IllegalArgumentException("settings: bootInfo is missing");
                 }
-                balancer = LoadBalancer.create(e.settings.toSettings(), e.seed, now, this);
+                balancer = LoadBalancer.create(event.settings.toSettings(), event.seed, now, this);
                 return;
             }
             if (balancer == null) {
                 return;
             }
-            switch (e.type) {
-                case "DISCOVERY" -> discovery(e, now);
+            switch (event.type) {
+                case "DISCOVERY" -> handleDiscovery(event, now);
                 case "ORDER" -> balancer.onRequest(
                         now,
                         new Request(
-                                e.requestId,
-                                e.classIndex,
-                                e.key,
-                                e.budgetUs,
-                                (e.bits & 1) != 0 ? e.expectedUs : 0,
-                                e.tenant,
-                                (e.bits & 2) != 0));
-                case "ABORTED" -> balancer.onRequestGone(now, e.requestId);
-                case "FIRST_BYTE" -> balancer.onStreamStarted(now, e.requestId, e.attempt);
+                                event.requestId,
+                                event.classIndex,
+                                event.routeKey,
+                                event.budgetUs,
+                                (event.bits & EXPECTED_WORK_BIT) != 0 ? event.expectedUs : 0,
+                                event.tenant,
+                                (event.bits & REPEAT_BIT) != 0));
+                case "ABORTED" -> balancer.onRequestGone(now, event.requestId);
+                case "FIRST_BYTE" -> balancer.onStreamStarted(now, event.requestId, event.attempt);
                 case "ENDED" -> balancer.onAttemptEnded(
-                        now, new AttemptEnd(e.requestId, e.attempt, outcome(e.outcome), e.complete, e.lagUs));
+                        now,
+                        new AttemptEnd(
+                                event.requestId, event.attempt, outcome(event.outcome), event.complete, event.lagUs));
                 case "BELL" -> balancer.onTimer(now);
                 case "STOP" -> balancer = null;
-                case "PONG" -> balancer.onProbeEnded(now, e.host, outcome(e.outcome), e.lagUs);
+                case "PONG" -> balancer.onProbeEnded(now, event.host, outcome(event.outcome), event.lagUs);
                 case "FROM_PEER" -> {}
-                default -> throw new WireException("unknown event " + e.type);
+                default -> throw new SimulatorInputException("unknown event " + event.type);
             }
         }
 
-        private void discovery(EventReader.Event e, long now) throws WireException {
+        private void handleDiscovery(EventReader.Event event, long now) throws SimulatorInputException {
             Source source =
-                    switch (String.valueOf(e.how)) {
+                    switch (String.valueOf(event.how)) {
                         case "cached" -> Source.CACHED;
                         case "full" -> Source.FULL;
                         case "delta" -> Source.DELTA;
                         case "failed" -> null;
-                        default -> throw new WireException("DISCOVERY: unknown how " + e.how);
+                        default -> throw new SimulatorInputException("DISCOVERY: unknown how " + event.how);
                     };
             if (source == null) {
                 balancer.onDiscoveryFailed(now);
-            } else if (e.table < 0 || e.table >= TABLES) {
-                throw new WireException("DISCOVERY: table out of range");
+            } else if (event.table < 0 || event.table >= MAX_TABLES) {
+                throw new SimulatorInputException("DISCOVERY: table out of range");
             } else {
-                balancer.onEndpoints(now, source, tables.get(e.table));
+                balancer.onEndpoints(now, source, tables.get(event.table));
             }
         }
 
-        void crash(RuntimeException failure) {
-            pending.add(new Action("CRASH", null, null, null, 0, String.valueOf(failure)));
+        void reportCrash(RuntimeException failure) {
+            pendingActions.add(new Action("CRASH", null, null, null, 0, String.valueOf(failure)));
         }
 
         @Override
         public void send(String requestId, String endpointId, long timeoutUs) {
-            pending.add(new Action("FORWARD", requestId, endpointId, "tryForUs", timeoutUs, null));
+            pendingActions.add(new Action("FORWARD", requestId, endpointId, "tryForUs", timeoutUs, null));
         }
 
         @Override
         public void refuse(String requestId, long retryAfterUs) {
-            pending.add(new Action(
+            pendingActions.add(new Action(
                     "PUSH_BACK", requestId, null, retryAfterUs > 0 ? "holdOffUs" : null, retryAfterUs, null));
         }
 
         @Override
         public void fail(String requestId) {
-            pending.add(new Action("FAIL", requestId, null, null, 0, null));
+            pendingActions.add(new Action("FAIL", requestId, null, null, 0, null));
         }
 
         @Override
         public void cancel(String requestId, int attempt) {
-            pending.add(new Action("ABORT_ATTEMPT", requestId, null, "hop", attempt, null));
+            pendingActions.add(new Action("ABORT_ATTEMPT", requestId, null, "hop", attempt, null));
         }
 
         @Override
         public void probe(String endpointId) {
-            pending.add(new Action("PROBE", null, endpointId, null, 0, null));
+            pendingActions.add(new Action("PROBE", null, endpointId, null, 0, null));
         }
 
         @Override
         public void subscribe() {
-            pending.add(new Action("OBSERVE", null, null, null, 0, null));
+            pendingActions.add(new Action("OBSERVE", null, null, null, 0, null));
         }
 
         @Override
         public void wakeAt(long atUs) {
-            pending.add(new Action("TIMER", null, null, "atUs", atUs, null));
+            pendingActions.add(new Action("TIMER", null, null, "atUs", atUs, null));
         }
     }
 
-    private static Outcome outcome(String word) throws WireException {
+    private static Outcome outcome(String word) throws SimulatorInputException {
         return switch (String.valueOf(word)) {
             case "Ok" -> Outcome.OK;
             case "Failed" -> Outcome.FAILED;
@@ -285,7 +291,7 @@
             case "ResetByPeer" -> Outcome.RESET;
             case "Canceled" -> Outcome.CANCELED;
             case "Ignored" -> Outcome.IGNORED;
-            default -> throw new WireException("ENDED: unknown outcome " + word);
+            default -> throw new SimulatorInputException("ENDED: unknown outcome " + word);
         };
     }
 }
--- a/src/main/java/quartzspan/simulator/EventReader.java
+++ b/src/main/java/quartzspan/simulator/EventReader.java
@@ -27,7 +27,7 @@
         String type;
         String requestId;
         String host;
-        String key;
+        String routeKey;
         String outcome;
         String how;
         long budgetUs;
@@ -44,7 +44,7 @@
         SettingsReader settings;
 
         void clear() {
-            type = requestId = host = key = outcome = how = null;
+            type = requestId = host = routeKey = outcome = how = null;
             budgetUs = expectedUs = lagUs = seed = 0;
             bits = classIndex = tenant = attempt = 0;
             table = -1;
@@ -59,7 +59,7 @@
         groupCount = 0;
     }
 
-    int groups() {
+    int groupCount() {
         return groupCount;
     }
 
@@ -67,16 +67,16 @@
         return groups[3 * group];
     }
 
-    int from(int group) {
+    int firstEvent(int group) {
         return groups[3 * group + 1];
     }
 
-    int to(int group) {
+    int endEvent(int group) {
         return groups[3 * group + 2];
     }
 
-    Event event(int i) {
-        return pool.get(i);
+    Event event(int index) {
+        return pool.get(index);
     }
 
     void readGroups() throws IOException {
@@ -88,15 +88,15 @@
     }
 
     private void readGroup() throws IOException {
-        boolean named = false;
+        boolean hasNumber = false;
         int number = 0;
-        int from = size;
+        int firstEvent = size;
         while (in.nextToken() == JsonToken.FIELD_NAME) {
             String name = in.currentName();
             in.nextToken();
             if (name.equals("i")) {
                 number = in.getIntValue();
-                named = true;
+                hasNumber = true;
             } else if (name.equals("in")) {
                 expect(JsonToken.START_ARRAY, "in must be an array");
                 while (in.nextToken() == JsonToken.START_OBJECT) {
@@ -107,14 +107,14 @@
                 in.skipChildren();
             }
         }
-        if (!named) {
-            throw new WireException("an instance without i");
+        if (!hasNumber) {
+            throw new SimulatorInputException("an instance without i");
         }
         if (3 * groupCount + 3 > groups.length) {
             groups = java.util.Arrays.copyOf(groups, 2 * groups.length);
         }
         groups[3 * groupCount] = number;
-        groups[3 * groupCount + 1] = from;
+        groups[3 * groupCount + 1] = firstEvent;
         groups[3 * groupCount + 2] = size;
         groupCount++;
     }
@@ -123,32 +123,32 @@
         if (size == pool.size()) {
             pool.add(new Event());
         }
-        Event e = pool.get(size++);
-        e.clear();
+        Event event = pool.get(size++);
+        event.clear();
         while (in.nextToken() == JsonToken.FIELD_NAME) {
             String name = in.currentName();
             if (in.nextToken() == JsonToken.VALUE_NULL) {
                 continue;
             }
             switch (name) {
-                case "m" -> e.type = in.getText();
-                case "xid" -> e.requestId = in.getText();
-                case "host" -> e.host = in.getText();
-                case "routeKey" -> e.key = in.getText();
-                case "outcome" -> e.outcome = in.getText();
-                case "how" -> e.how = in.getText();
-                case "budgetUs" -> e.budgetUs = in.getLongValue();
-                case "expectedUs" -> e.expectedUs = in.getLongValue();
-                case "lagUs" -> e.lagUs = in.getLongValue();
-                case "rngSeed" -> e.seed = in.getNumberValue().longValue();
-                case "bits" -> e.bits = in.getIntValue();
-                case "tierClass" -> e.classIndex = in.getIntValue();
-                case "customer" -> e.tenant = in.getIntValue();
-                case "hop" -> e.attempt = in.getIntValue();
-                case "table" -> e.table = in.getIntValue();
-                case "complete" -> e.complete = in.getBooleanValue();
-                case "rowsIn" -> e.rows = readRows();
-                case "bootInfo" -> e.settings = SettingsReader.read(in);
+                case "m" -> event.type = in.getText();
+                case "xid" -> event.requestId = in.getText();
+                case "host" -> event.host = in.getText();
+                case "routeKey" -> event.routeKey = in.getText();
+                case "outcome" -> event.outcome = in.getText();
+                case "how" -> event.how = in.getText();
+                case "budgetUs" -> event.budgetUs = in.getLongValue();
+                case "expectedUs" -> event.expectedUs = in.getLongValue();
+                case "lagUs" -> event.lagUs = in.getLongValue();
+                case "rngSeed" -> event.seed = in.getNumberValue().longValue();
+                case "bits" -> event.bits = in.getIntValue();
+                case "tierClass" -> event.classIndex = in.getIntValue();
+                case "customer" -> event.tenant = in.getIntValue();
+                case "hop" -> event.attempt = in.getIntValue();
+                case "table" -> event.table = in.getIntValue();
+                case "complete" -> event.complete = in.getBooleanValue();
+                case "rowsIn" -> event.rows = readRows();
+                case "bootInfo" -> event.settings = SettingsReader.read(in);
                 default -> in.skipChildren();
             }
         }
@@ -163,7 +163,7 @@
             int cell = 0;
             double weight = 1;
             int kind = 0;
-            long startedAt = 0;
+            long startedAtUs = 0;
             Availability availability = Availability.READY;
             while (in.nextToken() == JsonToken.FIELD_NAME) {
                 String name = in.currentName();
@@ -177,31 +177,31 @@
                     case "cohort" -> cell = in.getIntValue();
                     case "availability" -> availability = availability(in.getText());
                     case "rating" -> weight = in.getDoubleValue();
-                    case "cameUpUs" -> startedAt = in.getLongValue();
+                    case "cameUpUs" -> startedAtUs = in.getLongValue();
                     default -> in.skipChildren();
                 }
             }
             if (host == null) {
-                throw new WireException("CATALOG: a row without host");
+                throw new SimulatorInputException("CATALOG: a row without host");
             }
-            rows.add(new Endpoint(host, zone, cell, kind, availability, weight, startedAt));
+            rows.add(new Endpoint(host, zone, cell, kind, availability, weight, startedAtUs));
         }
         expect(JsonToken.END_ARRAY, "rowsIn must hold objects");
         return List.copyOf(rows);
     }
 
-    private static Availability availability(String word) throws WireException {
+    private static Availability availability(String word) throws SimulatorInputException {
         return switch (word) {
             case "Ready" -> Availability.READY;
             case "Terminating" -> Availability.DRAINING;
             case "Gone" -> Availability.GONE;
-            default -> throw new WireException("CATALOG: unknown availability " + word);
+            default -> throw new SimulatorInputException("CATALOG: unknown availability " + word);
         };
     }
 
-    private void expect(JsonToken token, String otherwise) throws IOException {
+    private void expect(JsonToken token, String problem) throws IOException {
         if (in.currentToken() != token) {
-            throw new WireException(otherwise);
+            throw new SimulatorInputException(problem);
         }
     }
 }
--- a/src/main/java/quartzspan/simulator/SettingsReader.java
+++ b/src/main/java/quartzspan/simulator/SettingsReader.java
@@ -28,7 +28,7 @@
     /** Reads the object at the parser's place. */
     public static SettingsReader read(JsonParser in) throws IOException {
         if (in.currentToken() != JsonToken.START_OBJECT) {
-            throw new WireException("settings must be an object");
+            throw new SimulatorInputException("settings must be an object");
         }
         return new SettingsReader(object(in));
     }
@@ -64,15 +64,15 @@
     /** The names of zones ({@code azs}) or of {@code kinds}: a place in the list is the number meant. */
     public List<String> names(String list) {
         List<String> names = new ArrayList<>();
-        list(root, list).forEach(o -> names.add(String.valueOf(o)));
+        list(root, list).forEach(name -> names.add(String.valueOf(name)));
         return names;
     }
 
     /** The names of the tenants, in the order of their numbers. */
     public List<String> tenants() {
         List<String> names = new ArrayList<>();
-        for (Object o : list(root, "customers")) {
-            names.add(text(map(o, "customers"), "name", ""));
+        for (Object value : list(root, "customers")) {
+            names.add(text(map(value, "customers"), "name", ""));
         }
         return names;
     }
@@ -85,12 +85,12 @@
     /** The module's settings; throws {@link IllegalArgumentException} naming what is nonsensical. */
     public Settings toSettings() {
         List<RequestClass> classes = new ArrayList<>();
-        for (Object o : list(root, "classes")) {
-            classes.add(requestClass(map(o, "classes")));
+        for (Object value : list(root, "classes")) {
+            classes.add(requestClass(map(value, "classes")));
         }
         List<Double> shares = new ArrayList<>();
-        for (Object o : list(root, "customers")) {
-            shares.add(number(map(o, "customers"), "share", 1));
+        for (Object value : list(root, "customers")) {
+            shares.add(number(map(value, "customers"), "share", 1));
         }
         Map<String, Object> limits = map(root.get("limits"), "limits");
         Map<String, Object> contract = map(root.get("contract"), "contract");
@@ -113,87 +113,87 @@
                         number(contract, "coldUs", 0)));
     }
 
-    private static RequestClass requestClass(Map<String, Object> c) {
-        String name = text(c, "name", "unnamed");
+    private static RequestClass requestClass(Map<String, Object> fields) {
+        String name = text(fields, "name", "unnamed");
         Effect effect =
-                switch (text(c, "effect", "fragile")) {
+                switch (text(fields, "effect", "fragile")) {
                     case "retryable" -> Effect.RETRYABLE;
                     case "dedup" -> Effect.DEDUP;
                     case "fragile" -> Effect.FRAGILE;
                     default -> throw new IllegalArgumentException(
-                            "settings: " + name + ": unknown effect " + c.get("effect"));
+                            "settings: " + name + ": unknown effect " + fields.get("effect"));
                 };
         DedupScope scope =
-                switch (text(c, "dedupScope", "none")) {
+                switch (text(fields, "dedupScope", "none")) {
                     case "all" -> DedupScope.ALL;
                     case "zone" -> DedupScope.ZONE;
                     case "cell" -> DedupScope.CELL;
                     case "none", "" -> null;
                     default -> throw new IllegalArgumentException(
-                            "settings: " + name + ": unknown dedupScope " + c.get("dedupScope"));
+                            "settings: " + name + ": unknown dedupScope " + fields.get("dedupScope"));
                 };
-        long aim = (long) number(c, "onTimeUs", number(c, "deadlineUs", 1_000_000));
+        long onTimeUs = (long) number(fields, "onTimeUs", number(fields, "deadlineUs", 1_000_000));
         return new RequestClass(
                 name,
                 effect,
                 scope,
-                (long) number(c, "dedupWindowUs", 0),
-                number(c, "worth", 1),
-                number(c, "lateWorth", 0),
-                aim,
-                number(c, "aimStretch", 0),
-                (long) number(c, "deadlineUs", (double) aim));
+                (long) number(fields, "dedupWindowUs", 0),
+                number(fields, "worth", 1),
+                number(fields, "lateWorth", 0),
+                onTimeUs,
+                number(fields, "aimStretch", 0),
+                (long) number(fields, "deadlineUs", (double) onTimeUs));
     }
 
-    private static double number(Map<String, Object> map, String name, double absent) {
-        Object o = map.get(name);
-        if (o == null) {
-            return absent;
+    private static double number(Map<String, Object> map, String name, double defaultValue) {
+        Object value = map.get(name);
+        if (value == null) {
+            return defaultValue;
         }
-        if (o instanceof Double d) {
-            return d;
+        if (value instanceof Double number) {
+            return number;
         }
         throw new IllegalArgumentException("settings: " + name + " must be a number");
     }
 
-    private static boolean flag(Map<String, Object> map, String name, boolean absent) {
-        Object o = map.get(name);
-        if (o == null) {
-            return absent;
+    private static boolean flag(Map<String, Object> map, String name, boolean defaultValue) {
+        Object value = map.get(name);
+        if (value == null) {
+            return defaultValue;
         }
-        if (o instanceof Boolean b) {
-            return b;
+        if (value instanceof Boolean flag) {
+            return flag;
         }
         throw new IllegalArgumentException("settings: " + name + " must be true or false");
     }
 
-    private static String text(Map<String, Object> map, String name, String absent) {
-        Object o = map.get(name);
-        if (o == null) {
-            return absent;
+    private static String text(Map<String, Object> map, String name, String defaultValue) {
+        Object value = map.get(name);
+        if (value == null) {
+            return defaultValue;
         }
-        if (o instanceof String s) {
-            return s;
+        if (value instanceof String text) {
+            return text;
         }
         throw new IllegalArgumentException("settings: " + name + " must be a text");
     }
 
     private static List<?> list(Map<String, Object> map, String name) {
-        Object o = map.get(name);
-        if (o == null) {
+        Object value = map.get(name);
+        if (value == null) {
             return List.of();
         }
-        if (o instanceof List<?> l) {
-            return l;
+        if (value instanceof List<?> items) {
+            return items;
         }
         throw new IllegalArgumentException("settings: " + name + " must be a list");
     }
 
-    private static Map<String, Object> map(Object o, String name) {
+    private static Map<String, Object> map(Object value, String name) {
         Map<String, Object> result = new LinkedHashMap<>();
-        if (o instanceof Map<?, ?> m) {
-            m.forEach((k, v) -> result.put(String.valueOf(k), v));
-        } else if (o != null) {
+        if (value instanceof Map<?, ?> fields) {
+            fields.forEach((key, field) -> result.put(String.valueOf(key), field));
+        } else if (value != null) {
             throw new IllegalArgumentException("settings: " + name + " must be an object");
         }
         return result;
--- a/src/main/java/quartzspan/simulator/WireException.java
+++ b/src/main/java/quartzspan/simulator/SimulatorInputException.java
@@ -3,10 +3,10 @@
 import java.io.IOException;
 
 /** The input is JSON but not the wire. */
-final class WireException extends IOException {
+final class SimulatorInputException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    WireException(String message) {
+    SimulatorInputException(String message) {
         super("malformed input: " + message);
     }
 }
--- a/src/test/java/quartzspan/simulator/AdapterTest.java
+++ b/src/test/java/quartzspan/simulator/AdapterTest.java
@@ -16,11 +16,12 @@
     private static final String BOOT = "{\"m\":\"BOOT\",\"rngSeed\":7930985574052168,\"bootInfo\":{\"balancers\":2,"
             + "\"unheardOf\":[1,{\"a\":null}],\"classes\":[{\"name\":\"c\",\"effect\":\"retryable\",\"dedupScope\":\"all\","
             + "\"onTimeUs\":500000,\"deadlineUs\":2000000,\"worth\":1}],\"limits\":{\"maxAttempts\":3}}}";
-    private static final String LIST = "{\"m\":\"CATALOG\",\"table\":0,\"rowsIn\":[{\"host\":\"10.0.0.1:80\",\"az\":0,"
-            + "\"machine\":0,\"cohort\":0,\"availability\":\"Ready\",\"rating\":1,\"cameUpUs\":null}]},"
-            + "{\"m\":\"DISCOVERY\",\"how\":\"cached\",\"seqNo\":41,\"table\":0}";
+    private static final String ENDPOINTS =
+            "{\"m\":\"CATALOG\",\"table\":0,\"rowsIn\":[{\"host\":\"10.0.0.1:80\",\"az\":0,"
+                    + "\"machine\":0,\"cohort\":0,\"availability\":\"Ready\",\"rating\":1,\"cameUpUs\":null}]},"
+                    + "{\"m\":\"DISCOVERY\",\"how\":\"cached\",\"seqNo\":41,\"table\":0}";
 
-    private static String play(String input) throws IOException {
+    private static String run(String input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         Adapter.run(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out);
         return out.toString(StandardCharsets.UTF_8);
@@ -38,13 +39,13 @@
     @Test
     void emptyBatchesGetEmptyReplies() throws IOException {
         String empty = "{\"wallUs\":8412250,\"proxys\":[]}\n";
-        assertEquals("{\"proxys\":[]}\n{\"proxys\":[]}\n", play(empty + "\n" + empty));
-        assertEquals("", play(""));
+        assertEquals("{\"proxys\":[]}\n{\"proxys\":[]}\n", run(empty + "\n" + empty));
+        assertEquals("", run(""));
     }
 
     @Test
-    void aRequestIsForwardedAndServed() throws IOException {
-        String out = play(batch(10, BOOT + "," + LIST)
+    void requestIsForwardedAndServed() throws IOException {
+        String out = run(batch(10, BOOT + "," + ENDPOINTS)
                 + batch(5010, order("c50b12855d3a91c4"))
                 + batch(
                         9010,
@@ -60,38 +61,40 @@
     }
 
     @Test
-    void oddButLegalBatchesAreUnderstood() throws IOException {
+    void unusualButValidBatchesAreAccepted() throws IOException {
         // Fields in another order, a group twice, a table replaced in one batch, events of an unknown instance.
-        String odd = "{\"proxys\":[{\"in\":[" + BOOT + "," + LIST + "],\"i\":1},{\"i\":9,\"in\":[" + order("00") + "]},"
-                + "{\"i\":1,\"in\":[" + LIST.replace("10.0.0.1", "10.0.0.2").replace("cached", "full") + ","
-                + order("01") + "]}],\"more\":{\"x\":[]},\"wallUs\":77}\n";
-        String out = play(odd);
+        String input =
+                "{\"proxys\":[{\"in\":[" + BOOT + "," + ENDPOINTS + "],\"i\":1},{\"i\":9,\"in\":[" + order("00") + "]},"
+                        + "{\"i\":1,\"in\":["
+                        + ENDPOINTS.replace("10.0.0.1", "10.0.0.2").replace("cached", "full") + ","
+                        + order("01") + "]}],\"more\":{\"x\":[]},\"wallUs\":77}\n";
+        String out = run(input);
         assertTrue(out.contains("\"host\":\"10.0.0.2:80\""), out);
         assertEquals(out.indexOf("\"i\":1"), out.lastIndexOf("\"i\":1"));
         assertFalse(out.contains("\"i\":9"), out);
     }
 
     @Test
-    void aStoppedInstanceForgetsAndMayStartInTheSameBatch() throws IOException {
-        String out = play(batch(10, BOOT + "," + LIST + "," + order("01"))
+    void stoppedInstanceDropsItsStateAndMayStartInTheSameBatch() throws IOException {
+        String out = run(batch(10, BOOT + "," + ENDPOINTS + "," + order("01"))
                 + batch(20, "{\"m\":\"STOP\"},{\"m\":\"BELL\",\"name\":\"wake\"}")
-                + batch(30, "{\"m\":\"STOP\"}," + BOOT + "," + LIST + "," + order("02")));
+                + batch(30, "{\"m\":\"STOP\"}," + BOOT + "," + ENDPOINTS + "," + order("02")));
         String[] lines = out.split("\n");
         assertEquals("{\"proxys\":[]}", lines[1]);
         assertTrue(lines[2].contains("\"xid\":\"02\"") && !lines[2].contains("\"01\""), lines[2]);
     }
 
     @Test
-    void nonsensicalSettingsCrashByName() throws IOException {
-        String out = play(batch(10, BOOT.replace("500000", "-1")));
+    void invalidSettingsAreReportedAsACrashThatNamesThem() throws IOException {
+        String out = run(batch(10, BOOT.replace("500000", "-1")));
         assertTrue(out.contains("\"m\":\"CRASH\"") && out.contains("onTimeUs"), out);
-        out = play(batch(10, BOOT.replace("retryable", "sometimes")));
+        out = run(batch(10, BOOT.replace("retryable", "sometimes")));
         assertTrue(out.contains("unknown effect sometimes"), out);
     }
 
     @Test
-    void malformedLinesEndWithOnePlainMessage() {
-        for (String bad : new String[] {
+    void malformedInputIsRefusedWithAOneLineMessage() {
+        for (String malformed : new String[] {
             "nonsense\n",
             "[]\n",
             "{\"proxys\":[]}\n",
@@ -102,9 +105,9 @@
             batch(1, "{\"m\":\"CATALOG\",\"table\":99,\"rowsIn\":[]}"),
             batch(1, BOOT + ",{\"m\":\"ENDED\",\"outcome\":\"?\"}")
         }) {
-            Exception e = assertThrows(IOException.class, () -> play(bad), bad);
-            assertFalse(Adapter.plain(e).contains("\n"));
-            assertTrue(Adapter.plain(e).startsWith("malformed input: "), Adapter.plain(e));
+            Exception e = assertThrows(IOException.class, () -> run(malformed), malformed);
+            assertFalse(Adapter.errorMessage(e).contains("\n"));
+            assertTrue(Adapter.errorMessage(e).startsWith("malformed input: "), Adapter.errorMessage(e));
         }
     }
 }
