--- a/src/test/java/quartzspan/ArchitectureTest.java
+++ b/src/test/java/quartzspan/ArchitectureTest.java
@@ -17,7 +17,7 @@
             .importPackages("quartzspan");
 
     @Test
-    void theModuleKnowsNobody() {
+    void loadBalancingUsesNoOtherPackageAndNoNetworking() {
         noClasses()
                 .that()
                 .resideInAPackage("quartzspan.loadbalancing")
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void theOldProgramKnowsNothingOfTheFleet() {
+    void clientProxyDoesNotUseTheFleet() {
         noClasses()
                 .that()
                 .resideInAnyPackage("quartzspan.clientproxy", "quartzspan.http", "quartzspan.simulator")
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void controlLogicHasNoIo() {
+    void controlLogicPerformsNoIo() {
         noClasses()
                 .that()
                 .resideInAnyPackage("quartzspan.replication", "quartzspan.registry", "quartzspan.prefixcache")
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void programsKnowLibrariesAndNotEachOther() {
+    void programsAndLibrariesUseNothingAboveThem() {
         noClasses()
                 .that()
                 .resideInAPackage("quartzspan.frontend")
--- a/src/test/java/quartzspan/compatibility/GoldenFile.java
+++ b/src/test/java/quartzspan/compatibility/GoldenFile.java
@@ -37,9 +37,9 @@
     /** Fails unless a text is the golden one. */
     public static void assertText(String name, String actual) {
         try {
-            Path kept = ACTUAL.resolve(name);
-            Files.createDirectories(kept.getParent());
-            Files.writeString(kept, actual);
+            Path actualFile = ACTUAL.resolve(name);
+            Files.createDirectories(actualFile.getParent());
+            Files.writeString(actualFile, actual);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -85,10 +85,10 @@
     /** Copies a folder. */
     public static void copy(Path from, Path to) {
         for (Path file : files(from)) {
-            Path copied = to.resolve(from.relativize(file).toString());
+            Path target = to.resolve(from.relativize(file).toString());
             try {
-                Files.createDirectories(copied.getParent());
-                Files.write(copied, Files.readAllBytes(file));
+                Files.createDirectories(target.getParent());
+                Files.write(target, Files.readAllBytes(file));
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
