--- a/src/main/java/quartzspan/cli/Main.java
+++ b/src/main/java/quartzspan/cli/Main.java
@@ -75,7 +75,7 @@
             return wrongUsage(e.getMessage());
         } catch (FleetException refusal) {
             out.println(refusal);
-            return refusal.code().exit();
+            return refusal.code().exitStatus();
         } catch (IOException | IllegalArgumentException e) {
             out.println("no answer: " + e + "; name a core machine that runs with --core");
             return NO_ANSWER;
@@ -166,8 +166,8 @@
         out.println(new String(answer.body(), java.nio.charset.StandardCharsets.UTF_8));
         return switch (answer.statusCode()) {
             case 200 -> 0;
-            case 400 -> FleetException.Code.CONFIG_INVALID.exit();
-            case 412 -> FleetException.Code.CONFIG_STALE.exit();
+            case 400 -> FleetException.Code.CONFIG_INVALID.exitStatus();
+            case 412 -> FleetException.Code.CONFIG_STALE.exitStatus();
             default -> NO_ANSWER;
         };
     }
--- a/src/main/java/quartzspan/common/FleetException.java
+++ b/src/main/java/quartzspan/common/FleetException.java
@@ -18,20 +18,20 @@
         ORDER_FORGOTTEN(8, 503),
         MESSAGE_INVALID(9, 400);
 
-        private final int exit;
-        private final int status;
+        private final int exitStatus;
+        private final int httpStatus;
 
-        Code(int exit, int status) {
-            this.exit = exit;
-            this.status = status;
+        Code(int exitStatus, int httpStatus) {
+            this.exitStatus = exitStatus;
+            this.httpStatus = httpStatus;
         }
 
-        public int exit() {
-            return exit;
+        public int exitStatus() {
+            return exitStatus;
         }
 
-        public int status() {
-            return status;
+        public int httpStatus() {
+            return httpStatus;
         }
     }
 
@@ -45,12 +45,12 @@
     }
 
     /** The refusal among a failure and its causes; null if there is none. */
-    public static FleetException in(Throwable failure) {
-        Throwable at = failure;
-        while (at != null && !(at instanceof FleetException)) {
-            at = at.getCause();
+    public static FleetException findIn(Throwable failure) {
+        Throwable current = failure;
+        while (current != null && !(current instanceof FleetException)) {
+            current = current.getCause();
         }
-        return (FleetException) at;
+        return (FleetException) current;
     }
 
     public Code code() {
--- a/src/main/java/quartzspan/common/JsonLines.java
+++ b/src/main/java/quartzspan/common/JsonLines.java
@@ -46,15 +46,15 @@
             quote(line, event.getLoggerName());
             line.append(",\"says\":");
             quote(line, event.getFormattedMessage());
-            IThrowableProxy why = event.getThrowableProxy();
-            if (why != null) {
+            IThrowableProxy throwable = event.getThrowableProxy();
+            if (throwable != null) {
                 line.append(",\"cause\":");
                 quote(
                         line,
-                        why.getClassName() + ": " + why.getMessage()
-                                + (why.getStackTraceElementProxyArray().length == 0
+                        throwable.getClassName() + ": " + throwable.getMessage()
+                                + (throwable.getStackTraceElementProxyArray().length == 0
                                         ? ""
-                                        : " " + why.getStackTraceElementProxyArray()[0]));
+                                        : " " + throwable.getStackTraceElementProxyArray()[0]));
             }
             return line.append("}\n").toString().getBytes(StandardCharsets.UTF_8);
         }
--- a/src/main/java/quartzspan/common/Settings.java
+++ b/src/main/java/quartzspan/common/Settings.java
@@ -20,16 +20,16 @@
  * @param ip its own address
  * @param zone its zone
  * @param zones regions by zone
- * @param listen addresses by what is served there ({@code frontend}, {@code readiness}, {@code control_plane})
+ * @param listenAddresses addresses by what is served there ({@code frontend}, {@code readiness}, {@code control_plane})
  * @param internalPort first port that is free for the system's own traffic
  * @param seeds {@code control_plane} addresses of up to three core machines
  * @param bootstrap whether this is the first start of the complete system
- * @param voter whether this machine's loss is counted
+ * @param quorumMember whether this machine's loss is counted
  * @param memoryMb memory above which the process is killed
- * @param descriptors descriptors that the process may use
+ * @param fileDescriptors descriptors that the process may use
  * @param dataDirectory where state is kept; null on machines without a disk
  * @param heartbeatMs about how often a server sends a heartbeat
- * @param losses machines of the core that may be lost at once
+ * @param toleratedFailures machines of the core that may be lost at once
  * @param bounds the figures of the rules
  */
 public record Settings(
@@ -37,20 +37,20 @@
         String ip,
         String zone,
         Map<String, String> zones,
-        Map<String, InetSocketAddress> listen,
+        Map<String, InetSocketAddress> listenAddresses,
         int internalPort,
         List<InetSocketAddress> seeds,
         boolean bootstrap,
-        boolean voter,
+        boolean quorumMember,
         int memoryMb,
-        int descriptors,
+        int fileDescriptors,
         Path dataDirectory,
         int heartbeatMs,
-        int losses,
+        int toleratedFailures,
         Bounds bounds) {
 
     /** Name of the environment variable that names the file. */
-    public static final String VARIABLE = "QUARTZSPAN_CONFIG";
+    public static final String ENVIRONMENT_VARIABLE = "QUARTZSPAN_CONFIG";
 
     /** The figures of the rules that this system acts on; names and units are those of the settings file. */
     public record Bounds(
@@ -69,10 +69,12 @@
 
     /** Reads the file that the environment names. */
     public static Settings load() {
-        String path = System.getenv(VARIABLE);
+        String path = System.getenv(ENVIRONMENT_VARIABLE);
         if (path == null || path.isEmpty()) {
             throw new FleetException(
-                    FleetException.Code.SETTINGS_MISSING, VARIABLE + " is not set", "name the settings file in it");
+                    FleetException.Code.SETTINGS_MISSING,
+                    ENVIRONMENT_VARIABLE + " is not set",
+                    "name the settings file in it");
         }
         try {
             return parse(Files.readString(Path.of(path)));
@@ -80,7 +82,7 @@
             throw new FleetException(
                     FleetException.Code.SETTINGS_MISSING,
                     "can't read " + path + ": " + e.getMessage(),
-                    "name a readable file in " + VARIABLE);
+                    "name a readable file in " + ENVIRONMENT_VARIABLE);
         }
     }
 
@@ -95,7 +97,7 @@
         if (!(root instanceof Map<?, ?> top)) {
             throw invalid("the file", "must be a mapping");
         }
-        Fields f = new Fields(top, "");
+        Fields fields = new Fields(top, "");
         Fields ports = new Fields(top, "");
         List<Integer> internal = ports.list("internal_ports").stream()
                 .map(p -> port(p, "internal_ports"))
@@ -103,54 +105,55 @@
         if (internal.size() != 2 || internal.get(0) > internal.get(1)) {
             throw invalid("internal_ports", "must be the first and the last free port");
         }
-        Map<String, InetSocketAddress> listen = new java.util.HashMap<>();
-        f.map("listen_addresses")
-                .forEach((k, v) -> listen.put(String.valueOf(k), address(String.valueOf(v), "listen_addresses." + k)));
+        Map<String, InetSocketAddress> listenAddresses = new java.util.HashMap<>();
+        fields.map("listen_addresses")
+                .forEach((k, v) ->
+                        listenAddresses.put(String.valueOf(k), address(String.valueOf(v), "listen_addresses." + k)));
         Map<String, String> zones = new java.util.HashMap<>();
-        f.map("zones").forEach((k, v) -> zones.put(String.valueOf(k), String.valueOf(v)));
-        Fields limits = new Fields(f.map("limits"), "limits.");
-        Fields losses = new Fields(f.map("fault_tolerance"), "fault_tolerance.");
-        Fields b = new Fields(f.map("bounds"), "bounds.");
+        fields.map("zones").forEach((k, v) -> zones.put(String.valueOf(k), String.valueOf(v)));
+        Fields limits = new Fields(fields.map("limits"), "limits.");
+        Fields faultTolerance = new Fields(fields.map("fault_tolerance"), "fault_tolerance.");
+        Fields bounds = new Fields(fields.map("bounds"), "bounds.");
         Object directory = top.get("data_directory");
         return new Settings(
-                f.text("node_name"),
-                f.text("ip_address"),
-                f.text("zone"),
+                fields.text("node_name"),
+                fields.text("ip_address"),
+                fields.text("zone"),
                 Map.copyOf(zones),
-                Map.copyOf(listen),
+                Map.copyOf(listenAddresses),
                 internal.get(0),
-                f.list("seed_nodes").stream()
+                fields.list("seed_nodes").stream()
                         .map(s -> address(String.valueOf(s), "seed_nodes"))
                         .toList(),
-                f.flag("bootstrap", false),
-                f.flag("quorum_member", false),
-                limits.count("memory_mb", 256),
-                limits.count("file_descriptors", 1024),
+                fields.flag("bootstrap", false),
+                fields.flag("quorum_member", false),
+                limits.positiveInteger("memory_mb", 256),
+                limits.positiveInteger("file_descriptors", 1024),
                 directory == null ? null : Path.of(String.valueOf(directory)),
-                f.count("heartbeat_ms", 1000),
-                losses.countFrom0("machines", 0),
+                fields.positiveInteger("heartbeat_ms", 1000),
+                faultTolerance.nonNegativeInteger("machines", 0),
                 new Bounds(
-                        b.count("drain_timeout_ms", 2000),
-                        b.number("grace_period_s", 8),
-                        b.count("config_apply_ms", 2000),
-                        b.flag("strict_revocation", false),
-                        b.count("revocation_ms", 5000),
-                        b.number("retry_budget_ratio", 0.2),
-                        b.number("retry_window_s", 10),
-                        b.countFrom0("retry_allowance", 0),
-                        b.count("transit_ms", 120),
-                        b.count("ack_timeout_ms", 4000),
-                        b.count("lease_ms", 3000),
-                        b.count("version_apply_ms", 10_000)));
+                        bounds.positiveInteger("drain_timeout_ms", 2000),
+                        bounds.nonNegativeNumber("grace_period_s", 8),
+                        bounds.positiveInteger("config_apply_ms", 2000),
+                        bounds.flag("strict_revocation", false),
+                        bounds.positiveInteger("revocation_ms", 5000),
+                        bounds.nonNegativeNumber("retry_budget_ratio", 0.2),
+                        bounds.nonNegativeNumber("retry_window_s", 10),
+                        bounds.nonNegativeInteger("retry_allowance", 0),
+                        bounds.positiveInteger("transit_ms", 120),
+                        bounds.positiveInteger("ack_timeout_ms", 4000),
+                        bounds.positiveInteger("lease_ms", 3000),
+                        bounds.positiveInteger("version_apply_ms", 10_000)));
     }
 
     /** The address at which the system's other processes reach this one. */
-    public InetSocketAddress internal() {
+    public InetSocketAddress internalAddress() {
         return new InetSocketAddress(ip, internalPort);
     }
 
     /** Where state is kept; refused by name on a machine without a disk. */
-    public Path disk() {
+    public Path requiredDataDirectory() {
         if (dataDirectory == null) {
             throw invalid("data_directory", "is missing, but a core machine keeps state");
         }
@@ -158,12 +161,12 @@
     }
 
     /** Where the process serves something; refused by name if the settings don't say. */
-    public InetSocketAddress listens(String what) {
-        InetSocketAddress at = listen.get(what);
-        if (at == null) {
-            throw invalid("listen_addresses." + what, "is missing");
+    public InetSocketAddress listenAddress(String service) {
+        InetSocketAddress address = listenAddresses.get(service);
+        if (address == null) {
+            throw invalid("listen_addresses." + service, "is missing");
         }
-        return at;
+        return address;
     }
 
     private static InetSocketAddress address(String text, String name) {
@@ -186,19 +189,21 @@
         throw invalid(name, "must be ports from 1 to 65535, but has " + value);
     }
 
-    private static FleetException invalid(String name, String what) {
+    private static FleetException invalid(String name, String problem) {
         return new FleetException(
-                FleetException.Code.SETTINGS_INVALID, name + " " + what, "correct " + name + " in the settings file");
+                FleetException.Code.SETTINGS_INVALID,
+                name + " " + problem,
+                "correct " + name + " in the settings file");
     }
 
     /** Fields of one mapping, refused by name where they are not what they must be. */
     private record Fields(Map<?, ?> map, String prefix) {
         String text(String name) {
-            Object v = map.get(name);
-            if (v == null || String.valueOf(v).isBlank()) {
+            Object value = map.get(name);
+            if (value == null || String.valueOf(value).isBlank()) {
                 throw invalid(prefix + name, "is missing");
             }
-            return String.valueOf(v);
+            return String.valueOf(value);
         }
 
         List<?> list(String name) {
@@ -209,55 +214,55 @@
         }
 
         Map<?, ?> map(String name) {
-            Object v = map.get(name);
-            if (v == null) {
+            Object value = map.get(name);
+            if (value == null) {
                 return Map.of();
             }
-            if (v instanceof Map<?, ?> m) {
-                return m;
+            if (value instanceof Map<?, ?> mapping) {
+                return mapping;
             }
             throw invalid(prefix + name, "must be a mapping");
         }
 
-        boolean flag(String name, boolean otherwise) {
-            Object v = map.get(name);
-            if (v == null) {
-                return otherwise;
+        boolean flag(String name, boolean defaultValue) {
+            Object value = map.get(name);
+            if (value == null) {
+                return defaultValue;
             }
-            if (v instanceof Boolean b) {
-                return b;
+            if (value instanceof Boolean flag) {
+                return flag;
             }
-            throw invalid(prefix + name, "must be true or false, but is " + v);
+            throw invalid(prefix + name, "must be true or false, but is " + value);
         }
 
-        double number(String name, double otherwise) {
-            Object v = map.get(name);
-            if (v == null) {
-                return otherwise;
+        double nonNegativeNumber(String name, double defaultValue) {
+            Object value = map.get(name);
+            if (value == null) {
+                return defaultValue;
             }
-            if (v instanceof Number n && n.doubleValue() >= 0 && n.doubleValue() < 1e9) {
-                return n.doubleValue();
+            if (value instanceof Number number && number.doubleValue() >= 0 && number.doubleValue() < 1e9) {
+                return number.doubleValue();
             }
-            throw invalid(prefix + name, "must be a number from 0 up, but is " + v);
+            throw invalid(prefix + name, "must be a number from 0 up, but is " + value);
         }
 
-        int countFrom0(String name, int otherwise) {
-            return (int) number(name, otherwise);
+        int nonNegativeInteger(String name, int defaultValue) {
+            return (int) nonNegativeNumber(name, defaultValue);
         }
 
-        int count(String name, int otherwise) {
-            int n = countFrom0(name, otherwise);
-            if (n < 1) {
-                throw invalid(prefix + name, "must be at least 1, but is " + n);
+        int positiveInteger(String name, int defaultValue) {
+            int number = nonNegativeInteger(name, defaultValue);
+            if (number < 1) {
+                throw invalid(prefix + name, "must be at least 1, but is " + number);
             }
-            return n;
+            return number;
         }
     }
 
     /** Ends a program whose start failed, with one line and the status of the refusal behind it. */
-    public static void refuse(Exception why, Consumer<String> log) {
-        FleetException refusal = FleetException.in(why);
-        log.accept(refusal != null ? refusal.toString() : "start failed: " + why);
-        System.exit(refusal != null ? refusal.code().exit() : 1);
+    public static void exitAfterStartFailure(Exception failure, Consumer<String> log) {
+        FleetException refusal = FleetException.findIn(failure);
+        log.accept(refusal != null ? refusal.toString() : "start failed: " + failure);
+        System.exit(refusal != null ? refusal.code().exitStatus() : 1);
     }
 }
--- a/src/main/java/quartzspan/configuration/Configuration.java
+++ b/src/main/java/quartzspan/configuration/Configuration.java
@@ -42,9 +42,9 @@
      * @param host the host name, in lower case
      * @param prefix the path prefix, with a slash at both ends
      * @param timeoutMs time after which a request has to be answered
-     * @param targetMs latency target
-     * @param open whether requests without the key of a tenant are accepted
-     * @param affine whether requests with the same prompt prefix go to the same server
+     * @param targetLatencyMs latency target
+     * @param isPublic whether requests without the key of a tenant are accepted
+     * @param sessionAffinity whether requests with the same prompt prefix go to the same server
      * @param resumable whether a stream may be resumed at another server
      * @param gapAimMs target for the time between two events of a stream
      */
@@ -54,12 +54,12 @@
             String prefix,
             RouteType type,
             long timeoutMs,
-            long targetMs,
+            long targetLatencyMs,
             int priority,
             List<Share> shares,
             int maxAttempts,
-            boolean open,
-            boolean affine,
+            boolean isPublic,
+            boolean sessionAffinity,
             boolean resumable,
             long gapAimMs) {
         /** Whether a request may be executed more than once. */
@@ -71,29 +71,29 @@
     /**
      * A service.
      *
-     * @param slots number of requests that one server executes at once
-     * @param eventCalls number of calls for cache events that one server answers at once
-     * @param mbps bandwidth of one server for cached prompts
-     * @param store address of a store for cached prompts; null if the service is none
+     * @param maxConcurrentRequests number of requests that one server executes at once
+     * @param maxConcurrentEventCalls number of calls for cache events that one server answers at once
+     * @param bandwidthMbps bandwidth of one server for cached prompts
+     * @param cacheStoreAddress address of a store for cached prompts; null if the service is none
      */
     public record Service(
             String name,
             String healthPath,
             int maxConnections,
-            int slots,
+            int maxConcurrentRequests,
             List<String> models,
-            int eventCalls,
+            int maxConcurrentEventCalls,
             long cacheTokens,
             long cacheBytes,
-            double mbps,
-            String store,
+            double bandwidthMbps,
+            String cacheStoreAddress,
             String zone) {}
 
     /** A tenant; an isolated one shares no cached prompts with others. */
     public record Tenant(String name, List<String> keys, int priority, boolean isolated) {}
 
     /** What a client may send, and how long it may take. */
-    public record Limits(int headerBytes, int bodyBytes, int headerTimeoutMs, int idleTimeoutMs) {}
+    public record Limits(int maxHeaderBytes, int maxBodyBytes, int headerTimeoutMs, int idleTimeoutMs) {}
 
     /** An item of the document and what was read of it. */
     private record Parsed<T>(JsonObject item, T value) {}
--- a/src/main/java/quartzspan/configuration/ConfigurationReader.java
+++ b/src/main/java/quartzspan/configuration/ConfigurationReader.java
@@ -19,7 +19,7 @@
     private static final int DEFAULT_IDLE_TIMEOUT_MS = 15_000;
     private static final int DEFAULT_MAX_CONNECTIONS = 64;
     private static final int DEFAULT_CAPACITY = 8;
-    private static final int DEFAULT_EVENT_CALLS = 4;
+    private static final int DEFAULT_MAX_CONCURRENT_EVENT_CALLS = 4;
     private static final String DEFAULT_HEALTH_PATH = "/health";
 
     private ConfigurationReader() {}
@@ -33,33 +33,33 @@
                 JsonFields.positive(in, "idle_timeout_ms", DEFAULT_IDLE_TIMEOUT_MS));
     }
 
-    static Route route(JsonObject in) {
-        String name = JsonFields.name(in, "routes");
+    static Route route(JsonObject item) {
+        String name = JsonFields.name(item, "routes");
         String context = "route " + name + ": ";
-        List<Share> shares = shares(in, context);
-        String prefix = JsonFields.text(in, "path_prefix", context);
+        List<Share> shares = shares(item, context);
+        String prefix = JsonFields.text(item, "path_prefix", context);
         if (!prefix.startsWith("/") || !prefix.endsWith("/")) {
             throw JsonFields.invalid(context + "path_prefix must begin and end with a slash", "correct the prefix");
         }
-        long timeoutMs = JsonFields.wholeNumber(in, "timeout_ms", 0);
+        long timeoutMs = JsonFields.wholeNumber(item, "timeout_ms", 0);
         if (timeoutMs <= 0) {
             throw JsonFields.invalid(context + "timeout_ms must be above 0", "give the timeout in milliseconds");
         }
-        RouteType type = routeType(in, context);
+        RouteType type = routeType(item, context);
         return new Route(
                 name,
-                JsonFields.text(in, "hostname", context).toLowerCase(Locale.ROOT),
+                JsonFields.text(item, "hostname", context).toLowerCase(Locale.ROOT),
                 prefix,
                 type,
                 timeoutMs,
-                Math.max(1, JsonFields.wholeNumber(in, "target_latency_ms", timeoutMs)),
-                (int) JsonFields.wholeNumber(in, "priority", 0),
+                Math.max(1, JsonFields.wholeNumber(item, "target_latency_ms", timeoutMs)),
+                (int) JsonFields.wholeNumber(item, "priority", 0),
                 List.copyOf(shares),
-                (int) Math.max(1, JsonFields.wholeNumber(in, "max_attempts", 1)),
-                JsonFields.flag(in, "public"),
-                JsonFields.flag(in, "session_affinity"),
-                JsonFields.flag(in, "resumable"),
-                JsonFields.wholeNumber(in, "gap_aim_ms", 0));
+                (int) Math.max(1, JsonFields.wholeNumber(item, "max_attempts", 1)),
+                JsonFields.flag(item, "public"),
+                JsonFields.flag(item, "session_affinity"),
+                JsonFields.flag(item, "resumable"),
+                JsonFields.wholeNumber(item, "gap_aim_ms", 0));
     }
 
     private static List<Share> shares(JsonObject route, String context) {
@@ -77,12 +77,12 @@
         return shares;
     }
 
-    private static Share share(JsonObject in, String context) {
-        long weight = JsonFields.wholeNumber(in, "weight", -1);
+    private static Share share(JsonObject item, String context) {
+        long weight = JsonFields.wholeNumber(item, "weight", -1);
         if (weight < 0) {
             throw JsonFields.invalid(context + "a weight is missing or negative", "give whole weights from 0 up");
         }
-        return new Share(JsonFields.text(in, "service", context), weight);
+        return new Share(JsonFields.text(item, "service", context), weight);
     }
 
     private static RouteType routeType(JsonObject route, String context) {
@@ -94,34 +94,34 @@
         }
     }
 
-    static Service service(JsonObject in) {
-        String name = JsonFields.name(in, "services");
-        JsonObject engine = JsonFields.objectOrEmpty(in, "engine");
+    static Service service(JsonObject item) {
+        String name = JsonFields.name(item, "services");
+        JsonObject engine = JsonFields.objectOrEmpty(item, "engine");
         List<String> models = new ArrayList<>();
         JsonFields.objects(engine, "models").forEach(model -> models.add(JsonFields.name(model, "models")));
-        boolean isCacheStore = in.containsKey("cache_store_address");
-        JsonObject cache = isCacheStore ? in : engine;
+        boolean isCacheStore = item.containsKey("cache_store_address");
+        JsonObject cache = isCacheStore ? item : engine;
         return new Service(
                 name,
-                in.getString("health_path", DEFAULT_HEALTH_PATH),
-                JsonFields.positive(in, "max_connections", DEFAULT_MAX_CONNECTIONS),
+                item.getString("health_path", DEFAULT_HEALTH_PATH),
+                JsonFields.positive(item, "max_connections", DEFAULT_MAX_CONNECTIONS),
                 JsonFields.positive(engine, "capacity", DEFAULT_CAPACITY),
                 List.copyOf(models),
-                JsonFields.positive(cache, "max_concurrent", DEFAULT_EVENT_CALLS),
+                JsonFields.positive(cache, "max_concurrent", DEFAULT_MAX_CONCURRENT_EVENT_CALLS),
                 JsonFields.wholeNumber(cache, "cache_tokens", 0),
                 JsonFields.wholeNumber(engine, "cache_bytes", 0),
                 JsonFields.number(cache, "bandwidth_mbps"),
-                in.getString("cache_store_address", null),
-                in.getString("zone", null));
+                item.getString("cache_store_address", null),
+                item.getString("zone", null));
     }
 
-    static Tenant tenant(JsonObject in) {
-        String name = JsonFields.name(in, "tenants");
-        List<String> keys = JsonFields.strings(in, "api_keys", "tenant " + name + ": ");
+    static Tenant tenant(JsonObject item) {
+        String name = JsonFields.name(item, "tenants");
+        List<String> keys = JsonFields.strings(item, "api_keys", "tenant " + name + ": ");
         return new Tenant(
                 name,
                 List.copyOf(keys),
-                (int) JsonFields.wholeNumber(in, "priority", 0),
-                JsonFields.flag(in, "isolated"));
+                (int) JsonFields.wholeNumber(item, "priority", 0),
+                JsonFields.flag(item, "isolated"));
     }
 }
--- a/src/main/java/quartzspan/controlplane/ControlPlane.java
+++ b/src/main/java/quartzspan/controlplane/ControlPlane.java
@@ -87,15 +87,15 @@
         this.settings = settings;
         this.group = group;
         this.loop = loop;
-        this.self = hostAndPort(settings.internal());
+        this.self = hostAndPort(settings.internalAddress());
         this.connectionLimits = new HttpServer.ConnectionLimits(
-                Math.max(MIN_CLIENT_CONNECTIONS, settings.descriptors() / 2),
+                Math.max(MIN_CLIENT_CONNECTIONS, settings.fileDescriptors() / 2),
                 MAX_HEADER_BYTES,
                 MAX_BODY_BYTES,
                 CLIENT_TIMEOUT_MS,
                 CLIENT_TIMEOUT_MS);
         List<String> seeds = internalSeeds(settings);
-        String control = hostAndPort(settings.listens("control_plane"));
+        String control = hostAndPort(settings.listenAddress("control_plane"));
         this.transport = new TcpTransport(loop, new Hello(true, self, control, settings.zone()), this::onMessage);
         this.replicaHost = new ReplicaHost(settings, self, seeds, loop, this::nowMs, transport, this::onStateCommitted);
         this.replica = replicaHost.replica();
@@ -159,8 +159,9 @@
         EventLoop loop = group.next();
         ControlPlane started =
                 loop.submit(() -> new ControlPlane(settings, group, loop)).get();
-        InetSocketAddress control = settings.listens("control_plane");
-        ChannelFuture internal = started.transport.listen(settings.internal()).await();
+        InetSocketAddress control = settings.listenAddress("control_plane");
+        ChannelFuture internal =
+                started.transport.listen(settings.internalAddress()).await();
         ChannelFuture external =
                 loop.submit(() -> started.httpServer.listen(control)).get().await();
         for (ChannelFuture bound : List.of(internal, external)) {
@@ -178,7 +179,7 @@
 
     private void begin() {
         connectionPool.begin();
-        String control = hostAndPort(settings.listens("control_plane"));
+        String control = hostAndPort(settings.listenAddress("control_plane"));
         registry.merge(nowMs(), new CoreMachine(self, control, settings.zone()).entry());
         loop.scheduleWithFixedDelay(
                 new PeriodicTask("control plane tick", this::tick), 1, TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
@@ -324,7 +325,7 @@
      */
     private int requiredDrainAcks() {
         int others = replica.membership().voters().size() - 1;
-        return others < 0 ? settings.losses() : Math.min(settings.losses(), others);
+        return others < 0 ? settings.toleratedFailures() : Math.min(settings.toleratedFailures(), others);
     }
 
     /** Hands over this machine's role in the control state during a graceful shutdown. */
--- a/src/main/java/quartzspan/controlplane/Main.java
+++ b/src/main/java/quartzspan/controlplane/Main.java
@@ -16,7 +16,7 @@
         try {
             run(Settings.load());
         } catch (Exception e) {
-            Settings.refuse(e, LOG::error);
+            Settings.exitAfterStartFailure(e, LOG::error);
         }
     }
 
--- a/src/main/java/quartzspan/controlplane/PrefixCacheIndexer.java
+++ b/src/main/java/quartzspan/controlplane/PrefixCacheIndexer.java
@@ -100,7 +100,7 @@
         }
         for (Configuration.Service service :
                 registry.state().configuration().services().values()) {
-            if (service.store() != null) {
+            if (service.cacheStoreAddress() != null) {
                 Server store = storeAsServer(service);
                 all.put(store.id(), store);
             }
@@ -110,9 +110,9 @@
 
     private static Server storeAsServer(Configuration.Service service) {
         return new Server(
-                PrefixCacheIndex.storeId(service.store()),
+                PrefixCacheIndex.storeId(service.cacheStoreAddress()),
                 service.name(),
-                service.store(),
+                service.cacheStoreAddress(),
                 service.zone(),
                 "",
                 0,
--- a/src/main/java/quartzspan/controlplane/ReplicaHost.java
+++ b/src/main/java/quartzspan/controlplane/ReplicaHost.java
@@ -58,12 +58,12 @@
         this.clockMs = clockMs;
         this.transport = transport;
         this.listener = listener;
-        this.store = new ReplicaStore(new SlotStore(new FileDisk(settings.disk())));
+        this.store = new ReplicaStore(new SlotStore(new FileDisk(settings.requiredDataDirectory())));
         List<byte[]> records = openStore(store);
         this.replica = new Replica(
                 self,
                 seeds,
-                settings.losses(),
+                settings.toleratedFailures(),
                 settings.bootstrap() && !store.discarded(),
                 records,
                 System.nanoTime(),
--- a/src/main/java/quartzspan/controlplane/RequestRouter.java
+++ b/src/main/java/quartzspan/controlplane/RequestRouter.java
@@ -75,7 +75,7 @@
     static void refuse(ClientConnection client, FleetException refusal) {
         error(
                 client,
-                HttpResponseStatus.valueOf(refusal.code().status()),
+                HttpResponseStatus.valueOf(refusal.code().httpStatus()),
                 refusal.code().name(),
                 refusal.getMessage(),
                 refusal.remedy());
--- a/src/main/java/quartzspan/frontend/EndpointDirectory.java
+++ b/src/main/java/quartzspan/frontend/EndpointDirectory.java
@@ -97,7 +97,7 @@
     /** The addresses of the configured cache stores that have responded to a reader. */
     List<String> cacheStores() {
         return configuration().services().values().stream()
-                .map(Service::store)
+                .map(Service::cacheStoreAddress)
                 .filter(store -> store != null && prefixCacheIndex.hasUpdates(PrefixCacheIndex.storeId(store)))
                 .toList();
     }
--- a/src/main/java/quartzspan/frontend/FrontendProxy.java
+++ b/src/main/java/quartzspan/frontend/FrontendProxy.java
@@ -97,8 +97,8 @@
         this.group = group;
         this.loop = loop;
         this.shutdown = new ShutdownSchedule(gracePeriodMs(settings), nowMs());
-        String internalAddress = hostAndPort(settings.internal());
-        int maxServerConnections = Math.max(MIN_CONNECTIONS, (settings.descriptors() - RESERVED_DESCRIPTORS) / 3);
+        String internalAddress = hostAndPort(settings.internalAddress());
+        int maxServerConnections = Math.max(MIN_CONNECTIONS, (settings.fileDescriptors() - RESERVED_DESCRIPTORS) / 3);
         this.connectionPool =
                 new ConnectionPool(loop, CONNECT_TIMEOUT_US, SERVER_IDLE_TIMEOUT_US, maxServerConnections);
         this.endpoints = new EndpointDirectory(registry, connectionPool, prefixCacheIndex, clock::now);
@@ -139,10 +139,10 @@
         FrontendProxy proxy = loop.submit(() -> new FrontendProxy(settings, seeds, group, loop))
                 .get();
         for (ChannelFuture bound : List.of(
-                proxy.transport.listen(settings.internal()),
-                loop.submit(() -> proxy.readinessServer.listen(settings.listens("readiness")))
+                proxy.transport.listen(settings.internalAddress()),
+                loop.submit(() -> proxy.readinessServer.listen(settings.listenAddress("readiness")))
                         .get(),
-                loop.submit(() -> proxy.httpServer.listen(settings.listens("frontend")))
+                loop.submit(() -> proxy.httpServer.listen(settings.listenAddress("frontend")))
                         .get())) {
             if (!bound.await().isSuccess()) {
                 throw new FleetException(
@@ -160,7 +160,7 @@
                             TimeUnit.MILLISECONDS);
                 })
                 .get();
-        LOG.info("proxy {} listens at {}", settings.nodeName(), settings.listens("frontend"));
+        LOG.info("proxy {} listens at {}", settings.nodeName(), settings.listenAddress("frontend"));
         return proxy;
     }
 
@@ -255,16 +255,16 @@
     /** Time in microseconds after which a client should retry a rejected request. */
     long retryAfterUs(Route route) {
         double jitter = RETRY_AFTER_MIN_JITTER + RETRY_AFTER_JITTER_RANGE * random.nextDouble();
-        return (long) (route.targetMs() * 1000 * RETRY_AFTER_FRACTION * jitter);
+        return (long) (route.targetLatencyMs() * 1000 * RETRY_AFTER_FRACTION * jitter);
     }
 
     @Override
     public HttpServer.ConnectionLimits limits() {
         Configuration.Limits limits = configuration().limits();
         return new HttpServer.ConnectionLimits(
-                Math.max(MIN_CONNECTIONS, (settings.descriptors() - RESERVED_DESCRIPTORS) / 2),
-                limits.headerBytes() + HEADER_MARGIN_BYTES,
-                limits.bodyBytes(),
+                Math.max(MIN_CONNECTIONS, (settings.fileDescriptors() - RESERVED_DESCRIPTORS) / 2),
+                limits.maxHeaderBytes() + HEADER_MARGIN_BYTES,
+                limits.maxBodyBytes(),
                 limits.idleTimeoutMs() + CLIENT_IDLE_MARGIN_MS,
                 Math.max(MIN_REQUEST_TIMEOUT_MS, limits.headerTimeoutMs()));
     }
@@ -335,7 +335,7 @@
             return;
         }
         Tenant tenant = RequestClassifier.tenant(configuration, request);
-        if (configuration.hasTenants() && tenant == null && !route.open()) {
+        if (configuration.hasTenants() && tenant == null && !route.isPublic()) {
             client.answer(HttpResponseStatus.UNAUTHORIZED);
             return;
         }
--- a/src/main/java/quartzspan/frontend/RequestClassifier.java
+++ b/src/main/java/quartzspan/frontend/RequestClassifier.java
@@ -66,7 +66,7 @@
         if (tenant != null) {
             headers.set("X-Tenant", tenant.name());
         }
-        if (route.affine()) {
+        if (route.sessionAffinity()) {
             int tenantPriority = tenant == null ? 0 : Math.max(0, tenant.priority());
             int priority = TENANT_PRIORITY_STEP * tenantPriority + Math.max(0, route.priority());
             headers.set(PRIORITY_HEADER, Math.min(LOWEST_PRIORITY, priority));
@@ -97,7 +97,7 @@
         String[] tokenCounts = headers.get(TOKEN_COUNT_HEADER, "0,0").split(",", 2);
         String prefix = headers.get(PROMPT_PREFIX_HEADER);
         String key = null;
-        if (route.affine() && prefix != null) {
+        if (route.sessionAffinity() && prefix != null) {
             int lastComma = prefix.lastIndexOf(',');
             String sharedPrefix = lastComma < 0 ? prefix : prefix.substring(0, lastComma);
             key = headers.get(MODEL_HEADER, "") + '|' + (isIsolated(tenant) ? tenant.name() : "") + '|' + sharedPrefix;
--- a/src/main/java/quartzspan/localrun/Main.java
+++ b/src/main/java/quartzspan/localrun/Main.java
@@ -103,8 +103,8 @@
     }
 
     private static void carryRequests(Settings core, Settings proxy, String config) throws Exception {
-        InetSocketAddress control = core.listens("control_plane");
-        InetSocketAddress front = proxy.listens("frontend");
+        InetSocketAddress control = core.listenAddress("control_plane");
+        InetSocketAddress front = proxy.listenAddress("frontend");
         quartzspan.controlplane.Main.run(core);
         quartzspan.frontend.Main.run(proxy);
         int server = server();
@@ -119,7 +119,7 @@
         String beat = "{\"service\":\"s\",\"address\":\"127.0.0.1:" + server + "\",\"zone\":\"z\",\"capacity\":8,"
                 + "\"state\":\"ready\",\"models\":[{\"name\":\"m\",\"version\":1}],\"call_count\":1}";
         until(() -> call(control, "POST /quartzspan/Instances.Heartbeat/i-" + server, "", beat), " 200 ");
-        until(() -> call(proxy.listens("readiness"), "GET /quartzspan/readiness", "", ""), " 200 ");
+        until(() -> call(proxy.listenAddress("readiness"), "GET /quartzspan/readiness", "", ""), " 200 ");
         for (int i = 0; i < REQUESTS; i++) {
             until(
                     () -> call(
--- a/src/test/java/quartzspan/common/JsonLinesProviderTest.java
+++ b/src/test/java/quartzspan/common/JsonLinesProviderTest.java
@@ -12,7 +12,7 @@
 /** The logger that the programs get by {@code -Dslf4j.provider}. */
 class JsonLinesProviderTest {
     @Test
-    void itsLoggerWritesJsonLinesToStandardError() {
+    void loggerWritesJsonLinesToStandardError() {
         PrintStream before = System.err;
         ByteArrayOutputStream written = new ByteArrayOutputStream();
         System.setErr(new PrintStream(written, true, StandardCharsets.UTF_8));
--- a/src/test/java/quartzspan/common/PeriodicTaskTest.java
+++ b/src/test/java/quartzspan/common/PeriodicTaskTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void theProcessGoesOnAfterAnException() {
+    void processContinuesAfterAnException() {
         PeriodicTask task = task(() -> {
             throw new IllegalStateException("bad input");
         });
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void theProcessEndsWithAStatusAfterAnError() {
+    void processExitsWithItsErrorStatusAfterAnError() {
         task(() -> {
                     throw new NoClassDefFoundError("a class that can't be read");
                 })
--- a/src/test/java/quartzspan/common/SettingsCompatibilityTest.java
+++ b/src/test/java/quartzspan/common/SettingsCompatibilityTest.java
@@ -7,16 +7,16 @@
 /** A settings file of each role, as the pages show it, and every field that is read from it. */
 class SettingsCompatibilityTest {
     @Test
-    void theFileOfAFrontendMachineIsReadAsByEarlierVersions() {
-        GoldenFile.assertText("settings/frontend.txt", read("settings/frontend.yaml"));
+    void frontendSettingsAreReadAsByEarlierVersions() {
+        GoldenFile.assertText("settings/frontend.txt", describe("settings/frontend.yaml"));
     }
 
     @Test
-    void theFileOfACoreMachineIsReadAsByEarlierVersions() {
-        GoldenFile.assertText("settings/core.txt", read("settings/core.yaml"));
+    void coreSettingsAreReadAsByEarlierVersions() {
+        GoldenFile.assertText("settings/core.txt", describe("settings/core.yaml"));
     }
 
-    private static String read(String file) {
+    private static String describe(String file) {
         Settings settings = Settings.parse(GoldenFile.text(file));
         Settings.Bounds bounds = settings.bounds();
         return String.join(
@@ -25,16 +25,16 @@
                 "ip_address " + settings.ip(),
                 "zone " + settings.zone(),
                 "zones " + new TreeMap<>(settings.zones()),
-                "listen_addresses " + new TreeMap<>(settings.listen()),
-                "internal_ports " + settings.internalPort() + " " + settings.internal(),
+                "listen_addresses " + new TreeMap<>(settings.listenAddresses()),
+                "internal_ports " + settings.internalPort() + " " + settings.internalAddress(),
                 "seed_nodes " + settings.seeds(),
                 "bootstrap " + settings.bootstrap(),
-                "quorum_member " + settings.voter(),
+                "quorum_member " + settings.quorumMember(),
                 "memory_mb " + settings.memoryMb(),
-                "file_descriptors " + settings.descriptors(),
+                "file_descriptors " + settings.fileDescriptors(),
                 "data_directory " + settings.dataDirectory(),
                 "heartbeat_ms " + settings.heartbeatMs(),
-                "fault_tolerance.machines " + settings.losses(),
+                "fault_tolerance.machines " + settings.toleratedFailures(),
                 "drain_timeout_ms " + bounds.drainTimeoutMs(),
                 "grace_period_s " + bounds.gracePeriodS(),
                 "config_apply_ms " + bounds.configApplyMs(),
--- a/src/test/java/quartzspan/common/SettingsTest.java
+++ b/src/test/java/quartzspan/common/SettingsTest.java
@@ -10,7 +10,7 @@
 
 /** The settings file: what is taken, and what is refused by its name. */
 class SettingsTest {
-    private static final String GOOD = String.join(
+    private static final String VALID_SETTINGS = String.join(
             "\n",
             "node_name: \"n1\"",
             "ip_address: \"10.1.0.23\"",
@@ -42,29 +42,33 @@
 
     @Test
     void unknownFieldsAreIgnored() {
-        Settings s = Settings.parse(GOOD);
+        Settings settings = Settings.parse(VALID_SETTINGS);
         assertEquals(
                 "10.1.0.23:7640",
-                s.internal().getHostString() + ':' + s.internal().getPort());
-        assertEquals(1, s.losses());
-        assertEquals(0.2, s.bounds().retryBudgetRatio());
-        assertNull(s.dataDirectory());
-        assertTrue(assertThrows(FleetException.class, s::disk).getMessage().contains("data_directory"));
+                settings.internalAddress().getHostString()
+                        + ':'
+                        + settings.internalAddress().getPort());
+        assertEquals(1, settings.toleratedFailures());
+        assertEquals(0.2, settings.bounds().retryBudgetRatio());
+        assertNull(settings.dataDirectory());
+        assertTrue(assertThrows(FleetException.class, settings::requiredDataDirectory)
+                .getMessage()
+                .contains("data_directory"));
         assertEquals(
                 FleetException.Code.SETTINGS_INVALID,
-                FleetException.in(new java.util.concurrent.ExecutionException(
-                                assertThrows(FleetException.class, s::disk)))
+                FleetException.findIn(new java.util.concurrent.ExecutionException(
+                                assertThrows(FleetException.class, settings::requiredDataDirectory)))
                         .code(),
                 "also where the loop was asked");
-        assertNull(FleetException.in(new IllegalStateException("no refusal")));
-        assertTrue(assertThrows(FleetException.class, () -> s.listens("control_plane"))
+        assertNull(FleetException.findIn(new IllegalStateException("no refusal")));
+        assertTrue(assertThrows(FleetException.class, () -> settings.listenAddress("control_plane"))
                 .getMessage()
                 .contains("control_plane"));
     }
 
     @Test
     void missingAndInvalidFieldsAreRefusedByName() {
-        for (String[] bad : List.of(
+        for (String[] invalid : List.of(
                 new String[] {"node_name: \"n1\"", "", "node_name"},
                 new String[] {"  - 7640", "  - 99999", "internal_ports"},
                 new String[] {"  - 7655", "  - 7000", "internal_ports"},
@@ -74,10 +78,12 @@
                 new String[] {"grace_period_s: 8", "grace_period_s: -8", "bounds.grace_period_s"},
                 new String[] {"zones:\n  z: \"r\"", "zones: 3", "zones"},
                 new String[] {"limits:", "limits: [", "the file"})) {
-            FleetException why =
-                    assertThrows(FleetException.class, () -> Settings.parse(GOOD.replace(bad[0], bad[1])), bad[2]);
-            assertTrue(why.getMessage().startsWith(bad[2]), why.getMessage());
-            assertEquals(FleetException.Code.SETTINGS_INVALID, why.code());
+            FleetException refusal = assertThrows(
+                    FleetException.class,
+                    () -> Settings.parse(VALID_SETTINGS.replace(invalid[0], invalid[1])),
+                    invalid[2]);
+            assertTrue(refusal.getMessage().startsWith(invalid[2]), refusal.getMessage());
+            assertEquals(FleetException.Code.SETTINGS_INVALID, refusal.code());
         }
     }
 }
--- a/src/test/java/quartzspan/controlplane/HeartbeatHandlerTest.java
+++ b/src/test/java/quartzspan/controlplane/HeartbeatHandlerTest.java
@@ -46,7 +46,7 @@
         long disconnectedAtMs = 10_001 + HeartbeatHandler.MAX_STALENESS_MS;
         FleetException refusal =
                 assertThrows(FleetException.class, () -> handler.onHeartbeat(disconnectedAtMs, "i", body(2, "ready")));
-        assertEquals(503, refusal.code().status());
+        assertEquals(503, refusal.code().httpStatus());
         assertThrows(FleetException.class, () -> handler.onHeartbeat(disconnectedAtMs, "j", body(1, "ready")));
         assertNotNull(registry.entry(RegistryEntry.Subject.SERVER, "j"), "applied although it was refused");
         registry.confirmFresh(disconnectedAtMs);
