--- a/src/main/java/quartzspan/common/FleetException.java
+++ b/src/main/java/quartzspan/common/FleetException.java
@@ -1,10 +1,10 @@
 package quartzspan.common;
 
-/** A refusal: a code for programs, a reason, and a remedy for people. */
+/** An error with a code for programs, and a reason and a remedy for operators. */
 public final class FleetException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** The kinds; {@code exit} is the exit status of a program that ends by one, {@code status} its HTTP status. */
+    /** Error codes, each with the exit status of a program that ends with it and the HTTP status of a response. */
     public enum Code {
         SETTINGS_MISSING(3, 500),
         SETTINGS_INVALID(3, 500),
@@ -44,7 +44,7 @@
         this.remedy = remedy;
     }
 
-    /** The refusal among a failure and its causes; null if there is none. */
+    /** Returns the first FleetException among a failure and its causes; null if there is none. */
     public static FleetException findIn(Throwable failure) {
         Throwable current = failure;
         while (current != null && !(current instanceof FleetException)) {
--- a/src/main/java/quartzspan/common/JsonLines.java
+++ b/src/main/java/quartzspan/common/JsonLines.java
@@ -10,7 +10,10 @@
 import ch.qos.logback.core.spi.ContextAwareBase;
 import java.nio.charset.StandardCharsets;
 
-/** Logback set up without a file: JSON lines on standard error. Reading XML at a start costs more than all else. */
+/**
+ * Configures Logback without a file to log JSON lines to standard error. Reading an XML configuration would be the most
+ * expensive part of a start.
+ */
 public final class JsonLines extends ContextAwareBase implements Configurator {
     @Override
     public ExecutionStatus configure(LoggerContext context) {
@@ -28,7 +31,7 @@
         return ExecutionStatus.DO_NOT_INVOKE_NEXT_IF_ANY;
     }
 
-    /** Writes one log event as one JSON object on a line. */
+    /** Encodes each log event as a JSON object on a line of its own. */
     static final class Encoder extends EncoderBase<ILoggingEvent> {
         @Override
         public byte[] headerBytes() {
@@ -65,7 +68,7 @@
         }
     }
 
-    /** Appends a JSON string. */
+    /** Appends a text as a quoted and escaped JSON string. */
     public static void quote(StringBuilder to, String text) {
         to.append('"');
         for (int i = 0; i < text.length(); i++) {
--- a/src/main/java/quartzspan/common/JsonLinesProvider.java
+++ b/src/main/java/quartzspan/common/JsonLinesProvider.java
@@ -9,9 +9,9 @@
 import org.slf4j.spi.SLF4JServiceProvider;
 
 /**
- * Binds SLF4J to a Logback context that {@link JsonLines} configures, named by {@code -Dslf4j.provider}. Logback's own
- * provider gives the same logger, but first looks for configuration files and formats its status messages, which takes a tenth
- * of a process's start.
+ * Binds SLF4J to a Logback context that {@link JsonLines} configures; selected with {@code -Dslf4j.provider}. Logback's own
+ * provider returns the same loggers, but first searches for configuration files and formats its status messages, which takes a
+ * tenth of a process's start time.
  */
 public final class JsonLinesProvider implements SLF4JServiceProvider {
     private static final String REQUESTED_API_VERSION = "2.0.99";
--- a/src/main/java/quartzspan/common/PeriodicTask.java
+++ b/src/main/java/quartzspan/common/PeriodicTask.java
@@ -5,14 +5,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A task that an event loop runs again and again, and that the process can't do without.
+ * A task that an event loop runs periodically and without which the process can't work.
  *
- * <p>A {@link RuntimeException} is logged, and the next run may succeed. After an {@link Error} (a class that can't be loaded, no
- * memory) the process ends with {@link #EXIT_STATUS}: an executor would cancel the task in silence, and the process would go on
- * listening without deciding anything.
+ * <p>A {@link RuntimeException} is logged, and the next run may succeed. After an {@link Error} (a class that can't be loaded,
+ * memory exhausted) the process ends with {@link #EXIT_STATUS}: otherwise the executor would cancel the task without a log entry,
+ * and the process would continue to accept connections while its control logic no longer runs.
  */
 public final class PeriodicTask implements Runnable {
-    /** Exit status of a process that can't go on: an internal error, as in sysexits.h. */
+    /** Exit status after an unrecoverable internal error, as in sysexits.h. */
     public static final int EXIT_STATUS = 70;
 
     private static final Logger LOG = LoggerFactory.getLogger(PeriodicTask.class);
@@ -21,7 +21,7 @@
     private final Runnable task;
     private final IntConsumer endProcess;
 
-    /** @param name what the task is called in the log */
+    /** @param name name of the task in the log */
     public PeriodicTask(String name, Runnable task) {
         this(name, task, Runtime.getRuntime()::halt);
     }
@@ -37,7 +37,7 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            // One bad input must not end the process.
+            // A single invalid input must not end the process.
             LOG.error("{} failed", name, e);
         } catch (Error e) {
             try {
--- a/src/main/java/quartzspan/common/Settings.java
+++ b/src/main/java/quartzspan/common/Settings.java
@@ -13,24 +13,24 @@
 import org.yaml.snakeyaml.error.YAMLException;
 
 /**
- * The settings of a process, from the file that {@code QUARTZSPAN_CONFIG} names. Unknown fields are ignored; a missing or absurd
- * one is refused by its name.
+ * The settings of a process, from the file that {@code QUARTZSPAN_CONFIG} names. Unknown fields are ignored; a missing or invalid
+ * one is rejected with an error that names it.
  *
- * @param nodeName name of the machine, for logs and as holder of orders
- * @param ip its own address
- * @param zone its zone
- * @param zones regions by zone
- * @param listenAddresses addresses by what is served there ({@code frontend}, {@code readiness}, {@code control_plane})
- * @param internalPort first port that is free for the system's own traffic
+ * @param nodeName name of the machine, used in logs and as the holder named in orders
+ * @param ip IP address of the machine
+ * @param zone zone of the machine
+ * @param zones region of each zone
+ * @param listenAddresses listen addresses by service ({@code frontend}, {@code readiness}, {@code control_plane})
+ * @param internalPort first port of the range reserved for traffic between the system's processes
  * @param seeds {@code control_plane} addresses of up to three core machines
- * @param bootstrap whether this is the first start of the complete system
- * @param quorumMember whether this machine's loss is counted
- * @param memoryMb memory above which the process is killed
- * @param fileDescriptors descriptors that the process may use
- * @param dataDirectory where state is kept; null on machines without a disk
- * @param heartbeatMs about how often a server sends a heartbeat
- * @param toleratedFailures machines of the core that may be lost at once
- * @param bounds the figures of the rules
+ * @param bootstrap whether this is the first start of the system as a whole
+ * @param quorumMember whether this machine is a member of the quorum, so that its failure counts among the tolerated ones
+ * @param memoryMb memory limit above which the process is killed
+ * @param fileDescriptors number of file descriptors that the process may use
+ * @param dataDirectory directory of the stored state; null on machines without a disk
+ * @param heartbeatMs approximate interval between two heartbeats of a server
+ * @param toleratedFailures number of core machines that may fail at the same time
+ * @param bounds time limits, ratios and counts from section {@code bounds}
  */
 public record Settings(
         String nodeName,
@@ -49,10 +49,10 @@
         int toleratedFailures,
         Bounds bounds) {
 
-    /** Name of the environment variable that names the file. */
+    /** Name of the environment variable that holds the path of the settings file. */
     public static final String ENVIRONMENT_VARIABLE = "QUARTZSPAN_CONFIG";
 
-    /** The figures of the rules that this system acts on; names and units are those of the settings file. */
+    /** Time limits, ratios and counts that the system keeps to; names and units are those of the settings file. */
     public record Bounds(
             int drainTimeoutMs,
             double gracePeriodS,
@@ -67,14 +67,14 @@
             int leaseMs,
             int versionApplyMs) {}
 
-    /** Reads the file that the environment names. */
+    /** Reads the file that {@link #ENVIRONMENT_VARIABLE} names. */
     public static Settings load() {
         String path = System.getenv(ENVIRONMENT_VARIABLE);
         if (path == null || path.isEmpty()) {
             throw new FleetException(
                     FleetException.Code.SETTINGS_MISSING,
                     ENVIRONMENT_VARIABLE + " is not set",
-                    "name the settings file in it");
+                    "set it to the path of the settings file");
         }
         try {
             return parse(Files.readString(Path.of(path)));
@@ -82,7 +82,7 @@
             throw new FleetException(
                     FleetException.Code.SETTINGS_MISSING,
                     "can't read " + path + ": " + e.getMessage(),
-                    "name a readable file in " + ENVIRONMENT_VARIABLE);
+                    "set " + ENVIRONMENT_VARIABLE + " to the path of a readable file");
         }
     }
 
@@ -103,7 +103,7 @@
                 .map(p -> port(p, "internal_ports"))
                 .toList();
         if (internal.size() != 2 || internal.get(0) > internal.get(1)) {
-            throw invalid("internal_ports", "must be the first and the last free port");
+            throw invalid("internal_ports", "must be a list of two ports, the first and the last of the range");
         }
         Map<String, InetSocketAddress> listenAddresses = new java.util.HashMap<>();
         fields.map("listen_addresses")
@@ -147,20 +147,28 @@
                         bounds.positiveInteger("version_apply_ms", 10_000)));
     }
 
-    /** The address at which the system's other processes reach this one. */
+    /** The address at which the other processes of the system connect to this one. */
     public InetSocketAddress internalAddress() {
         return new InetSocketAddress(ip, internalPort);
     }
 
-    /** Where state is kept; refused by name on a machine without a disk. */
+    /**
+     * The directory of the stored state.
+     *
+     * @throws FleetException if the settings have none
+     */
     public Path requiredDataDirectory() {
         if (dataDirectory == null) {
-            throw invalid("data_directory", "is missing, but a core machine keeps state");
+            throw invalid("data_directory", "is missing, but a core machine stores its state there");
         }
         return dataDirectory;
     }
 
-    /** Where the process serves something; refused by name if the settings don't say. */
+    /**
+     * The address at which the process offers a service.
+     *
+     * @throws FleetException if the settings have no address for it
+     */
     public InetSocketAddress listenAddress(String service) {
         InetSocketAddress address = listenAddresses.get(service);
         if (address == null) {
@@ -184,9 +192,9 @@
                 return port;
             }
         } catch (NumberFormatException e) {
-            // Refused below, like a number that is no port.
+            // Rejected below, like a number that is not a valid port.
         }
-        throw invalid(name, "must be ports from 1 to 65535, but has " + value);
+        throw invalid(name, "needs ports from 1 to 65535, but has " + value);
     }
 
     private static FleetException invalid(String name, String problem) {
@@ -196,7 +204,7 @@
                 "correct " + name + " in the settings file");
     }
 
-    /** Fields of one mapping, refused by name where they are not what they must be. */
+    /** Typed access to the fields of a mapping; an error names the field with its prefix. */
     private record Fields(Map<?, ?> map, String prefix) {
         String text(String name) {
             Object value = map.get(name);
@@ -243,7 +251,7 @@
             if (value instanceof Number number && number.doubleValue() >= 0 && number.doubleValue() < 1e9) {
                 return number.doubleValue();
             }
-            throw invalid(prefix + name, "must be a number from 0 up, but is " + value);
+            throw invalid(prefix + name, "must be a number from 0 to below 1e9, but is " + value);
         }
 
         int nonNegativeInteger(String name, int defaultValue) {
@@ -259,7 +267,7 @@
         }
     }
 
-    /** Ends a program whose start failed, with one line and the status of the refusal behind it. */
+    /** Ends a program whose start failed: logs one line and exits with the status of the {@link FleetException} that caused it, or 1. */
     public static void exitAfterStartFailure(Exception failure, Consumer<String> log) {
         FleetException refusal = FleetException.findIn(failure);
         log.accept(refusal != null ? refusal.toString() : "start failed: " + failure);
--- a/src/main/java/quartzspan/configuration/Configuration.java
+++ b/src/main/java/quartzspan/configuration/Configuration.java
@@ -12,11 +12,11 @@
 import quartzspan.common.FleetException;
 
 /**
- * A complete configuration of the operators, checked. The document itself is kept as it was sent. Immutable, but for a cache of
- * its text.
+ * A complete and validated configuration, as operators submit it. The JSON document is kept unchanged, including unknown fields.
+ * Immutable except for a cache of the serialized document.
  */
 public final class Configuration {
-    /** Before the operators have sent one: nothing is routed. */
+    /** The configuration before operators have submitted one: it has no routes. */
     public static final Configuration NONE = new Configuration(
             JsonFields.JSON
                     .createObjectBuilder()
@@ -26,14 +26,14 @@
                     .build(),
             null);
 
-    /** What repeating a request of a route does. */
+    /** The kind of a route's requests, which decides whether they may be repeated. */
     public enum RouteType {
         READ_ONLY,
         MUTATING,
         STREAMING
     }
 
-    /** The share of a route's traffic that goes to a service; weights are relative to each other. */
+    /** The share of a route's traffic that a service receives; weights are relative to the other shares of the route. */
     public record Share(String service, long weight) {}
 
     /**
@@ -41,9 +41,9 @@
      *
      * @param host the host name, in lower case
      * @param prefix the path prefix, with a slash at both ends
-     * @param timeoutMs time after which a request has to be answered
+     * @param timeoutMs time within which a request must be answered
      * @param targetLatencyMs latency target
-     * @param isPublic whether requests without the key of a tenant are accepted
+     * @param isPublic whether requests without a tenant's API key are accepted
      * @param sessionAffinity whether requests with the same prompt prefix go to the same server
      * @param resumable whether a stream may be resumed at another server
      * @param gapAimMs target for the time between two events of a stream
@@ -71,10 +71,10 @@
     /**
      * A service.
      *
-     * @param maxConcurrentRequests number of requests that one server executes at once
-     * @param maxConcurrentEventCalls number of calls for cache events that one server answers at once
-     * @param bandwidthMbps bandwidth of one server for cached prompts
-     * @param cacheStoreAddress address of a store for cached prompts; null if the service is none
+     * @param maxConcurrentRequests number of requests that one server executes concurrently
+     * @param maxConcurrentEventCalls number of cache event calls that one server answers concurrently
+     * @param bandwidthMbps bandwidth of one server for the transfer of cached prompts
+     * @param cacheStoreAddress address of the store for cached prompts; null if the service is not such a store
      */
     public record Service(
             String name,
@@ -89,20 +89,20 @@
             String cacheStoreAddress,
             String zone) {}
 
-    /** A tenant; an isolated one shares no cached prompts with others. */
+    /** A tenant; an isolated tenant shares no cached prompts with other tenants. */
     public record Tenant(String name, List<String> keys, int priority, boolean isolated) {}
 
-    /** What a client may send, and how long it may take. */
+    /** Size and time limits for requests of clients. */
     public record Limits(int maxHeaderBytes, int maxBodyBytes, int headerTimeoutMs, int idleTimeoutMs) {}
 
-    /** An item of the document and what was read of it. */
+    /** An item of the document and its parsed value. */
     private record Parsed<T>(JsonObject item, T value) {}
 
     private final JsonObject document;
     private final long version;
     private final Map<String, Map<String, Route>> routesByHostAndPrefix = new HashMap<>();
     private final List<Route> routes = new ArrayList<>();
-    /** The items of the document by name, so that a patch reads only those that it changes. */
+    /** The parsed items of the document by name, so that an update parses only the items that it changes. */
     private final Map<String, Parsed<Route>> parsedRoutes = new LinkedHashMap<>();
 
     private final Map<String, Parsed<Tenant>> parsedTenants = new LinkedHashMap<>();
@@ -111,12 +111,12 @@
     private final Map<String, Tenant> tenantsByKey = new HashMap<>();
     private final Limits limits;
 
-    /** @param base a configuration whose parsed items are reused where this document has the same; or null */
+    /** @param base a configuration whose parsed items are reused where the document has the same objects; may be null */
     private Configuration(JsonObject document, Configuration base) {
         this.document = document;
         this.version = JsonFields.wholeNumber(document, "version", -1);
         if (version < 0) {
-            throw JsonFields.invalid("version is missing", "send a whole number above the current one as version");
+            throw JsonFields.invalid("version is missing or negative", "send a whole number above the current version");
         }
         JsonFields.objects(document, "services").forEach(item -> addService(ConfigurationReader.service(item)));
         Map<String, Parsed<Route>> baseRoutes = base == null ? Map.of() : base.parsedRoutes;
@@ -131,7 +131,7 @@
         routes.forEach(this::checkServices);
     }
 
-    /** Parses an item, unless the base has parsed the very same object. */
+    /** Parses an item, or returns the parsed item of the base if it was read from the same object instance. */
     private static <T> Parsed<T> parse(
             JsonObject item, String list, Map<String, Parsed<T>> base, Function<JsonObject, T> reader) {
         Parsed<T> known = base.isEmpty() ? null : base.get(JsonFields.name(item, list));
@@ -140,22 +140,23 @@
 
     private void addService(Service service) {
         if (services.put(service.name(), service) != null) {
-            throw JsonFields.invalid("service " + service.name() + " is there twice", "keep one of them");
+            throw JsonFields.invalid(
+                    "service " + service.name() + " is defined twice", "remove one of the definitions");
         }
     }
 
     private void addRoute(Parsed<Route> parsed) {
         Route route = parsed.value();
         if (parsedRoutes.put(route.name(), parsed) != null) {
-            throw JsonFields.invalid("route " + route.name() + " is there twice", "keep one of them");
+            throw JsonFields.invalid("route " + route.name() + " is defined twice", "remove one of the definitions");
         }
         Route other = routesByHostAndPrefix
                 .computeIfAbsent(route.host(), host -> new HashMap<>())
                 .put(route.prefix(), route);
         if (other != null) {
             throw JsonFields.invalid(
-                    "routes " + other.name() + " and " + route.name() + " share host and prefix",
-                    "give one of them another path_prefix");
+                    "routes " + other.name() + " and " + route.name() + " share host and path_prefix",
+                    "change the path_prefix of one of them");
         }
         routes.add(route);
     }
@@ -167,8 +168,8 @@
             Tenant other = tenantsByKey.put(key, tenant);
             if (other != null && !other.name().equals(tenant.name())) {
                 throw JsonFields.invalid(
-                        "tenants " + other.name() + " and " + tenant.name() + " share a key",
-                        "give each tenant keys of its own");
+                        "tenants " + other.name() + " and " + tenant.name() + " share a key in api_keys",
+                        "use each key for one tenant only");
             }
         }
     }
@@ -178,13 +179,13 @@
             if (!services.containsKey(share.service())) {
                 throw JsonFields.invalid(
                         "route " + route.name() + " names the unknown service " + share.service(),
-                        "add the service or name another");
+                        "add the service or refer to an existing one");
             }
         }
     }
 
     /**
-     * Reads and checks a complete configuration.
+     * Parses and validates a complete configuration.
      *
      * @throws FleetException with {@code CONFIG_UNREADABLE} or {@code CONFIG_INVALID}
      */
@@ -201,7 +202,7 @@
         return new Configuration(ConfigurationPatch.apply(document, patch), this);
     }
 
-    /** The patch that leads from an older configuration to this one; null if no patch does. */
+    /** The patch that turns an older configuration into this one; null if the difference can't be expressed as a patch. */
     public JsonObject patchFrom(Configuration older) {
         return ConfigurationPatch.between(older.document, document);
     }
@@ -220,13 +221,13 @@
         return bytes;
     }
 
-    /** The route with the longest prefix of a path; null if there is none. */
+    /** The route of a host with the longest matching path prefix; null if none matches. */
     public Route route(String host, String path) {
         Map<String, Route> byPrefix = routesByHostAndPrefix.get(host);
         if (byPrefix == null) {
             return null;
         }
-        // Prefixes end with a slash.
+        // Route prefixes end with a slash, so only the parts of the path up to a slash can match.
         for (int slash = path.lastIndexOf('/'); slash >= 0; slash = path.lastIndexOf('/', slash - 1)) {
             Route route = byPrefix.get(path.substring(0, slash + 1));
             if (route != null) {
@@ -248,7 +249,7 @@
         return document.containsKey("tenants");
     }
 
-    /** The tenant with a key; null if there is none. */
+    /** The tenant that owns an API key; null if there is none. */
     public Tenant tenant(String key) {
         return tenantsByKey.get(key);
     }
--- a/src/main/java/quartzspan/configuration/ConfigurationPatch.java
+++ b/src/main/java/quartzspan/configuration/ConfigurationPatch.java
@@ -11,18 +11,18 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Patches of configuration documents: items replaced, added ({@code upsert}) and removed ({@code remove}) by name. */
+/** Applies and computes patches of configuration documents, which add or replace ({@code upsert}) and {@code remove} items by name. */
 final class ConfigurationPatch {
     private static final String VERSION = "version";
     private static final String LIMITS = "limits";
     private static final String UPSERT = "upsert";
     private static final String REMOVE = "remove";
-    /** The lists whose items have names. */
+    /** The lists whose items are identified by their names. */
     private static final List<String> NAMED_LISTS = List.of("routes", "services", "tenants");
 
     private ConfigurationPatch() {}
 
-    /** The document that a patch makes of another one; it is not checked. */
+    /** Applies a patch to a document; the result is not validated. */
     static JsonObject apply(JsonObject document, JsonObject patch) {
         JsonObjectBuilder next = JsonFields.JSON.createObjectBuilder(document);
         JsonObject upsert = JsonFields.objectOrEmpty(patch, UPSERT);
@@ -49,7 +49,7 @@
         Map<String, JsonObject> items = itemsByName(document, list);
         for (JsonValue removed : JsonFields.array(remove, list)) {
             if (!(removed instanceof JsonString name)) {
-                throw JsonFields.invalid(REMOVE + "." + list + " must hold names", "list names there");
+                throw JsonFields.invalid(REMOVE + "." + list + " must contain only names", "send a list of names");
             }
             items.remove(name.getString());
         }
@@ -63,7 +63,7 @@
         return items;
     }
 
-    /** The patch that leads from an older document to a newer one; null if no patch does. */
+    /** The patch that turns an older document into a newer one; null if the difference can't be expressed as a patch. */
     static JsonObject between(JsonObject older, JsonObject newer) {
         if (!newer.keySet().containsAll(older.keySet())) {
             return null;
@@ -89,7 +89,7 @@
                 .build();
     }
 
-    /** Adds the changed items of a list to a patch; false if the patch would leave them in another order. */
+    /** Adds the changed items of a list to a patch; returns false if applying the patch would yield another order. */
     private static boolean addItems(
             String list, JsonObject older, JsonObject newer, JsonObjectBuilder upsert, JsonObjectBuilder remove) {
         Map<String, JsonObject> before = itemsByName(older, list);
--- a/src/main/java/quartzspan/configuration/ConfigurationReader.java
+++ b/src/main/java/quartzspan/configuration/ConfigurationReader.java
@@ -11,7 +11,7 @@
 import quartzspan.configuration.Configuration.Share;
 import quartzspan.configuration.Configuration.Tenant;
 
-/** Reads and checks the single items of a configuration document. */
+/** Parses and validates the individual items of a configuration document. */
 final class ConfigurationReader {
     private static final int DEFAULT_MAX_HEADER_BYTES = 16_384;
     private static final int DEFAULT_MAX_BODY_BYTES = 4_194_304;
@@ -39,11 +39,11 @@
         List<Share> shares = shares(item, context);
         String prefix = JsonFields.text(item, "path_prefix", context);
         if (!prefix.startsWith("/") || !prefix.endsWith("/")) {
-            throw JsonFields.invalid(context + "path_prefix must begin and end with a slash", "correct the prefix");
+            throw JsonFields.invalid(context + "path_prefix must begin and end with a slash", "correct path_prefix");
         }
         long timeoutMs = JsonFields.wholeNumber(item, "timeout_ms", 0);
         if (timeoutMs <= 0) {
-            throw JsonFields.invalid(context + "timeout_ms must be above 0", "give the timeout in milliseconds");
+            throw JsonFields.invalid(context + "timeout_ms must be above 0", "set the timeout in milliseconds");
         }
         RouteType type = routeType(item, context);
         return new Route(
@@ -72,7 +72,8 @@
             shares.add(new Share(JsonFields.text(route, "service", context), 1));
         }
         if (shares.stream().mapToLong(Share::weight).sum() <= 0) {
-            throw JsonFields.invalid(context + "its weights add up to 0", "give one of them a weight above 0");
+            throw JsonFields.invalid(
+                    context + "the weights of its services add up to 0", "set at least one weight above 0");
         }
         return shares;
     }
@@ -80,7 +81,9 @@
     private static Share share(JsonObject item, String context) {
         long weight = JsonFields.wholeNumber(item, "weight", -1);
         if (weight < 0) {
-            throw JsonFields.invalid(context + "a weight is missing or negative", "give whole weights from 0 up");
+            throw JsonFields.invalid(
+                    context + "a weight in traffic_split is missing or negative",
+                    "set every weight to a whole number of at least 0");
         }
         return new Share(JsonFields.text(item, "service", context), weight);
     }
@@ -90,7 +93,7 @@
         try {
             return RouteType.valueOf(name);
         } catch (IllegalArgumentException e) {
-            throw JsonFields.invalid(context + "there is no such route_type", "use read_only, mutating or streaming");
+            throw JsonFields.invalid(context + "unknown route_type", "use read_only, mutating or streaming");
         }
     }
 
--- a/src/main/java/quartzspan/configuration/JsonFields.java
+++ b/src/main/java/quartzspan/configuration/JsonFields.java
@@ -17,15 +17,15 @@
 import quartzspan.common.FleetException;
 
 /**
- * Reads fields of JSON objects by their type. A field of another type is refused with {@link FleetException.Code#CONFIG_INVALID}
- * by its name.
+ * Typed access to the fields of JSON objects. A field of another type is rejected with a {@link FleetException} that has the code
+ * {@link FleetException.Code#CONFIG_INVALID} and names the field.
  */
 public final class JsonFields {
-    /** Depth and size are bounded by the reader and by the size of a request. */
+    /** The depth of documents is limited by the parser, their size by the size limit of requests. */
     static final JsonProvider JSON = JsonProvider.provider();
 
     private static final JsonReaderFactory READERS = JSON.createReaderFactory(Map.of());
-    /** Whole numbers up to this are exact as floating-point numbers. */
+    /** Whole numbers below this limit are represented exactly by a double. */
     private static final double MAX_WHOLE_NUMBER = 1e15;
 
     private JsonFields() {}
@@ -33,7 +33,7 @@
     /**
      * Parses a JSON object.
      *
-     * @throws FleetException with {@code CONFIG_UNREADABLE} if the bytes are not exactly one object
+     * @throws FleetException with {@code CONFIG_UNREADABLE} if the bytes are not exactly one JSON object
      */
     public static JsonObject parse(byte[] bytes) {
         try (JsonReader in = READERS.createReader(new ByteArrayInputStream(bytes), StandardCharsets.UTF_8)) {
@@ -41,17 +41,17 @@
         } catch (JsonException | IllegalStateException | ClassCastException e) {
             throw new FleetException(
                     FleetException.Code.CONFIG_UNREADABLE,
-                    "can't be read as a JSON object: " + e.getMessage(),
+                    "can't be parsed as a JSON object: " + e.getMessage(),
                     "send the complete document again");
         }
     }
 
-    /** A JSON value as UTF-8 text. */
+    /** Serializes a JSON value as UTF-8 text. */
     public static byte[] toBytes(JsonValue value) {
         return value.toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    /** A whole number, or the default if the field is missing. */
+    /** The value of a whole number field, or the default if the field is missing. */
     public static long wholeNumber(JsonObject in, String field, long defaultValue) {
         JsonValue value = in.get(field);
         if (value == null) {
@@ -62,36 +62,36 @@
                 && Math.abs(number.doubleValue()) < MAX_WHOLE_NUMBER) {
             return number.longValue();
         }
-        throw invalid(field + " must be a whole number", "correct it");
+        throw invalid(field + " must be a whole number", "set it to a whole number");
     }
 
-    /** A whole number above 0, or the default if the field is missing. */
+    /** The value of a field that must be a whole number above 0, or the default if the field is missing. */
     static int positive(JsonObject in, String field, int defaultValue) {
         long number = wholeNumber(in, field, defaultValue);
         if (number < 1 || number > Integer.MAX_VALUE) {
-            throw invalid(field + " must be above 0", "correct it");
+            throw invalid(field + " must be a whole number from 1 to 2147483647", "set it to a number in this range");
         }
         return (int) number;
     }
 
-    /** Any number; 0 if the field is missing or of another type. */
+    /** The value of a number field; 0 if the field is missing or of another type. */
     static double number(JsonObject in, String field) {
         return in.get(field) instanceof JsonNumber number ? number.doubleValue() : 0;
     }
 
-    /** The objects of a list; none if the field is missing. */
+    /** The objects of a list; empty if the field is missing. */
     static List<JsonObject> objects(JsonObject in, String field) {
         List<JsonObject> all = new ArrayList<>();
         array(in, field).forEach(value -> all.add(object(value, field)));
         return all;
     }
 
-    /** The strings of a list; none if the field is missing. */
+    /** The strings of a list; empty if the field is missing. */
     static List<String> strings(JsonObject in, String field, String context) {
         List<String> all = new ArrayList<>();
         for (JsonValue value : array(in, field)) {
             if (!(value instanceof JsonString string)) {
-                throw invalid(context + field + " must hold strings", "send strings there");
+                throw invalid(context + field + " must contain only strings", "send a list of strings");
             }
             all.add(string.getString());
         }
@@ -106,10 +106,10 @@
         if (value instanceof JsonArray array) {
             return array;
         }
-        throw invalid(field + " must be a list", "send a list there");
+        throw invalid(field + " must be a list", "send a list");
     }
 
-    /** An object; an empty one if the field is missing. */
+    /** The value of an object field; an empty object if the field is missing. */
     static JsonObject objectOrEmpty(JsonObject in, String field) {
         return in.containsKey(field) ? object(in.get(field), field) : JsonValue.EMPTY_JSON_OBJECT;
     }
@@ -118,31 +118,31 @@
         if (value instanceof JsonObject object) {
             return object;
         }
-        throw invalid(field + " must hold objects", "send objects there");
+        throw invalid(field + " must be an object or a list of objects", "send objects");
     }
 
-    /** The name of an item of a list. */
+    /** The field {@code name} of an item of a list. */
     static String name(JsonObject item, String list) {
         return text(item, "name", list + ": ");
     }
 
     /**
-     * A string that is not empty.
+     * The value of a field that must be a non-empty string.
      *
-     * @param context where the field stands, as the beginning of the refusal's reason
+     * @param context location of the field, with which the error's reason begins
      */
     static String text(JsonObject in, String field, String context) {
         if (in.get(field) instanceof JsonString string && !string.getString().isEmpty()) {
             return string.getString();
         }
-        throw invalid(context + field + " is missing", "give it as a string");
+        throw invalid(context + field + " is missing or not a non-empty string", "set it to a non-empty string");
     }
 
-    /** True or false; false if the field is missing. */
+    /** The value of a boolean field; false if the field is missing. */
     static boolean flag(JsonObject in, String field) {
         JsonValue value = in.getOrDefault(field, JsonValue.FALSE);
         if (value != JsonValue.TRUE && value != JsonValue.FALSE) {
-            throw invalid(field + " must be true or false", "correct it");
+            throw invalid(field + " must be true or false", "set it to true or false");
         }
         return value == JsonValue.TRUE;
     }
--- a/src/main/java/quartzspan/configuration/package-info.java
+++ b/src/main/java/quartzspan/configuration/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The operators' configuration: model, reader, patches.
+ * The configuration that operators submit: model, reader and patches.
  *
- * <p>Values are immutable. May import {@code common}.
+ * <p>Values are immutable. May import {@code common} only.
  */
 package quartzspan.configuration;
--- a/src/main/java/quartzspan/simulator/Adapter.java
+++ b/src/main/java/quartzspan/simulator/Adapter.java
@@ -19,21 +19,26 @@
 import quartzspan.loadbalancing.LoadBalancer.Request;
 import quartzspan.loadbalancing.LoadBalancer.Source;
 
-/** Speaks the bench's wire and hosts one {@link LoadBalancer} for each instance; decides nothing. */
+/**
+ * Connects the load balancer to the simulator: reads batches of events, passes them to one {@link LoadBalancer} for each instance
+ * and writes their actions as replies. Makes no decisions itself.
+ */
 public final class Adapter {
     private static final int MAX_TABLES = 16;
-    /** Bits of an order: whether it has its expected work, whether it is a repeat. */
+    /** Bit of a request: its expected work is known. */
     private static final int EXPECTED_WORK_BIT = 1;
 
+    /** Bit of a request: the client marks it as a repeat. */
     private static final int REPEAT_BIT = 2;
 
     private final JsonParser in;
     private final JsonGenerator out;
     private final EventReader events;
     private final TreeMap<Integer, Instance> instances = new TreeMap<>();
-    /** Instances addressed by the batch at hand, in order. */
+    /** Instances that the current batch addresses, in the order of their first occurrence. */
     private final List<Instance> addressed = new ArrayList<>();
 
+    /** Endpoint lists by table number. */
     private final List<List<Endpoint>> tables = new ArrayList<>();
 
     private Adapter(InputStream input, OutputStream output) throws IOException {
@@ -49,9 +54,9 @@
     }
 
     /**
-     * Answers batches until the input ends.
+     * Reads batches and replies to each until the input ends.
      *
-     * @throws IOException if a line is malformed or a stream breaks
+     * @throws IOException if the input is malformed, or reading or writing fails
      */
     public static void run(InputStream input, OutputStream output) throws IOException {
         Adapter adapter = new Adapter(input, output);
@@ -60,7 +65,7 @@
         }
     }
 
-    /** One plain line that says what went wrong. */
+    /** The message of an exception as a single line. */
     public static String errorMessage(Exception e) {
         String text = e instanceof JsonProcessingException j
                 ? "malformed input: " + j.getOriginalMessage()
@@ -75,7 +80,7 @@
         }
         addressed.clear();
         if (first != JsonToken.START_OBJECT) {
-            throw new SimulatorInputException("a batch must be an object");
+            throw new SimulatorInputException("batch must be an object");
         }
         long now = 0;
         boolean hasTime = false;
@@ -93,10 +98,10 @@
             }
         }
         if (in.currentToken() != JsonToken.END_OBJECT) {
-            throw new SimulatorInputException("a batch ends early");
+            throw new SimulatorInputException("batch ends before its closing brace");
         }
         if (!hasTime) {
-            throw new SimulatorInputException("a batch without wallUs");
+            throw new SimulatorInputException("batch has no field wallUs");
         }
         for (int group = 0; group < events.groupCount(); group++) {
             dispatch(events.instance(group), events.firstEvent(group), events.endEvent(group), now);
@@ -112,11 +117,11 @@
         for (int i = from; i < to; i++) {
             EventReader.Event event = events.event(i);
             if (event.type == null) {
-                throw new SimulatorInputException("an event without m");
+                throw new SimulatorInputException("event has no field m");
             }
             if (event.type.equals("CATALOG")) {
                 if (event.table < 0 || event.table >= MAX_TABLES) {
-                    throw new SimulatorInputException("CATALOG: table out of range");
+                    throw new SimulatorInputException("CATALOG: table must be from 0 to " + (MAX_TABLES - 1));
                 }
                 tables.set(event.table, event.rows);
                 continue;
@@ -151,7 +156,7 @@
         out.flush();
     }
 
-    /** An action on its way to the wire; {@code number} is written under {@code numberName} if that is set. */
+    /** An action to be written to the reply; {@code number} is written under {@code numberName} if that is set. */
     private record Action(String type, String requestId, String host, String numberName, long number, String text) {
         void write(JsonGenerator out) throws IOException {
             out.writeStartObject();
@@ -175,7 +180,7 @@
         }
     }
 
-    /** One instance: its balancer, and the actions of the batch at hand. */
+    /** A simulated proxy: its load balancer, and its actions during the current batch. */
     private final class Instance implements Actions {
         final int number;
         final List<Action> pendingActions = new ArrayList<>();
@@ -218,7 +223,7 @@
                 case "STOP" -> balancer = null;
                 case "PONG" -> balancer.onProbeEnded(now, event.host, outcome(event.outcome), event.lagUs);
                 case "FROM_PEER" -> {}
-                default -> throw new SimulatorInputException("unknown event " + event.type);
+                default -> throw new SimulatorInputException("unknown event type " + event.type);
             }
         }
 
@@ -229,12 +234,12 @@
                         case "full" -> Source.FULL;
                         case "delta" -> Source.DELTA;
                         case "failed" -> null;
-                        default -> throw new SimulatorInputException("DISCOVERY: unknown how " + event.how);
+                        default -> throw new SimulatorInputException("DISCOVERY: unknown value of how: " + event.how);
                     };
             if (source == null) {
                 balancer.onDiscoveryFailed(now);
             } else if (event.table < 0 || event.table >= MAX_TABLES) {
-                throw new SimulatorInputException("DISCOVERY: table out of range");
+                throw new SimulatorInputException("DISCOVERY: table must be from 0 to " + (MAX_TABLES - 1));
             } else {
                 balancer.onEndpoints(now, source, tables.get(event.table));
             }
@@ -291,7 +296,7 @@
             case "ResetByPeer" -> Outcome.RESET;
             case "Canceled" -> Outcome.CANCELED;
             case "Ignored" -> Outcome.IGNORED;
-            default -> throw new SimulatorInputException("ENDED: unknown outcome " + word);
+            default -> throw new SimulatorInputException("unknown outcome " + word);
         };
     }
 }
--- a/src/main/java/quartzspan/simulator/EventReader.java
+++ b/src/main/java/quartzspan/simulator/EventReader.java
@@ -8,12 +8,12 @@
 import quartzspan.loadbalancing.LoadBalancer.Availability;
 import quartzspan.loadbalancing.LoadBalancer.Endpoint;
 
-/** Reads the groups of a batch into events that are used again from batch to batch. */
+/** Parses the groups of a batch into event objects, which are reused by later batches. */
 final class EventReader {
     private final JsonParser in;
     private final List<Event> pool = new ArrayList<>();
     private int size;
-    /** Three numbers a group: instance, first event, end of events. */
+    /** Three numbers for each group: instance, index of the first event, index after the last event. */
     private int[] groups = new int[48];
 
     private int groupCount;
@@ -22,7 +22,7 @@
         this.in = in;
     }
 
-    /** The fields of an event; absent ones keep the values of {@link #clear}. */
+    /** The fields of an event; absent fields have the values that {@link #clear} sets. */
     static final class Event {
         String type;
         String requestId;
@@ -84,7 +84,7 @@
         while (in.nextToken() == JsonToken.START_OBJECT) {
             readGroup();
         }
-        expect(JsonToken.END_ARRAY, "proxys must hold objects");
+        expect(JsonToken.END_ARRAY, "proxys must contain only objects");
     }
 
     private void readGroup() throws IOException {
@@ -102,13 +102,13 @@
                 while (in.nextToken() == JsonToken.START_OBJECT) {
                     readEvent();
                 }
-                expect(JsonToken.END_ARRAY, "in must hold objects");
+                expect(JsonToken.END_ARRAY, "in must contain only objects");
             } else {
                 in.skipChildren();
             }
         }
         if (!hasNumber) {
-            throw new SimulatorInputException("an instance without i");
+            throw new SimulatorInputException("instance has no field i");
         }
         if (3 * groupCount + 3 > groups.length) {
             groups = java.util.Arrays.copyOf(groups, 2 * groups.length);
@@ -182,11 +182,11 @@
                 }
             }
             if (host == null) {
-                throw new SimulatorInputException("CATALOG: a row without host");
+                throw new SimulatorInputException("CATALOG: row has no field host");
             }
             rows.add(new Endpoint(host, zone, cell, kind, availability, weight, startedAtUs));
         }
-        expect(JsonToken.END_ARRAY, "rowsIn must hold objects");
+        expect(JsonToken.END_ARRAY, "rowsIn must contain only objects");
         return List.copyOf(rows);
     }
 
--- a/src/main/java/quartzspan/simulator/SettingsReader.java
+++ b/src/main/java/quartzspan/simulator/SettingsReader.java
@@ -15,8 +15,8 @@
 import quartzspan.loadbalancing.LoadBalancer.Settings;
 
 /**
- * The settings of a start, kept as read so that what is wrong with them can be said by name, and the
- * defaults of those that are absent. The client proxy on sockets reads the same object by it.
+ * The settings of an instance. They are kept as parsed, so that an error can name the invalid field, and converted with defaults
+ * for absent fields. The client proxy reads its settings with this class, too.
  */
 public final class SettingsReader {
     private final Map<String, Object> root;
@@ -25,7 +25,7 @@
         this.root = root;
     }
 
-    /** Reads the object at the parser's place. */
+    /** Reads the object at the parser's current position. */
     public static SettingsReader read(JsonParser in) throws IOException {
         if (in.currentToken() != JsonToken.START_OBJECT) {
             throw new SimulatorInputException("settings must be an object");
@@ -61,14 +61,14 @@
         };
     }
 
-    /** The names of zones ({@code azs}) or of {@code kinds}: a place in the list is the number meant. */
+    /** The names of zones ({@code azs}) or {@code kinds}; the index of a name in the list is the number used elsewhere. */
     public List<String> names(String list) {
         List<String> names = new ArrayList<>();
         list(root, list).forEach(name -> names.add(String.valueOf(name)));
         return names;
     }
 
-    /** The names of the tenants, in the order of their numbers. */
+    /** The names of the tenants, indexed by their numbers. */
     public List<String> tenants() {
         List<String> names = new ArrayList<>();
         for (Object value : list(root, "customers")) {
@@ -77,12 +77,16 @@
         return names;
     }
 
-    /** Time within which a connection must have come up, microseconds. */
+    /** Time within which a connection must be established, in microseconds. */
     public long dialTimeoutUs() {
         return (long) number(map(root.get("limits"), "limits"), "dialTimeoutUs", 250_000);
     }
 
-    /** The module's settings; throws {@link IllegalArgumentException} naming what is nonsensical. */
+    /**
+     * Converts the settings to those of the load balancer.
+     *
+     * @throws IllegalArgumentException if a setting is invalid; the message names it
+     */
     public Settings toSettings() {
         List<RequestClass> classes = new ArrayList<>();
         for (Object value : list(root, "classes")) {
@@ -175,7 +179,7 @@
         if (value instanceof String text) {
             return text;
         }
-        throw new IllegalArgumentException("settings: " + name + " must be a text");
+        throw new IllegalArgumentException("settings: " + name + " must be a string");
     }
 
     private static List<?> list(Map<String, Object> map, String name) {
--- a/src/main/java/quartzspan/simulator/SimulatorInputException.java
+++ b/src/main/java/quartzspan/simulator/SimulatorInputException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** The input is JSON but not the wire. */
+/** Thrown for input that is valid JSON but does not conform to the simulator's protocol. */
 final class SimulatorInputException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/src/test/java/quartzspan/ArchitectureTest.java
+++ b/src/test/java/quartzspan/ArchitectureTest.java
@@ -10,7 +10,7 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** Who may import whom: docs/design/fleet.md has the picture. */
+/** Which packages may depend on which; docs/design/fleet.md shows them in a diagram. */
 class ArchitectureTest {
     private static final JavaClasses ALL = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
--- a/src/test/java/quartzspan/common/JsonLinesProviderTest.java
+++ b/src/test/java/quartzspan/common/JsonLinesProviderTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.slf4j.Logger;
 
-/** The logger that the programs get by {@code -Dslf4j.provider}. */
+/** The log output of the provider that the programs select with {@code -Dslf4j.provider}. */
 class JsonLinesProviderTest {
     @Test
     void loggerWritesJsonLinesToStandardError() {
@@ -21,8 +21,8 @@
             provider.initialize();
             Logger log = provider.getLoggerFactory().getLogger("a.b");
             log.info("{} of \"{}\"", 1, "two");
-            log.debug("too fine");
-            provider.getLoggerFactory().getLogger("io.netty.x").info("a library's trifle");
+            log.debug("below the log level");
+            provider.getLoggerFactory().getLogger("io.netty.x").info("message of a library");
         } finally {
             System.setErr(before);
         }
--- a/src/test/java/quartzspan/common/PeriodicTaskTest.java
+++ b/src/test/java/quartzspan/common/PeriodicTaskTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What becomes of a process whose periodic task fails. */
+/** Whether a process continues or ends after its periodic task has failed. */
 class PeriodicTaskTest {
     private final List<Integer> exitStatuses = new ArrayList<>();
     private int runs;
@@ -35,7 +35,7 @@
     @Test
     void processExitsWithItsErrorStatusAfterAnError() {
         task(() -> {
-                    throw new NoClassDefFoundError("a class that can't be read");
+                    throw new NoClassDefFoundError("a class that can't be loaded");
                 })
                 .run();
         assertEquals(List.of(PeriodicTask.EXIT_STATUS), exitStatuses);
--- a/src/test/java/quartzspan/common/SettingsCompatibilityTest.java
+++ b/src/test/java/quartzspan/common/SettingsCompatibilityTest.java
@@ -4,7 +4,7 @@
 import org.junit.jupiter.api.Test;
 import quartzspan.compatibility.GoldenFile;
 
-/** A settings file of each role, as the pages show it, and every field that is read from it. */
+/** Parses the documented settings file of each role and compares every field with the golden file. */
 class SettingsCompatibilityTest {
     @Test
     void frontendSettingsAreReadAsByEarlierVersions() {
--- a/src/test/java/quartzspan/common/SettingsTest.java
+++ b/src/test/java/quartzspan/common/SettingsTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The settings file: what is taken, and what is refused by its name. */
+/** Which settings files are accepted, and whether errors name the invalid field. */
 class SettingsTest {
     private static final String VALID_SETTINGS = String.join(
             "\n",
@@ -59,8 +59,8 @@
                 FleetException.findIn(new java.util.concurrent.ExecutionException(
                                 assertThrows(FleetException.class, settings::requiredDataDirectory)))
                         .code(),
-                "also where the loop was asked");
-        assertNull(FleetException.findIn(new IllegalStateException("no refusal")));
+                "the cause of an ExecutionException, as an event loop throws it");
+        assertNull(FleetException.findIn(new IllegalStateException("not a FleetException")));
         assertTrue(assertThrows(FleetException.class, () -> settings.listenAddress("control_plane"))
                 .getMessage()
                 .contains("control_plane"));
--- a/src/test/java/quartzspan/compatibility/GoldenFile.java
+++ b/src/test/java/quartzspan/compatibility/GoldenFile.java
@@ -11,8 +11,9 @@
 import java.util.stream.Stream;
 
 /**
- * A file under {@code src/test/resources/golden} that an earlier version of the software has made. A later version must
- * still read it, and write the same bytes. What a test got instead is left under {@code target/golden}.
+ * Compares output with files under {@code src/test/resources/golden}, which an earlier version of the software has written. A
+ * later version must still read them and write the same bytes. The actual output of a test is kept under
+ * {@code target/golden}.
  */
 public final class GoldenFile {
     private static final Path EXPECTED = Path.of("src", "test", "resources", "golden");
@@ -20,7 +21,7 @@
 
     private GoldenFile() {}
 
-    /** The place of a golden file or folder. */
+    /** The path of a golden file or folder. */
     public static Path path(String name) {
         return EXPECTED.resolve(name);
     }
@@ -34,7 +35,7 @@
         }
     }
 
-    /** Fails unless a text is the golden one. */
+    /** Fails unless a text equals the golden file; writes it to {@code target/golden} first. */
     public static void assertText(String name, String actual) {
         try {
             Path actualFile = ACTUAL.resolve(name);
@@ -46,7 +47,7 @@
         assertEquals(Files.exists(path(name)) ? text(name) : "no golden file", actual, name);
     }
 
-    /** Fails unless a folder holds the golden files, with the same bytes. */
+    /** Fails unless a folder contains exactly the golden files, with the same bytes. */
     public static void assertFolder(String name, Path actual) {
         copy(actual, ACTUAL.resolve(name));
         assertEquals(listing(path(name)), listing(actual), name);
@@ -68,7 +69,7 @@
         return all.toString();
     }
 
-    /** The files below a folder, sorted; none if there is no such folder. */
+    /** The files below a folder, sorted by path; empty if the folder does not exist. */
     public static List<Path> files(Path folder) {
         if (!Files.exists(folder)) {
             return List.of();
@@ -82,7 +83,7 @@
         }
     }
 
-    /** Copies a folder. */
+    /** Copies all files below a folder. */
     public static void copy(Path from, Path to) {
         for (Path file : files(from)) {
             Path target = to.resolve(from.relativize(file).toString());
--- a/src/test/java/quartzspan/configuration/ConfigurationTest.java
+++ b/src/test/java/quartzspan/configuration/ConfigurationTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import quartzspan.common.FleetException;
 
-/** What the operators' configurations may and may not be. */
+/** Validation, routing and patches of configuration documents. */
 class ConfigurationTest {
     private static final String VALID_DOCUMENT =
             "{'version':7,'routes':[{'name':'a','hostname':'H.example','path_prefix':'/x/',"
@@ -91,7 +91,7 @@
                 () -> configuration.updated(JsonFields.parse(json("{'version':10,'remove':{'services':['s']}}"))));
     }
 
-    /** A patch leads from one configuration exactly to another, or there is none. */
+    /** A patch from one configuration to another reproduces the other one exactly, or there is no patch. */
     @Test
     void patchReproducesTheNewerDocument() {
         Configuration older = Configuration.read(json(VALID_DOCUMENT));
@@ -110,7 +110,7 @@
             Configuration newer = Configuration.read(json(text));
             JsonObject patch = newer.patchFrom(older);
             if (patch == null) {
-                assertTrue(text.contains("'name':'c'"), "only another order can't be expressed");
+                assertTrue(text.contains("'name':'c'"), "only a change of the order can't be expressed as a patch");
                 continue;
             }
             assertEquals(
--- a/src/test/java/quartzspan/simulator/AdapterTest.java
+++ b/src/test/java/quartzspan/simulator/AdapterTest.java
@@ -11,7 +11,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** Wire transcripts: what goes in, what must come out. */
+/** Batches of the simulator's protocol and the replies that they must get. */
 class AdapterTest {
     private static final String BOOT = "{\"m\":\"BOOT\",\"rngSeed\":7930985574052168,\"bootInfo\":{\"balancers\":2,"
             + "\"unheardOf\":[1,{\"a\":null}],\"classes\":[{\"name\":\"c\",\"effect\":\"retryable\",\"dedupScope\":\"all\","
@@ -62,7 +62,7 @@
 
     @Test
     void unusualButValidBatchesAreAccepted() throws IOException {
-        // Fields in another order, a group twice, a table replaced in one batch, events of an unknown instance.
+        // Fields in another order, a repeated group, a table replaced within a batch, events of an unknown instance.
         String input =
                 "{\"proxys\":[{\"in\":[" + BOOT + "," + ENDPOINTS + "],\"i\":1},{\"i\":9,\"in\":[" + order("00") + "]},"
                         + "{\"i\":1,\"in\":["
