--- a/src/main/java/quartzspan/cli/Main.java
+++ b/src/main/java/quartzspan/cli/Main.java
@@ -79,7 +79,7 @@
             return wrongUsage(e.getMessage());
         } catch (FleetException e) {
             out.println(e);
-            return e.code().exit();
+            return e.code().exitStatus();
         } catch (IOException | IllegalArgumentException e) {
             out.println("no answer: " + e + "; use --core to give the address of a running core machine");
             return NO_RESPONSE;
@@ -174,8 +174,8 @@
         out.println(new String(response.body(), java.nio.charset.StandardCharsets.UTF_8));
         return switch (response.statusCode()) {
             case 200 -> 0;
-            case 400 -> FleetException.Code.CONFIG_INVALID.exit();
-            case 412 -> FleetException.Code.CONFIG_STALE.exit();
+            case 400 -> FleetException.Code.CONFIG_INVALID.exitStatus();
+            case 412 -> FleetException.Code.CONFIG_STALE.exitStatus();
             default -> NO_RESPONSE;
         };
     }
--- a/src/main/java/quartzspan/clientproxy/Main.java
+++ b/src/main/java/quartzspan/clientproxy/Main.java
@@ -41,7 +41,7 @@
                 }
             }
         } catch (Exception e) {
-            System.err.println("quartzspan: " + Adapter.plain(e));
+            System.err.println("quartzspan: " + Adapter.errorMessage(e));
             System.exit(1);
         }
     }
@@ -88,8 +88,8 @@
         try {
             proxy.reload(ClientProxyConfig.load(file));
         } catch (IOException | RuntimeException e) {
-            System.err.println(
-                    "quartzspan: configuration not reloaded, the previous one stays in effect: " + Adapter.plain(e));
+            System.err.println("quartzspan: configuration not reloaded, the previous one stays in effect: "
+                    + Adapter.errorMessage(e));
         }
     }
 
--- a/src/main/java/quartzspan/common/FleetException.java
+++ b/src/main/java/quartzspan/common/FleetException.java
@@ -1,10 +1,10 @@
 package quartzspan.common;
 
-/** A refusal: a code for programs, a reason, and a remedy for people. */
+/** An error with a code for programs, and a reason and a remedy for operators. */
 public final class FleetException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** The kinds; {@code exit} is the exit status of a program that ends by one, {@code status} its HTTP status. */
+    /** Error codes, each with the exit status of a program that ends with it and the HTTP status of a response. */
     public enum Code {
         SETTINGS_MISSING(3, 500),
         SETTINGS_INVALID(3, 500),
@@ -18,20 +18,20 @@
         ORDER_FORGOTTEN(8, 503),
         MESSAGE_INVALID(9, 400);
 
-        private final int exit;
-        private final int status;
+        private final int exitStatus;
+        private final int httpStatus;
 
-        Code(int exit, int status) {
-            this.exit = exit;
-            this.status = status;
+        Code(int exitStatus, int httpStatus) {
+            this.exitStatus = exitStatus;
+            this.httpStatus = httpStatus;
         }
 
-        public int exit() {
-            return exit;
+        public int exitStatus() {
+            return exitStatus;
         }
 
-        public int status() {
-            return status;
+        public int httpStatus() {
+            return httpStatus;
         }
     }
 
@@ -44,13 +44,13 @@
         this.remedy = remedy;
     }
 
-    /** The refusal among a failure and its causes; null if there is none. */
-    public static FleetException in(Throwable failure) {
-        Throwable at = failure;
-        while (at != null && !(at instanceof FleetException)) {
-            at = at.getCause();
+    /** Returns the first FleetException among a failure and its causes; null if there is none. */
+    public static FleetException findIn(Throwable failure) {
+        Throwable current = failure;
+        while (current != null && !(current instanceof FleetException)) {
+            current = current.getCause();
         }
-        return (FleetException) at;
+        return (FleetException) current;
     }
 
     public Code code() {
--- a/src/main/java/quartzspan/localrun/Main.java
+++ b/src/main/java/quartzspan/localrun/Main.java
@@ -106,8 +106,8 @@
     }
 
     private static void sendRequests(Settings core, Settings proxy, String config) throws Exception {
-        InetSocketAddress controlAddress = core.listens("control_plane");
-        InetSocketAddress frontendAddress = proxy.listens("frontend");
+        InetSocketAddress controlAddress = core.listenAddress("control_plane");
+        InetSocketAddress frontendAddress = proxy.listenAddress("frontend");
         quartzspan.controlplane.Main.run(core);
         quartzspan.frontend.Main.run(proxy);
         int serverPort = startServer();
@@ -126,7 +126,7 @@
         retryUntil(
                 () -> call(controlAddress, "POST /quartzspan/Instances.Heartbeat/i-" + serverPort, "", heartbeat),
                 " 200 ");
-        retryUntil(() -> call(proxy.listens("readiness"), "GET /quartzspan/readiness", "", ""), " 200 ");
+        retryUntil(() -> call(proxy.listenAddress("readiness"), "GET /quartzspan/readiness", "", ""), " 200 ");
         for (int i = 0; i < REQUEST_COUNT; i++) {
             retryUntil(
                     () -> call(
--- a/src/test/java/quartzspan/ArchitectureTest.java
+++ b/src/test/java/quartzspan/ArchitectureTest.java
@@ -10,14 +10,14 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** Who may import whom: docs/design/fleet.md has the picture. */
+/** Which packages may depend on which; docs/design/fleet.md shows them in a diagram. */
 class ArchitectureTest {
     private static final JavaClasses ALL = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("quartzspan");
 
     @Test
-    void theModuleKnowsNobody() {
+    void loadBalancingUsesNoOtherPackageAndNoNetworking() {
         noClasses()
                 .that()
                 .resideInAPackage("quartzspan.loadbalancing")
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void theOldProgramKnowsNothingOfTheFleet() {
+    void clientProxyDoesNotUseTheFleet() {
         noClasses()
                 .that()
                 .resideInAnyPackage("quartzspan.clientproxy", "quartzspan.http", "quartzspan.simulator")
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void controlLogicHasNoIo() {
+    void controlLogicPerformsNoIo() {
         noClasses()
                 .that()
                 .resideInAnyPackage("quartzspan.replication", "quartzspan.registry", "quartzspan.prefixcache")
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void programsKnowLibrariesAndNotEachOther() {
+    void programsAndLibrariesUseNothingAboveThem() {
         noClasses()
                 .that()
                 .resideInAPackage("quartzspan.frontend")
