--- a/src/main/java/quartzspan/common/Settings.java
+++ b/src/main/java/quartzspan/common/Settings.java
@@ -94,15 +94,15 @@
         } catch (YAMLException e) {
             throw invalid("the file", "is not YAML: " + e.getMessage());
         }
-        if (!(root instanceof Map<?, ?> top)) {
+        if (!(root instanceof Map<?, ?> rootFields)) {
             throw invalid("the file", "must be a mapping");
         }
-        Fields fields = new Fields(top, "");
-        Fields ports = new Fields(top, "");
-        List<Integer> internal = ports.list("internal_ports").stream()
+        Fields fields = new Fields(rootFields, "");
+        Fields ports = new Fields(rootFields, "");
+        List<Integer> internalPorts = ports.list("internal_ports").stream()
                 .map(p -> port(p, "internal_ports"))
                 .toList();
-        if (internal.size() != 2 || internal.get(0) > internal.get(1)) {
+        if (internalPorts.size() != 2 || internalPorts.get(0) > internalPorts.get(1)) {
             throw invalid("internal_ports", "must be a list of two ports, the first and the last of the range");
         }
         Map<String, InetSocketAddress> listenAddresses = new java.util.HashMap<>();
@@ -114,14 +114,14 @@
         Fields limits = new Fields(fields.map("limits"), "limits.");
         Fields faultTolerance = new Fields(fields.map("fault_tolerance"), "fault_tolerance.");
         Fields bounds = new Fields(fields.map("bounds"), "bounds.");
-        Object directory = top.get("data_directory");
+        Object directory = rootFields.get("data_directory");
         return new Settings(
                 fields.text("node_name"),
                 fields.text("ip_address"),
                 fields.text("zone"),
                 Map.copyOf(zones),
                 Map.copyOf(listenAddresses),
-                internal.get(0),
+                internalPorts.get(0),
                 fields.list("seed_nodes").stream()
                         .map(s -> address(String.valueOf(s), "seed_nodes"))
                         .toList(),
--- a/src/main/java/quartzspan/configuration/JsonFields.java
+++ b/src/main/java/quartzspan/configuration/JsonFields.java
@@ -81,21 +81,21 @@
 
     /** The objects of a list; empty if the field is missing. */
     static List<JsonObject> objects(JsonObject in, String field) {
-        List<JsonObject> all = new ArrayList<>();
-        array(in, field).forEach(value -> all.add(object(value, field)));
-        return all;
+        List<JsonObject> items = new ArrayList<>();
+        array(in, field).forEach(value -> items.add(object(value, field)));
+        return items;
     }
 
     /** The strings of a list; empty if the field is missing. */
     static List<String> strings(JsonObject in, String field, String context) {
-        List<String> all = new ArrayList<>();
+        List<String> items = new ArrayList<>();
         for (JsonValue value : array(in, field)) {
             if (!(value instanceof JsonString string)) {
                 throw invalid(context + field + " must contain only strings", "send a list of strings");
             }
-            all.add(string.getString());
+            items.add(string.getString());
         }
-        return all;
+        return items;
     }
 
     static JsonArray array(JsonObject in, String field) {
--- a/src/main/java/quartzspan/simulator/Adapter.java
+++ b/src/main/java/quartzspan/simulator/Adapter.java
@@ -123,7 +123,7 @@
                 if (event.table < 0 || event.table >= MAX_TABLES) {
                     throw new SimulatorInputException("CATALOG: table must be from 0 to " + (MAX_TABLES - 1));
                 }
-                tables.set(event.table, event.rows);
+                tables.set(event.table, event.endpoints);
                 continue;
             }
             try {
@@ -218,10 +218,14 @@
                 case "ENDED" -> balancer.onAttemptEnded(
                         now,
                         new AttemptEnd(
-                                event.requestId, event.attempt, outcome(event.outcome), event.complete, event.lagUs));
+                                event.requestId,
+                                event.attempt,
+                                outcome(event.outcome),
+                                event.complete,
+                                event.elapsedUs));
                 case "BELL" -> balancer.onTimer(now);
                 case "STOP" -> balancer = null;
-                case "PONG" -> balancer.onProbeEnded(now, event.host, outcome(event.outcome), event.lagUs);
+                case "PONG" -> balancer.onProbeEnded(now, event.host, outcome(event.outcome), event.elapsedUs);
                 case "FROM_PEER" -> {}
                 default -> throw new SimulatorInputException("unknown event type " + event.type);
             }
@@ -229,12 +233,13 @@
 
         private void handleDiscovery(EventReader.Event event, long now) throws SimulatorInputException {
             Source source =
-                    switch (String.valueOf(event.how)) {
+                    switch (String.valueOf(event.discoverySource)) {
                         case "cached" -> Source.CACHED;
                         case "full" -> Source.FULL;
                         case "delta" -> Source.DELTA;
                         case "failed" -> null;
-                        default -> throw new SimulatorInputException("DISCOVERY: unknown value of how: " + event.how);
+                        default -> throw new SimulatorInputException(
+                                "DISCOVERY: unknown value of how: " + event.discoverySource);
                     };
             if (source == null) {
                 balancer.onDiscoveryFailed(now);
--- a/src/main/java/quartzspan/simulator/EventReader.java
+++ b/src/main/java/quartzspan/simulator/EventReader.java
@@ -29,10 +29,10 @@
         String host;
         String routeKey;
         String outcome;
-        String how;
+        String discoverySource;
         long budgetUs;
         long expectedUs;
-        long lagUs;
+        long elapsedUs;
         long seed;
         int bits;
         int classIndex;
@@ -40,16 +40,16 @@
         int attempt;
         int table;
         boolean complete;
-        List<Endpoint> rows;
+        List<Endpoint> endpoints;
         SettingsReader settings;
 
         void clear() {
-            type = requestId = host = routeKey = outcome = how = null;
-            budgetUs = expectedUs = lagUs = seed = 0;
+            type = requestId = host = routeKey = outcome = discoverySource = null;
+            budgetUs = expectedUs = elapsedUs = seed = 0;
             bits = classIndex = tenant = attempt = 0;
             table = -1;
             complete = false;
-            rows = List.of();
+            endpoints = List.of();
             settings = null;
         }
     }
@@ -136,10 +136,10 @@
                 case "host" -> event.host = in.getText();
                 case "routeKey" -> event.routeKey = in.getText();
                 case "outcome" -> event.outcome = in.getText();
-                case "how" -> event.how = in.getText();
+                case "how" -> event.discoverySource = in.getText();
                 case "budgetUs" -> event.budgetUs = in.getLongValue();
                 case "expectedUs" -> event.expectedUs = in.getLongValue();
-                case "lagUs" -> event.lagUs = in.getLongValue();
+                case "lagUs" -> event.elapsedUs = in.getLongValue();
                 case "rngSeed" -> event.seed = in.getNumberValue().longValue();
                 case "bits" -> event.bits = in.getIntValue();
                 case "tierClass" -> event.classIndex = in.getIntValue();
@@ -147,16 +147,16 @@
                 case "hop" -> event.attempt = in.getIntValue();
                 case "table" -> event.table = in.getIntValue();
                 case "complete" -> event.complete = in.getBooleanValue();
-                case "rowsIn" -> event.rows = readRows();
+                case "rowsIn" -> event.endpoints = readEndpoints();
                 case "bootInfo" -> event.settings = SettingsReader.read(in);
                 default -> in.skipChildren();
             }
         }
     }
 
-    private List<Endpoint> readRows() throws IOException {
+    private List<Endpoint> readEndpoints() throws IOException {
         expect(JsonToken.START_ARRAY, "rowsIn must be an array");
-        List<Endpoint> rows = new ArrayList<>();
+        List<Endpoint> endpoints = new ArrayList<>();
         while (in.nextToken() == JsonToken.START_OBJECT) {
             String host = null;
             int zone = 0;
@@ -184,10 +184,10 @@
             if (host == null) {
                 throw new SimulatorInputException("CATALOG: row has no field host");
             }
-            rows.add(new Endpoint(host, zone, cell, kind, availability, weight, startedAtUs));
+            endpoints.add(new Endpoint(host, zone, cell, kind, availability, weight, startedAtUs));
         }
         expect(JsonToken.END_ARRAY, "rowsIn must contain only objects");
-        return List.copyOf(rows);
+        return List.copyOf(endpoints);
     }
 
     private static Availability availability(String word) throws SimulatorInputException {
