--- a/src/main/java/quartzspan/clientproxy/ClientProxy.java
+++ b/src/main/java/quartzspan/clientproxy/ClientProxy.java
@@ -346,14 +346,14 @@
             System.err.println("quartzspan: " + e
                     + Arrays.stream(e.getStackTrace())
                             .limit(1)
-                            .map(at -> " at " + at)
+                            .map(frame -> " at " + frame)
                             .collect(Collectors.joining()));
         }
     }
 
     /** Accepts a valid request; answers an invalid one at once. */
     @Override
-    public void onRequest(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
+    public void onRequest(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long receivedAtUs) {
         String path = in.uri().split("\\?", 2)[0];
         if (path.equals("/-/ready")) {
             client.answer(
@@ -363,11 +363,11 @@
         } else if (!path.equals("/api") && !path.startsWith("/api/")) {
             client.answer(HttpResponseStatus.NOT_FOUND);
         } else {
-            handleRequest(client, in, body, at);
+            handleRequest(client, in, body, receivedAtUs);
         }
     }
 
-    private void handleRequest(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
+    private void handleRequest(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long receivedAtUs) {
         HttpHeaders headers = in.headers();
         String id = singleValue(headers, "X-Request-Id");
         Integer classIndex = classIndexes.get(singleValue(headers, "X-Class"));
@@ -387,9 +387,9 @@
         RequestClass requestClass = config.settings().classes().get(classIndex);
         // The class deadline is an upper limit for any request, so a drain is limited by it as well.
         long deadlineUs = Math.min(deadlineMs, requestClass.deadlineUs() / 1000 + 1) * 1000;
-        long responseTimeoutUs =
-                Math.min(deadlineUs - Math.min(RESPONSE_MARGIN_US, deadlineUs / 4), killAtUs - KILL_MARGIN_US - at);
-        long budgetUs = responseTimeoutUs - Math.min(BALANCER_MARGIN_US, deadlineUs / 8) - (now() - at);
+        long responseTimeoutUs = Math.min(
+                deadlineUs - Math.min(RESPONSE_MARGIN_US, deadlineUs / 4), killAtUs - KILL_MARGIN_US - receivedAtUs);
+        long budgetUs = responseTimeoutUs - Math.min(BALANCER_MARGIN_US, deadlineUs / 8) - (now() - receivedAtUs);
         if (budgetUs <= 0) {
             client.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, ConnectionPool.Response.EMPTY, maxRetryAfterUs());
             return;
@@ -405,7 +405,7 @@
                 "1".equals(headers.get("X-Retry")));
         Exchange exchange = new Exchange(client, request, requestClass, OutgoingRequest.of(in, body), now() + budgetUs);
         openRequests.put(id, exchange);
-        setResponseTimeout(exchange, at + responseTimeoutUs);
+        setResponseTimeout(exchange, receivedAtUs + responseTimeoutUs);
         client.onDisconnect(() -> onClientDisconnect(exchange));
         execute(() -> balancer.onRequest(now(), exchange.request));
     }
@@ -499,8 +499,8 @@
 
     private void startAttempt(Exchange exchange, ConnectionPool.Endpoint endpoint, long timeoutUs) {
         int number = exchange.attemptCount++;
-        long sentAt = now();
-        long remainingUs = exchange.budgetEndUs - sentAt;
+        long sentAtUs = now();
+        long remainingUs = exchange.budgetEndUs - sentAtUs;
         boolean ignored = exchange.answered
                 || remainingUs <= 0
                 || timeoutUs < 0
@@ -508,7 +508,7 @@
                 || endpoint == null
                 || number >= config.settings().limits().maxAttempts();
         if (ignored) {
-            reportAttemptEnd(exchange, number, sentAt, Outcome.IGNORED);
+            reportAttemptEnd(exchange, number, sentAtUs, Outcome.IGNORED);
             return;
         }
         exchange.attemptNumber = number;
@@ -525,15 +525,15 @@
                         exchange.client.answer(HttpResponseStatus.OK, answer, 0);
                         execute(() -> removeLater(exchange));
                     }
-                    reportAttemptEnd(exchange, number, sentAt, outcome);
+                    reportAttemptEnd(exchange, number, sentAtUs, outcome);
                 });
         exchange.attempt.start();
     }
 
-    private void reportAttemptEnd(Exchange exchange, int number, long sentAt, Outcome outcome) {
+    private void reportAttemptEnd(Exchange exchange, int number, long sentAtUs, Outcome outcome) {
         boolean done = exchange.answered;
         execute(() -> balancer.onAttemptEnded(
-                now(), new AttemptEnd(exchange.request.id(), number, outcome, done, now() - sentAt)));
+                now(), new AttemptEnd(exchange.request.id(), number, outcome, done, now() - sentAtUs)));
     }
 
     @Override
@@ -568,10 +568,10 @@
     @Override
     public void probe(String endpointId) {
         tasks.add(() -> {
-            long sentAt = now();
+            long sentAtUs = now();
             ConnectionPool.Endpoint endpoint = discovery.endpoint(endpointId);
             ConnectionPool.CompletionListener end = (outcome, answer) ->
-                    execute(() -> balancer.onProbeEnded(now(), endpointId, outcome, now() - sentAt));
+                    execute(() -> balancer.onProbeEnded(now(), endpointId, outcome, now() - sentAtUs));
             if (endpoint == null) {
                 end.ended(Outcome.IGNORED, null);
             } else {
--- a/src/test/java/quartzspan/clientproxy/ClientDisconnectTest.java
+++ b/src/test/java/quartzspan/clientproxy/ClientDisconnectTest.java
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void whileTheEventLoopIsBlocked() throws Exception {
+    void requestIsNotForwardedAfterADisconnectWhileTheEventLoopIsBlocked() throws Exception {
         // When the event loop continues, it finds both the request and the disconnect of each client.
         Server host = startWithServer();
         Client reused = connectClient();
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void whileTheBalancerHoldsTheRequest() throws Exception {
+    void requestIsNotForwardedAfterADisconnectWhileTheBalancerHoldsIt() throws Exception {
         Server host = startWithServer();
         Client client = connectClient().unsafe("held", 20_000);
         LoopbackPeers.next(heldRequests, "the request");
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void whileQueuedBehindAnotherRequest() throws Exception {
+    void requestIsNotForwardedAfterADisconnectWhileQueuedBehindAnother() throws Exception {
         Server host = startWithServer();
         Client client = connectClient().unsafe("held", 20_000).unsafe("behind", 20_000);
         LoopbackPeers.next(heldRequests, "the first request");
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void whileTheServerConnectionIsBeingEstablished() throws Exception {
+    void requestIsNotForwardedAfterADisconnectDuringConnecting() throws Exception {
         // Also with settings that forbid the cancellation of attempts.
         for (boolean cancelOnDisconnect : new boolean[] {true, false}) {
             try (Deaf deaf = new Deaf()) {
@@ -126,7 +126,7 @@
     }
 
     @Test
-    void betweenTwoAttempts() throws Exception {
+    void requestIsNotRetriedAfterADisconnectBetweenTwoAttempts() throws Exception {
         Server host = startWithServer();
         BlockingQueue<Seen> attempts = new LinkedBlockingQueue<>();
         Server rejecting = startServer(attempts::add);
@@ -154,7 +154,7 @@
     }
 
     @Test
-    void afterIdleConnectionsAreClosedInADrain() throws Exception {
+    void disconnectIsReportedAfterIdleConnectionsAreClosedInADrain() throws Exception {
         // One of two held requests is dropped by its client; the disconnect must be reported before the response
         // timeouts of the drain, which would report the other one first.
         startWithServer();
