--- a/src/main/java/quartzspan/http/ConnectionPool.java
+++ b/src/main/java/quartzspan/http/ConnectionPool.java
@@ -446,7 +446,7 @@
             }
         }
 
-        private boolean forHead() {
+        private boolean isHeadRequest() {
             return request.method().equals("HEAD");
         }
 
@@ -562,7 +562,7 @@
 
             @Override
             protected boolean isContentAlwaysEmpty(HttpMessage message) {
-                return current != null && current.forHead() || super.isContentAlwaysEmpty(message);
+                return current != null && current.isHeadRequest() || super.isContentAlwaysEmpty(message);
             }
         };
 
@@ -599,7 +599,7 @@
          * connection, or that has two lengths. A request whose response is rejected may still have been executed.
          */
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, HttpObject in) {
+        protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
             if (current == null) {
                 return;
             }
@@ -607,26 +607,26 @@
                 reusable = false;
                 return;
             }
-            if (in.decoderResult().isFailure()) {
+            if (message.decoderResult().isFailure()) {
                 rejectResponse();
                 return;
             }
-            if (in instanceof HttpResponse response) {
+            if (message instanceof HttpResponse response) {
                 onResponseHead(response);
                 if (outcome != null) {
                     return;
                 }
             }
-            if (in instanceof HttpContent content && head.status().code() >= 200) {
+            if (message instanceof HttpContent content && head.status().code() >= 200) {
                 if (skippingResponse) {
-                    skippingResponse = !(in instanceof LastHttpContent);
+                    skippingResponse = !(message instanceof LastHttpContent);
                     return;
                 }
                 if (streaming) {
                     if (content.content().isReadable() && !current.responseHandler.onChunk(content.content())) {
                         channel.config().setAutoRead(false);
                     }
-                    if (in instanceof LastHttpContent && current != null) {
+                    if (message instanceof LastHttpContent && current != null) {
                         completeResponse();
                     }
                     return;
@@ -636,7 +636,7 @@
                     return;
                 }
                 body.writeBytes(content.content());
-                if (in instanceof LastHttpContent) {
+                if (message instanceof LastHttpContent) {
                     completeResponse();
                 }
             }
@@ -646,7 +646,7 @@
             head = response;
             int status = response.status().code();
             boolean allowedInterim = status < 200 && status != 101 && ++interimResponses <= MAX_INTERIM_RESPONSES;
-            boolean lengthDeclared = current.forHead() || HttpFraming.declaresLength(response.headers());
+            boolean lengthDeclared = current.isHeadRequest() || HttpFraming.declaresLength(response.headers());
             boolean successful = status >= 200 && status < 300;
             if (!HttpFraming.isUnambiguous(response)
                     || status < 200 && !allowedInterim
--- a/src/main/java/quartzspan/http/HttpFraming.java
+++ b/src/main/java/quartzspan/http/HttpFraming.java
@@ -74,8 +74,8 @@
     }
 
     /** Rejects header lines without a colon, which the codec accepts as a header with an empty value. */
-    private static void requireColon(byte[] line, int at) {
-        if (at >= line.length || line[at] != ':') {
+    private static void requireColon(byte[] line, int index) {
+        if (index >= line.length || line[index] != ':') {
             throw new IllegalArgumentException("header line has no colon after the name");
         }
     }
--- a/src/main/java/quartzspan/loadbalancing/PrefixAwarePlacement.java
+++ b/src/main/java/quartzspan/loadbalancing/PrefixAwarePlacement.java
@@ -38,7 +38,7 @@
             return size() > MAX_TRACKED_KEYS;
         }
     };
-    private int walks;
+    private int walkCount;
     /** The server to which a connection is being opened, or null. */
     private PlacementServer connecting;
 
@@ -84,7 +84,7 @@
         long hash = request.key() != null ? Ring.HASH.hashCharsToLong(request.key()) : random.nextLong();
         List<PlacementServer> usable = new ArrayList<>();
         PlacementServer lastResort = null;
-        for (PlacementServer server : ring.walk(hash, ++walks)) {
+        for (PlacementServer server : ring.walk(hash, ++walkCount)) {
             if (!server.isReady() || tried.contains(server.id()) || !connections.isReachable(server.id())) {
                 continue;
             }
@@ -225,7 +225,7 @@
 
     /** The key's owner, the server that ran the key last, or the next owner if the owner was listed recently. */
     private PlacementServer likelySource(long now, PlacementRequest request, String server, ServiceRing ring) {
-        List<PlacementServer> owners = ring.walk(Ring.HASH.hashCharsToLong(request.key()), ++walks).stream()
+        List<PlacementServer> owners = ring.walk(Ring.HASH.hashCharsToLong(request.key()), ++walkCount).stream()
                 .filter(owner -> !owner.isEjected(now))
                 .limit(2)
                 .toList();
--- a/src/main/java/quartzspan/loadbalancing/RingHashLoadBalancer.java
+++ b/src/main/java/quartzspan/loadbalancing/RingHashLoadBalancer.java
@@ -49,9 +49,9 @@
 
     private static final double SLOW_TARGET = 0.6;
     private static final double NORMAL_RATIO = 1.5;
-    private static final double SLOW_DECREASE = 0.85;
+    private static final double SLOW_FACTOR = 0.85;
     /** Limit decrease after a lost attempt: stronger, since instances with one attempt each add up. */
-    private static final double LOSS_DECREASE = 0.6;
+    private static final double LOSS_FACTOR = 0.6;
     /**
      * Instances above which each pools measurements, probes, and cuts a limit from its attempts in flight:
      * each may always have one in flight, and this many at once overload an endpoint of three or four cores.
@@ -455,7 +455,7 @@
             endpoint.limitReduced = true;
             double limitBefore =
                     largeFleet ? Math.min(endpoint.limit, endpoint.outstanding.size() + 1) : endpoint.limit;
-            endpoint.limit = Math.max(MIN_LIMIT, (served ? SLOW_DECREASE : LOSS_DECREASE) * limitBefore);
+            endpoint.limit = Math.max(MIN_LIMIT, (served ? SLOW_FACTOR : LOSS_FACTOR) * limitBefore);
             return;
         }
         admitRate = Math.min(1, admitRate + ADMIT_INCREASE);
