--- a/src/main/java/quartzspan/http/ConnectionPool.java
+++ b/src/main/java/quartzspan/http/ConnectionPool.java
@@ -62,7 +62,7 @@
     private static final int MAX_NEW_CONNECTIONS = 3;
     /**
      * A reused connection that is lost this soon after the request was written is considered stale: the server had closed it
-     * while it was idle, unnoticed by this side.
+     * while it was idle, and this process had not noticed.
      */
     private static final long STALE_RESET_NANOS = 20_000_000;
 
@@ -251,7 +251,7 @@
         return attempt(endpoint, request, timeoutUs, stillWanted, DEFAULT_HANDLER, listener);
     }
 
-    /** As above, with a handler that interprets the response. */
+    /** Creates an attempt whose response is interpreted by a handler; see the other overload. */
     public Attempt attempt(
             Endpoint endpoint,
             OutgoingRequest request,
@@ -410,8 +410,8 @@
         /**
          * Writes the request; the only place that does. While the connection was being established the endpoint may have started
          * to drain, the request may have ended, or its deadline may have passed if this process was suspended: then nothing is
-         * written, and the outcome says so. A connection that fails before the complete request is written says little about the
-         * server, so a new one is tried.
+         * written, and the outcome is {@code IGNORED}. A connection that fails before the complete request is written is no sign of
+         * a failing server, so a new one is tried.
          */
         private void write(Connection acquired, boolean reused) {
             connection = acquired;
--- a/src/main/java/quartzspan/loadbalancing/BalancerState.java
+++ b/src/main/java/quartzspan/loadbalancing/BalancerState.java
@@ -27,9 +27,9 @@
         long busyUntil;
 
         double capacity;
-        /** Decayed number of requests that were offered to it. */
+        /** Decayed number of requests offered to it, whether or not they were sent to it. */
         double load;
-        /** Start of its process; begin of the slow start. */
+        /** Start of its process, from which its slow start is counted. */
         long startedAt;
 
         boolean cold;
@@ -51,7 +51,7 @@
         long connectedUntil;
         /** Sends that it may take during its slow start. */
         double credits;
-        /** Sends of the instance at the last credit. */
+        /** Number of sends of the instance when credit was last added. */
         long creditedSends;
 
         boolean ejected;
@@ -96,7 +96,7 @@
         int probeCount;
         /** Whether the load bound and probes apply to it. */
         boolean loadAware;
-        /** Number of the request in this instance. */
+        /** Sequence number of the request in this instance. */
         final long sequence;
 
         RequestState(Request spec, RequestClass type, long hash, long arrivedAt, double value, long sequence) {
--- a/src/main/java/quartzspan/loadbalancing/LoadBalancer.java
+++ b/src/main/java/quartzspan/loadbalancing/LoadBalancer.java
@@ -4,7 +4,7 @@
 
 /**
  * Interface of the load balancer: one instance per client process, single-threaded. It receives events with
- * the time at which they happen and issues its decisions through {@link Actions} during the call.
+ * the current time and issues its decisions through {@link Actions} during the call.
  *
  * <p>All times and durations are microseconds. The clock may start anywhere and never runs backwards. The
  * load balancer has no clock, thread or I/O of its own, and equal events give equal actions.
@@ -24,7 +24,7 @@
         return new RingHashLoadBalancer(settings, seed, now, actions);
     }
 
-    /** A list from discovery: complete (endpoints missing from it are gone) or, as a delta, changed entries only. */
+    /** A list from discovery: complete (missing endpoints are removed) or, as a delta, changed entries only. */
     void onEndpoints(long now, Source source, List<Endpoint> endpoints);
 
     /** A subscription or reload failed, or the subscription broke; the current list stays in use. */
--- a/src/main/java/quartzspan/loadbalancing/PrefixAwarePlacement.java
+++ b/src/main/java/quartzspan/loadbalancing/PrefixAwarePlacement.java
@@ -10,7 +10,7 @@
 import quartzspan.loadbalancing.LoadBalancer.Outcome;
 
 /**
- * Placement of requests on servers that run batches and cache prompts: ring hash as in gRPC A76, one ring for each service.
+ * Placement of requests on servers that run batches and cache prompts: ring hash as in gRFC A76, one ring for each service.
  * It has no clock, thread or I/O; times are microseconds.
  *
  * <p>A server's ring points come from its instance id. A request with a key goes to the first usable owner from the hash of
@@ -99,8 +99,8 @@
     }
 
     /**
-     * The first server within the load bound for which no second connection is opened at the same time; else the first within
-     * the bound; else the one with the least work.
+     * The first server within the load bound that, for a request without a key, is connected or may be connected to now; else
+     * the first within the bound; else the one with the least work.
      */
     private PlacementServer pickUsable(
             long now, PlacementRequest request, ServiceRing ring, List<PlacementServer> usable) {
@@ -177,7 +177,7 @@
         }
     }
 
-    /** Another server responded at a server's address: it is gone, even if it is still listed. */
+    /** Another server responded at this server's address: this one has stopped, even if it is still listed. */
     public void onMisdirected(long now, String id) {
         PlacementServer server = servers.get(id);
         if (server != null) {
--- a/src/main/java/quartzspan/loadbalancing/RingHashLoadBalancer.java
+++ b/src/main/java/quartzspan/loadbalancing/RingHashLoadBalancer.java
@@ -17,20 +17,20 @@
  * Ring-hash load balancer; types, events and actions are documented in {@link LoadBalancer}. {@link #pick}
  * walks the ring from the hash of the key, or a random hash, to the first endpoint that is ready, not
  * ejected, permitted by the effect, and within its slow start, concurrency limit and load bound. Keyless
- * requests open one connection at a time. Without a usable endpoint, requests are queued briefly, by value.
- * While the fleet is overloaded, only a share is admitted, by value, and endpoints may be probed first.
+ * requests open one connection at a time. Without a usable endpoint, requests are queued for a short time.
+ * While the fleet is overloaded, only a share is admitted, with preference by value; endpoints may be probed.
  * A failed attempt is retried at the next owner if effect, time and retry budget permit; else the request is
- * refused where that is a true statement, and failed where it is not.
+ * refused if another try by the client is harmless, and failed if not.
  */
 final class RingHashLoadBalancer implements LoadBalancer {
 
-    /** Ring points per unit of weight: spread of shares near 1/sqrt(100), cheap to merge. */
+    /** Ring points per unit of weight: the shares deviate by about 1/sqrt(100), and merging is cheap. */
     private static final int POINTS = 100;
     /** Bounds on the ring points of an endpoint, so that an extreme weight cannot take over the ring. */
     private static final int MAX_POINTS = 800;
 
     private static final int MIN_POINTS = 20;
-    /** Interval between sweeps: short against any target latency, rare against requests. */
+    /** Interval between sweeps: short relative to any target latency, rare relative to requests. */
     private static final long SWEEP_US = 50_000;
     /** Smoothing factor of the averages over all endpoints: overload rate, and latency by kind. */
     private static final double POOLED_GAIN = 1.0 / 16;
@@ -44,17 +44,17 @@
     private static final double BASELINE_RISE_PER_S = 0.03;
     /** Initial baseline, as a part of the target: high, because the baseline falls faster than it rises. */
     private static final double INITIAL_BASELINE = 0.25;
-    /** Slow: above this multiple of the baseline, or part of the target if beyond the normal multiple. */
+    /** Slow: above SLOW_RATIO baselines, or above SLOW_TARGET of the target and NORMAL_RATIO baselines. */
     private static final double SLOW_RATIO = 3;
 
     private static final double SLOW_TARGET = 0.6;
     private static final double NORMAL_RATIO = 1.5;
     private static final double SLOW_FACTOR = 0.85;
-    /** Limit decrease after a lost attempt: stronger, since instances with one attempt each add up. */
+    /** Factor of the limit after a lost attempt: lower, since many instances with one attempt each add up. */
     private static final double LOSS_FACTOR = 0.6;
     /**
-     * Instances above which each pools measurements, probes, and cuts a limit from its attempts in flight:
-     * each may always have one in flight, and this many at once overload an endpoint of three or four cores.
+     * Number of instances above which each reduces admission, probes, and reduces limits from its attempts in
+     * flight: each may always have one, and this many at once overload an endpoint of three or four cores.
      */
     private static final int LARGE_FLEET = 10;
     /** Share of requests placed load-aware, per unit of overload rate; half of it in a small fleet. */
@@ -67,12 +67,12 @@
     private static final double ADMIT_DECREASE = 0.4;
 
     private static final double ADMIT_INCREASE = 0.05;
-    /** Bucket size; the lower a request's value, the more tokens must be left after it. */
+    /** Size of the admission token bucket; the lower a request's value, the more tokens must remain. */
     private static final double MAX_ADMIT_TOKENS = 3;
-    /** Growth of a limit in use per as many fast responses (per response until the first decrease). */
+    /** Growth of a limit in use per fast response; after its first decrease, divided by the limit. */
     private static final double LIMIT_INCREASE = 0.5;
 
-    private static final double SMALL_GROWTH = 0.2; // of a limit below 1, as a part of it
+    private static final double SMALL_GROWTH = 0.2; // growth of a limit below 1, as a part of it
     /** Initial concurrency limit of an endpoint; lower bound of the limit and of the admission rate. */
     private static final double INITIAL_LIMIT = 2;
 
@@ -86,7 +86,7 @@
     /**
      * Multiple of its share of all sends that a cold endpoint may take. The share follows the least capacity
      * that the contract promises, and an instance that rarely reaches the endpoint leaves a quarter of it
-     * unused: 1 would overload the warm endpoints of a mostly cold fleet, several times the cold endpoint.
+     * unused: 1 overloads the warm endpoints of a mostly cold fleet, a multiple of several the cold ones.
      */
     private static final double COLD_SHARE = 1.5;
 
@@ -99,9 +99,9 @@
     private static final double FAILING_RATE = 0.5;
 
     private static final double MIN_COMMON_RATE = 0.02;
-    /** Log-likelihood ratio of a failure when failures are rarest; three in a row eject. */
+    /** Log-likelihood ratio of a failure at the lowest common rate; three such failures in a row eject. */
     private static final double MAX_EVIDENCE = Math.log(FAILING_RATE / MIN_COMMON_RATE);
-    /** Smoothing factor of the common failure rate: an endpoint is ejected before it moves the rate. */
+    /** Smoothing factor of the common failure rate: an endpoint is ejected before it raises the rate. */
     private static final double COMMON_GAIN = 1.0 / 256;
     /** Overdue: no response for this multiple of the baseline and at least this part of the target. */
     private static final double OVERDUE_RATIO = 4;
@@ -120,17 +120,17 @@
     private static final double QUEUE_TARGET_PART = 0.4;
     /** Value of a repeat relative to a first try: part of its target time has already passed. */
     private static final double REPEAT_VALUE_FACTOR = 0.3;
-    /** Probe timeout, as a part of the target and a multiple of the baseline; then the endpoint is busy. */
+    /** Probe timeout, the lower of a part of the target and a multiple of the baseline; above: busy. */
     private static final double PROBE_PART = 0.12;
 
     private static final double PROBE_RATIO = 2;
     /** Time for which a fast response makes a probe unnecessary. */
     private static final long FAST_RESPONSE_VALID_US = 500_000;
-    /** Overload rate from which a probe pays, per part of a request's value that it costs. */
+    /** Overload rate above which probes are sent, per part of a request's value that a probe costs. */
     private static final double OVERLOAD_PER_COST = 4;
 
     private static final int MAX_PROBES = 3; // for one request
-    /** Part of the full budget of a first try below which a request is a repeat; decay per request. */
+    /** Part of the full budget below which a request is a repeat, and decay of that budget per request. */
     private static final double FIRST_TRY_PART = 0.95;
 
     private static final double BUDGET_DECAY = 0.999;
@@ -302,7 +302,7 @@
         ring.remove(endpoint);
     }
 
-    /** Listed weight, or 1 if weights follow load: they would move keys with every list. */
+    /** Listed weight, or 1 if weights follow load: such weights would move keys with every list. */
     private double ringWeight(EndpointState endpoint) {
         return settings.weightsVary() ? 1 : endpoint.weight;
     }
@@ -370,8 +370,8 @@
 
     /**
      * Bounded load, in expectation: an endpoint takes the part of its offered load that is within the bound.
-     * Load over time shows a hot key even to an instance with few attempts in flight. Half a deviation is
-     * tolerated as chance.
+     * Load over time shows a hot key even to an instance with few attempts in flight. Half a standard
+     * deviation is tolerated as chance.
      */
     private boolean withinLoadBound(RequestState request, EndpointState endpoint) {
         double load = endpoint.load - 0.5 * Math.sqrt(endpoint.load);
@@ -419,8 +419,8 @@
 
     /**
      * Whether a cold endpoint has credit: it earns {@code COLD_SHARE} of its share, by slow-start capacity,
-     * of all sends of this instance, from a random start below one. So the sum over all instances is bounded
-     * from the first moment, however many they are and however little each sends.
+     * of all sends of this instance, and starts with a random credit below one. So the total of all
+     * instances is bounded from the start, however many they are and however little each sends.
      */
     private boolean slowStartAdmits(EndpointState endpoint, long now) {
         if (!endpoint.cold) {
@@ -924,7 +924,7 @@
         } else if ((result == Outcome.TIMED_OUT || result == Outcome.CANCELED && attempt.canceled)
                 && isSlow(attempt, end.latencyUs())
                 && !answeredNewer(attempt)) {
-            // A loss before that is due to the client; if a later request was answered, only this is lost.
+            // If not slow, the client ended it; if a newer attempt was answered, only this one is lost.
             recordLatency(attempt, end.latencyUs(), now, false);
         }
         if (endpoint.trial == attempt) {
@@ -976,7 +976,7 @@
             mustResubscribe = false;
         }
         long next = !open.isEmpty() ? Math.max(nextSweep, now + 1) : Long.MAX_VALUE;
-        // Queue time may be shorter than a sweep: a request with little time left is still answered in time.
+        // Queue time may end before a sweep: a request with little time left is still answered in time.
         next = Math.min(next, Math.max(Math.min(expiryAt, nextProbeTimeout), now + 1));
         if (mustResubscribe) {
             next = Math.min(next, Math.max(resubscribeAt, now + 1));
