--- a/src/main/java/quartzspan/clientproxy/ClientProxy.java
+++ b/src/main/java/quartzspan/clientproxy/ClientProxy.java
@@ -274,12 +274,12 @@
                         .max()
                         .orElse(0)
                 / 1000;
-        long leftMs = Math.min(longestMs, MAX_DRAIN_DEADLINE_MS) + KILL_DELAY_MS;
+        long remainingMs = Math.min(longestMs, MAX_DRAIN_DEADLINE_MS) + KILL_DELAY_MS;
         loop.execute(() -> {
-            killAtUs = now() + leftMs * 1000;
+            killAtUs = now() + remainingMs * 1000;
             // Open requests may have later deadlines; SIGKILL would leave them unanswered.
             openRequests.values().forEach(exchange -> setResponseTimeout(exchange, killAtUs - KILL_MARGIN_US));
-            httpServer.drain(leftMs, () -> {
+            httpServer.drain(remainingMs, () -> {
                 discovery.stop();
                 group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
             });
@@ -353,8 +353,8 @@
 
     /** Accepts a valid request; answers an invalid one at once. */
     @Override
-    public void onRequest(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
-        String path = in.uri().split("\\?", 2)[0];
+    public void onRequest(HttpServer.ClientConnection client, HttpRequest httpRequest, byte[] body, long receivedAtUs) {
+        String path = httpRequest.uri().split("\\?", 2)[0];
         if (path.equals("/-/ready")) {
             client.answer(
                     isReady() && !httpServer.draining()
@@ -363,12 +363,13 @@
         } else if (!path.equals("/api") && !path.startsWith("/api/")) {
             client.answer(HttpResponseStatus.NOT_FOUND);
         } else {
-            handleRequest(client, in, body, at);
+            handleRequest(client, httpRequest, body, receivedAtUs);
         }
     }
 
-    private void handleRequest(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
-        HttpHeaders headers = in.headers();
+    private void handleRequest(
+            HttpServer.ClientConnection client, HttpRequest httpRequest, byte[] body, long receivedAtUs) {
+        HttpHeaders headers = httpRequest.headers();
         String id = singleValue(headers, "X-Request-Id");
         Integer classIndex = classIndexes.get(singleValue(headers, "X-Class"));
         long deadlineMs = HttpFraming.parseNumber(singleValue(headers, OutgoingRequest.DEADLINE_HEADER));
@@ -380,16 +381,16 @@
                 || classIndex == null
                 || deadlineMs < 1
                 || !knownTenant
-                || config.settings().classes().get(classIndex).effect() != declaredEffect(in, body)) {
+                || config.settings().classes().get(classIndex).effect() != declaredEffect(httpRequest, body)) {
             client.answer(HttpResponseStatus.BAD_REQUEST);
             return;
         }
         RequestClass requestClass = config.settings().classes().get(classIndex);
         // The class deadline is an upper limit for any request, so a drain is limited by it as well.
         long deadlineUs = Math.min(deadlineMs, requestClass.deadlineUs() / 1000 + 1) * 1000;
-        long responseTimeoutUs =
-                Math.min(deadlineUs - Math.min(RESPONSE_MARGIN_US, deadlineUs / 4), killAtUs - KILL_MARGIN_US - at);
-        long budgetUs = responseTimeoutUs - Math.min(BALANCER_MARGIN_US, deadlineUs / 8) - (now() - at);
+        long responseTimeoutUs = Math.min(
+                deadlineUs - Math.min(RESPONSE_MARGIN_US, deadlineUs / 4), killAtUs - KILL_MARGIN_US - receivedAtUs);
+        long budgetUs = responseTimeoutUs - Math.min(BALANCER_MARGIN_US, deadlineUs / 8) - (now() - receivedAtUs);
         if (budgetUs <= 0) {
             client.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, ConnectionPool.Response.EMPTY, maxRetryAfterUs());
             return;
@@ -403,21 +404,22 @@
                 Math.max(0, HttpFraming.parseNumber(headers.get("X-Cost-Hint"))),
                 tenant,
                 "1".equals(headers.get("X-Retry")));
-        Exchange exchange = new Exchange(client, request, requestClass, OutgoingRequest.of(in, body), now() + budgetUs);
+        Exchange exchange =
+                new Exchange(client, request, requestClass, OutgoingRequest.of(httpRequest, body), now() + budgetUs);
         openRequests.put(id, exchange);
-        setResponseTimeout(exchange, at + responseTimeoutUs);
+        setResponseTimeout(exchange, receivedAtUs + responseTimeoutUs);
         client.onDisconnect(() -> onClientDisconnect(exchange));
         execute(() -> balancer.onRequest(now(), exchange.request));
     }
 
     /** The effect of repeating the request according to its method and headers; null if they are invalid. */
-    private static Effect declaredEffect(HttpRequest in, byte[] body) {
-        int keys = in.headers().getAll("Idempotency-Key").size();
-        boolean printable = in.uri().chars().allMatch(c -> c > ' ' && c < 0x7f);
+    private static Effect declaredEffect(HttpRequest httpRequest, byte[] body) {
+        int keys = httpRequest.headers().getAll("Idempotency-Key").size();
+        boolean printable = httpRequest.uri().chars().allMatch(c -> c > ' ' && c < 0x7f);
         if (!printable || keys > 1) {
             return null;
         }
-        return switch (in.method().name()) {
+        return switch (httpRequest.method().name()) {
             case "GET" -> body.length == 0 && keys == 0 ? Effect.RETRYABLE : null;
             case "POST" -> keys == 1 ? Effect.DEDUP : Effect.NON_IDEMPOTENT;
             default -> null;
@@ -437,7 +439,7 @@
     /** The client closed its connection. */
     void onClientDisconnect(Exchange exchange) {
         markAnswered(exchange);
-        reportClientGone(exchange);
+        reportRequestGone(exchange);
     }
 
     /** Sets the response timeout of a request, unless an earlier one is set. */
@@ -463,7 +465,7 @@
                     safeToRetry ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.GATEWAY_TIMEOUT,
                     ConnectionPool.Response.EMPTY,
                     safeToRetry ? maxRetryAfterUs() : 0);
-            reportClientGone(exchange);
+            reportRequestGone(exchange);
         }
     }
 
@@ -472,7 +474,7 @@
         exchange.timeout.cancel(false);
     }
 
-    private void reportClientGone(Exchange exchange) {
+    private void reportRequestGone(Exchange exchange) {
         execute(() -> {
             try {
                 balancer.onRequestGone(now(), exchange.request.id());
@@ -517,12 +519,12 @@
                 exchange.outgoing,
                 timeoutUs == 0 ? remainingUs : Math.min(remainingUs, timeoutUs),
                 () -> !exchange.answered,
-                (outcome, answer) -> {
+                (outcome, response) -> {
                     exchange.attempt = null;
                     exchange.mayHaveRun |= !outcome.neverRan();
                     if (outcome == Outcome.OK && !exchange.answered) {
                         markAnswered(exchange);
-                        exchange.client.answer(HttpResponseStatus.OK, answer, 0);
+                        exchange.client.answer(HttpResponseStatus.OK, response, 0);
                         execute(() -> removeLater(exchange));
                     }
                     reportAttemptEnd(exchange, number, sentAt, outcome);
@@ -570,12 +572,12 @@
         tasks.add(() -> {
             long sentAt = now();
             ConnectionPool.Endpoint endpoint = discovery.endpoint(endpointId);
-            ConnectionPool.CompletionListener end = (outcome, answer) ->
+            ConnectionPool.CompletionListener listener = (outcome, response) ->
                     execute(() -> balancer.onProbeEnded(now(), endpointId, outcome, now() - sentAt));
             if (endpoint == null) {
-                end.onComplete(Outcome.IGNORED, null);
+                listener.onComplete(Outcome.IGNORED, null);
             } else {
-                upstream.attempt(endpoint, OutgoingRequest.healthCheck(), config.dialTimeoutUs(), () -> true, end)
+                upstream.attempt(endpoint, OutgoingRequest.healthCheck(), config.dialTimeoutUs(), () -> true, listener)
                         .start();
             }
         });
--- a/src/main/java/quartzspan/clientproxy/ClientProxyConfig.java
+++ b/src/main/java/quartzspan/clientproxy/ClientProxyConfig.java
@@ -67,23 +67,23 @@
         EndpointList cachedList = null;
         int maxSockets = SUPPORTED_SOCKETS;
         SettingsReader settings = null;
-        try (JsonParser in = EndpointList.JSON_FACTORY.createParser(json)) {
-            if (in.nextToken() != JsonToken.START_OBJECT) {
+        try (JsonParser parser = EndpointList.JSON_FACTORY.createParser(json)) {
+            if (parser.nextToken() != JsonToken.START_OBJECT) {
                 throw new IOException("configuration: must be an object");
             }
-            while (in.nextToken() == JsonToken.FIELD_NAME) {
-                String name = in.currentName();
-                if (in.nextToken() == JsonToken.VALUE_NULL) {
+            while (parser.nextToken() == JsonToken.FIELD_NAME) {
+                String name = parser.currentName();
+                if (parser.nextToken() == JsonToken.VALUE_NULL) {
                     continue;
                 }
                 switch (name) {
-                    case "listen" -> listen = EndpointList.parseAddress(in.getText());
-                    case "discovery" -> discovery = EndpointList.parseAddress(in.getText());
-                    case "seed" -> seed = in.getText();
-                    case "limits" -> maxSockets = readMaxSockets(in);
-                    case "known" -> cachedList = EndpointList.read(in);
-                    case "settings" -> settings = SettingsReader.read(in);
-                    default -> in.skipChildren();
+                    case "listen" -> listen = EndpointList.parseAddress(parser.getText());
+                    case "discovery" -> discovery = EndpointList.parseAddress(parser.getText());
+                    case "seed" -> seed = parser.getText();
+                    case "limits" -> maxSockets = readMaxSockets(parser);
+                    case "known" -> cachedList = EndpointList.read(parser);
+                    case "settings" -> settings = SettingsReader.read(parser);
+                    default -> parser.skipChildren();
                 }
             }
         }
@@ -104,18 +104,18 @@
                 cachedList);
     }
 
-    private static int readMaxSockets(JsonParser in) throws IOException {
-        if (in.currentToken() != JsonToken.START_OBJECT) {
+    private static int readMaxSockets(JsonParser parser) throws IOException {
+        if (parser.currentToken() != JsonToken.START_OBJECT) {
             throw new IOException("configuration: limits must be an object");
         }
         int maxSockets = SUPPORTED_SOCKETS;
-        while (in.nextToken() == JsonToken.FIELD_NAME) {
-            boolean isSockets = in.currentName().equals("sockets");
-            in.nextToken();
+        while (parser.nextToken() == JsonToken.FIELD_NAME) {
+            boolean isSockets = parser.currentName().equals("sockets");
+            parser.nextToken();
             if (isSockets) {
-                maxSockets = Math.min(maxSockets, in.getIntValue());
+                maxSockets = Math.min(maxSockets, parser.getIntValue());
             } else {
-                in.skipChildren();
+                parser.skipChildren();
             }
         }
         return maxSockets;
--- a/src/main/java/quartzspan/clientproxy/Discovery.java
+++ b/src/main/java/quartzspan/clientproxy/Discovery.java
@@ -46,10 +46,10 @@
      */
     private static final long READ_TIMEOUT_MS = 4_500;
     /**
-     * After a change of address, lists count as received after 4 s: an address that sends nothing must be tried
-     * again within that time.
+     * After a change of address the protocol counts lists as received after 4 s: an address that sends nothing
+     * must be tried again within that time.
      */
-    private static final long FIRST_READ_TIMEOUT_AFTER_MOVE_MS = 1_800;
+    private static final long FIRST_READ_TIMEOUT_AFTER_ADDRESS_CHANGE_MS = 1_800;
 
     private static final int CONNECT_TIMEOUT_MS = 1_000;
     private static final int MAX_LIST_BYTES = 4 * 1024 * 1024;
@@ -111,7 +111,7 @@
             closeWatch();
             address = newAddress;
             version = -1;
-            startWatch(FIRST_READ_TIMEOUT_AFTER_MOVE_MS);
+            startWatch(FIRST_READ_TIMEOUT_AFTER_ADDRESS_CHANGE_MS);
         }
     }
 
--- a/src/main/java/quartzspan/clientproxy/EndpointList.java
+++ b/src/main/java/quartzspan/clientproxy/EndpointList.java
@@ -27,48 +27,48 @@
             long startedMs) {}
 
     /** Parses a message of the watch; throws an {@link IOException} unless it is exactly one valid list. */
-    static EndpointList parse(byte[] line) throws IOException {
-        try (JsonParser in = JSON_FACTORY.createParser(line)) {
-            in.nextToken();
-            EndpointList list = read(in);
-            require(in.nextToken() == null, "endpoint list is followed by other text");
+    static EndpointList parse(byte[] json) throws IOException {
+        try (JsonParser parser = JSON_FACTORY.createParser(json)) {
+            parser.nextToken();
+            EndpointList list = read(parser);
+            require(parser.nextToken() == null, "endpoint list is followed by other text");
             return list;
         }
     }
 
     /** Reads the list object at the parser's current position. */
-    static EndpointList read(JsonParser in) throws IOException {
-        require(in.currentToken() == JsonToken.START_OBJECT, "endpoint list must be a JSON object");
+    static EndpointList read(JsonParser parser) throws IOException {
+        require(parser.currentToken() == JsonToken.START_OBJECT, "endpoint list must be a JSON object");
         long version = -1;
         boolean full = false;
         List<Entry> entries = null;
-        while (in.nextToken() == JsonToken.FIELD_NAME) {
-            String name = in.currentName();
-            in.nextToken();
+        while (parser.nextToken() == JsonToken.FIELD_NAME) {
+            String name = parser.currentName();
+            parser.nextToken();
             switch (name) {
-                case "version" -> version = in.getLongValue();
-                case "full" -> full = in.getBooleanValue();
-                case "servers" -> entries = readEntries(in);
-                default -> in.skipChildren();
+                case "version" -> version = parser.getLongValue();
+                case "full" -> full = parser.getBooleanValue();
+                case "servers" -> entries = readEntries(parser);
+                default -> parser.skipChildren();
             }
         }
-        require(in.currentToken() == JsonToken.END_OBJECT, "endpoint list is truncated");
+        require(parser.currentToken() == JsonToken.END_OBJECT, "endpoint list is truncated");
         require(version >= 0, "endpoint list has no field version");
         require(entries != null, "endpoint list has no field servers");
         return new EndpointList(version, full, entries);
     }
 
-    private static List<Entry> readEntries(JsonParser in) throws IOException {
-        require(in.currentToken() == JsonToken.START_ARRAY, "endpoint list: servers must be an array");
+    private static List<Entry> readEntries(JsonParser parser) throws IOException {
+        require(parser.currentToken() == JsonToken.START_ARRAY, "endpoint list: servers must be an array");
         List<Entry> entries = new ArrayList<>();
-        while (in.nextToken() == JsonToken.START_OBJECT) {
-            entries.add(readEntry(in));
+        while (parser.nextToken() == JsonToken.START_OBJECT) {
+            entries.add(readEntry(parser));
         }
-        require(in.currentToken() == JsonToken.END_ARRAY, "endpoint list: servers must contain only objects");
+        require(parser.currentToken() == JsonToken.END_ARRAY, "endpoint list: servers must contain only objects");
         return entries;
     }
 
-    private static Entry readEntry(JsonParser in) throws IOException {
+    private static Entry readEntry(JsonParser parser) throws IOException {
         String id = null;
         InetSocketAddress address = null;
         String zone = "";
@@ -77,19 +77,19 @@
         Availability availability = null;
         double weight = 1;
         long startedMs = 0;
-        while (in.nextToken() == JsonToken.FIELD_NAME) {
-            String name = in.currentName();
-            in.nextToken();
+        while (parser.nextToken() == JsonToken.FIELD_NAME) {
+            String name = parser.currentName();
+            parser.nextToken();
             switch (name) {
-                case "id" -> id = in.getText();
-                case "addr" -> address = parseAddress(in.getText());
-                case "zone" -> zone = in.getText();
-                case "kind" -> kind = in.getText();
-                case "cell" -> cell = in.getIntValue();
-                case "state" -> availability = parseAvailability(in.getText());
-                case "weight" -> weight = in.getDoubleValue();
-                case "started_ms" -> startedMs = in.getLongValue();
-                default -> in.skipChildren();
+                case "id" -> id = parser.getText();
+                case "addr" -> address = parseAddress(parser.getText());
+                case "zone" -> zone = parser.getText();
+                case "kind" -> kind = parser.getText();
+                case "cell" -> cell = parser.getIntValue();
+                case "state" -> availability = parseAvailability(parser.getText());
+                case "weight" -> weight = parser.getDoubleValue();
+                case "started_ms" -> startedMs = parser.getLongValue();
+                default -> parser.skipChildren();
             }
         }
         require(
@@ -107,7 +107,7 @@
         };
     }
 
-    /** Accepts only a literal IP address and port: there is no DNS, and a lookup would block the event loop. */
+    /** Parses a literal IP address and port; accepts no host name: there is no DNS, and a lookup would block the event loop. */
     static InetSocketAddress parseAddress(String text) throws IOException {
         int colon = String.valueOf(text).lastIndexOf(':');
         byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
@@ -120,8 +120,8 @@
         }
     }
 
-    private static void require(boolean ok, String message) throws IOException {
-        if (!ok) {
+    private static void require(boolean valid, String message) throws IOException {
+        if (!valid) {
             throw new IOException(message);
         }
     }
--- a/src/main/java/quartzspan/clientproxy/WarmUp.java
+++ b/src/main/java/quartzspan/clientproxy/WarmUp.java
@@ -112,7 +112,7 @@
             }
 
             @Override
-            public void onProbeEnded(long now, String endpointId, Outcome outcome, long lagUs) {}
+            public void onProbeEnded(long now, String endpointId, Outcome outcome, long latencyUs) {}
 
             @Override
             public void onTimer(long now) {}
@@ -146,7 +146,7 @@
             }
             OutgoingRequest outgoing = new OutgoingRequest(
                     requestClass.effect() == Effect.RETRYABLE ? "GET" : "POST", "/api", headers, new byte[0]);
-            upstream.attempt(endpoint, outgoing, requestClass.deadlineUs(), () -> true, (outcome, answer) -> {
+            upstream.attempt(endpoint, outgoing, requestClass.deadlineUs(), () -> true, (outcome, response) -> {
                         remaining.countDown();
                         if (remaining.getCount() > 0) {
                             loop.execute(this::sendNext);
--- a/src/main/java/quartzspan/simulator/Adapter.java
+++ b/src/main/java/quartzspan/simulator/Adapter.java
@@ -31,8 +31,8 @@
     /** Bit of a request: the client marks it as a repeat. */
     private static final int REPEAT_BIT = 2;
 
-    private final JsonParser in;
-    private final JsonGenerator out;
+    private final JsonParser parser;
+    private final JsonGenerator generator;
     private final EventReader events;
     private final TreeMap<Integer, Instance> instances = new TreeMap<>();
     /** Instances that the current batch addresses, in the order of their first occurrence. */
@@ -44,10 +44,10 @@
     private Adapter(InputStream input, OutputStream output) throws IOException {
         JsonFactory factory = new JsonFactory();
         factory.configure(JsonParser.Feature.AUTO_CLOSE_SOURCE, false);
-        this.in = factory.createParser(input);
-        this.out = factory.createGenerator(output);
-        this.out.setRootValueSeparator(null);
-        this.events = new EventReader(in);
+        this.parser = factory.createParser(input);
+        this.generator = factory.createGenerator(output);
+        this.generator.setRootValueSeparator(null);
+        this.events = new EventReader(parser);
         for (int i = 0; i < MAX_TABLES; i++) {
             tables.add(List.of());
         }
@@ -74,7 +74,7 @@
     }
 
     private boolean readBatch() throws IOException {
-        JsonToken first = in.nextToken();
+        JsonToken first = parser.nextToken();
         if (first == null) {
             return false;
         }
@@ -85,19 +85,19 @@
         long now = 0;
         boolean hasTime = false;
         events.reset();
-        while (in.nextToken() == JsonToken.FIELD_NAME) {
-            String name = in.currentName();
-            in.nextToken();
+        while (parser.nextToken() == JsonToken.FIELD_NAME) {
+            String name = parser.currentName();
+            parser.nextToken();
             switch (name) {
                 case "wallUs" -> {
-                    now = in.getLongValue();
+                    now = parser.getLongValue();
                     hasTime = true;
                 }
                 case "proxys" -> events.readGroups();
-                default -> in.skipChildren();
+                default -> parser.skipChildren();
             }
         }
-        if (in.currentToken() != JsonToken.END_OBJECT) {
+        if (parser.currentToken() != JsonToken.END_OBJECT) {
             throw new SimulatorInputException("batch ends before its closing brace");
         }
         if (!hasTime) {
@@ -109,12 +109,12 @@
         return true;
     }
 
-    private void dispatch(int number, int from, int to, long now) throws IOException {
-        Instance instance = instances.computeIfAbsent(number, Instance::new);
+    private void dispatch(int instanceNumber, int firstEvent, int endEvent, long now) throws IOException {
+        Instance instance = instances.computeIfAbsent(instanceNumber, Instance::new);
         if (!addressed.contains(instance)) {
             addressed.add(instance);
         }
-        for (int i = from; i < to; i++) {
+        for (int i = firstEvent; i < endEvent; i++) {
             EventReader.Event event = events.event(i);
             if (event.type == null) {
                 throw new SimulatorInputException("event has no field m");
@@ -135,48 +135,48 @@
     }
 
     private void writeReply() throws IOException {
-        out.writeStartObject();
-        out.writeArrayFieldStart("proxys");
+        generator.writeStartObject();
+        generator.writeArrayFieldStart("proxys");
         for (Instance instance : addressed) {
             if (!instance.pendingActions.isEmpty()) {
-                out.writeStartObject();
-                out.writeNumberField("i", instance.number);
-                out.writeArrayFieldStart("actions");
+                generator.writeStartObject();
+                generator.writeNumberField("i", instance.number);
+                generator.writeArrayFieldStart("actions");
                 for (Action action : instance.pendingActions) {
-                    action.write(out);
+                    action.write(generator);
                 }
-                out.writeEndArray();
-                out.writeEndObject();
+                generator.writeEndArray();
+                generator.writeEndObject();
                 instance.pendingActions.clear();
             }
         }
-        out.writeEndArray();
-        out.writeEndObject();
-        out.writeRaw('\n');
-        out.flush();
+        generator.writeEndArray();
+        generator.writeEndObject();
+        generator.writeRaw('\n');
+        generator.flush();
     }
 
     /** An action to be written to the reply; {@code number} is written under {@code numberName} if that is set. */
     private record Action(String type, String requestId, String host, String numberName, long number, String text) {
-        void write(JsonGenerator out) throws IOException {
-            out.writeStartObject();
-            out.writeStringField("m", type);
+        void write(JsonGenerator generator) throws IOException {
+            generator.writeStartObject();
+            generator.writeStringField("m", type);
             if (requestId != null) {
-                out.writeStringField("xid", requestId);
+                generator.writeStringField("xid", requestId);
             }
             if (host != null) {
-                out.writeStringField("host", host);
+                generator.writeStringField("host", host);
             }
             if (numberName != null) {
-                out.writeNumberField(numberName, number);
+                generator.writeNumberField(numberName, number);
             }
             switch (type) {
-                case "TIMER" -> out.writeStringField("name", "wake");
-                case "OBSERVE" -> out.writeBooleanField("enable", true);
-                case "CRASH" -> out.writeStringField("msg", text);
+                case "TIMER" -> generator.writeStringField("name", "wake");
+                case "OBSERVE" -> generator.writeBooleanField("enable", true);
+                case "CRASH" -> generator.writeStringField("msg", text);
                 default -> {}
             }
-            out.writeEndObject();
+            generator.writeEndObject();
         }
     }
 
--- a/src/main/java/quartzspan/simulator/EventReader.java
+++ b/src/main/java/quartzspan/simulator/EventReader.java
@@ -10,7 +10,7 @@
 
 /** Parses the groups of a batch into event objects, which are reused by later batches. */
 final class EventReader {
-    private final JsonParser in;
+    private final JsonParser parser;
     private final List<Event> pool = new ArrayList<>();
     private int size;
     /** Three numbers for each group: instance, index of the first event, index after the last event. */
@@ -18,8 +18,8 @@
 
     private int groupCount;
 
-    EventReader(JsonParser in) {
-        this.in = in;
+    EventReader(JsonParser parser) {
+        this.parser = parser;
     }
 
     /** The fields of an event; absent fields have the values that {@link #clear} sets. */
@@ -81,7 +81,7 @@
 
     void readGroups() throws IOException {
         expect(JsonToken.START_ARRAY, "proxys must be an array");
-        while (in.nextToken() == JsonToken.START_OBJECT) {
+        while (parser.nextToken() == JsonToken.START_OBJECT) {
             readGroup();
         }
         expect(JsonToken.END_ARRAY, "proxys must contain only objects");
@@ -91,20 +91,20 @@
         boolean hasNumber = false;
         int number = 0;
         int firstEvent = size;
-        while (in.nextToken() == JsonToken.FIELD_NAME) {
-            String name = in.currentName();
-            in.nextToken();
+        while (parser.nextToken() == JsonToken.FIELD_NAME) {
+            String name = parser.currentName();
+            parser.nextToken();
             if (name.equals("i")) {
-                number = in.getIntValue();
+                number = parser.getIntValue();
                 hasNumber = true;
             } else if (name.equals("in")) {
                 expect(JsonToken.START_ARRAY, "in must be an array");
-                while (in.nextToken() == JsonToken.START_OBJECT) {
+                while (parser.nextToken() == JsonToken.START_OBJECT) {
                     readEvent();
                 }
                 expect(JsonToken.END_ARRAY, "in must contain only objects");
             } else {
-                in.skipChildren();
+                parser.skipChildren();
             }
         }
         if (!hasNumber) {
@@ -125,31 +125,31 @@
         }
         Event event = pool.get(size++);
         event.clear();
-        while (in.nextToken() == JsonToken.FIELD_NAME) {
-            String name = in.currentName();
-            if (in.nextToken() == JsonToken.VALUE_NULL) {
+        while (parser.nextToken() == JsonToken.FIELD_NAME) {
+            String name = parser.currentName();
+            if (parser.nextToken() == JsonToken.VALUE_NULL) {
                 continue;
             }
             switch (name) {
-                case "m" -> event.type = in.getText();
-                case "xid" -> event.requestId = in.getText();
-                case "host" -> event.host = in.getText();
-                case "routeKey" -> event.routeKey = in.getText();
-                case "outcome" -> event.outcome = in.getText();
-                case "how" -> event.how = in.getText();
-                case "budgetUs" -> event.budgetUs = in.getLongValue();
-                case "expectedUs" -> event.expectedUs = in.getLongValue();
-                case "lagUs" -> event.lagUs = in.getLongValue();
-                case "rngSeed" -> event.seed = in.getNumberValue().longValue();
-                case "bits" -> event.bits = in.getIntValue();
-                case "tierClass" -> event.classIndex = in.getIntValue();
-                case "customer" -> event.tenant = in.getIntValue();
-                case "hop" -> event.attempt = in.getIntValue();
-                case "table" -> event.table = in.getIntValue();
-                case "complete" -> event.complete = in.getBooleanValue();
+                case "m" -> event.type = parser.getText();
+                case "xid" -> event.requestId = parser.getText();
+                case "host" -> event.host = parser.getText();
+                case "routeKey" -> event.routeKey = parser.getText();
+                case "outcome" -> event.outcome = parser.getText();
+                case "how" -> event.how = parser.getText();
+                case "budgetUs" -> event.budgetUs = parser.getLongValue();
+                case "expectedUs" -> event.expectedUs = parser.getLongValue();
+                case "lagUs" -> event.lagUs = parser.getLongValue();
+                case "rngSeed" -> event.seed = parser.getNumberValue().longValue();
+                case "bits" -> event.bits = parser.getIntValue();
+                case "tierClass" -> event.classIndex = parser.getIntValue();
+                case "customer" -> event.tenant = parser.getIntValue();
+                case "hop" -> event.attempt = parser.getIntValue();
+                case "table" -> event.table = parser.getIntValue();
+                case "complete" -> event.complete = parser.getBooleanValue();
                 case "rowsIn" -> event.rows = readRows();
-                case "bootInfo" -> event.settings = SettingsReader.read(in);
-                default -> in.skipChildren();
+                case "bootInfo" -> event.settings = SettingsReader.read(parser);
+                default -> parser.skipChildren();
             }
         }
     }
@@ -157,7 +157,7 @@
     private List<Endpoint> readRows() throws IOException {
         expect(JsonToken.START_ARRAY, "rowsIn must be an array");
         List<Endpoint> rows = new ArrayList<>();
-        while (in.nextToken() == JsonToken.START_OBJECT) {
+        while (parser.nextToken() == JsonToken.START_OBJECT) {
             String host = null;
             int zone = 0;
             int cell = 0;
@@ -165,20 +165,20 @@
             int kind = 0;
             long startedAtUs = 0;
             Availability availability = Availability.READY;
-            while (in.nextToken() == JsonToken.FIELD_NAME) {
-                String name = in.currentName();
-                if (in.nextToken() == JsonToken.VALUE_NULL) {
+            while (parser.nextToken() == JsonToken.FIELD_NAME) {
+                String name = parser.currentName();
+                if (parser.nextToken() == JsonToken.VALUE_NULL) {
                     continue;
                 }
                 switch (name) {
-                    case "host" -> host = in.getText();
-                    case "az" -> zone = in.getIntValue();
-                    case "machine" -> kind = in.getIntValue();
-                    case "cohort" -> cell = in.getIntValue();
-                    case "availability" -> availability = availability(in.getText());
-                    case "rating" -> weight = in.getDoubleValue();
-                    case "cameUpUs" -> startedAtUs = in.getLongValue();
-                    default -> in.skipChildren();
+                    case "host" -> host = parser.getText();
+                    case "az" -> zone = parser.getIntValue();
+                    case "machine" -> kind = parser.getIntValue();
+                    case "cohort" -> cell = parser.getIntValue();
+                    case "availability" -> availability = availability(parser.getText());
+                    case "rating" -> weight = parser.getDoubleValue();
+                    case "cameUpUs" -> startedAtUs = parser.getLongValue();
+                    default -> parser.skipChildren();
                 }
             }
             if (host == null) {
@@ -200,7 +200,7 @@
     }
 
     private void expect(JsonToken token, String problem) throws IOException {
-        if (in.currentToken() != token) {
+        if (parser.currentToken() != token) {
             throw new SimulatorInputException(problem);
         }
     }
--- a/src/main/java/quartzspan/simulator/SettingsReader.java
+++ b/src/main/java/quartzspan/simulator/SettingsReader.java
@@ -26,45 +26,45 @@
     }
 
     /** Reads the object at the parser's current position. */
-    public static SettingsReader read(JsonParser in) throws IOException {
-        if (in.currentToken() != JsonToken.START_OBJECT) {
+    public static SettingsReader read(JsonParser parser) throws IOException {
+        if (parser.currentToken() != JsonToken.START_OBJECT) {
             throw new SimulatorInputException("settings must be an object");
         }
-        return new SettingsReader(object(in));
+        return new SettingsReader(object(parser));
     }
 
-    private static Map<String, Object> object(JsonParser in) throws IOException {
+    private static Map<String, Object> object(JsonParser parser) throws IOException {
         Map<String, Object> map = new LinkedHashMap<>();
-        while (in.nextToken() == JsonToken.FIELD_NAME) {
-            String name = in.currentName();
-            in.nextToken();
-            map.put(name, value(in));
+        while (parser.nextToken() == JsonToken.FIELD_NAME) {
+            String name = parser.currentName();
+            parser.nextToken();
+            map.put(name, value(parser));
         }
         return map;
     }
 
-    private static Object value(JsonParser in) throws IOException {
-        return switch (in.currentToken()) {
-            case START_OBJECT -> object(in);
+    private static Object value(JsonParser parser) throws IOException {
+        return switch (parser.currentToken()) {
+            case START_OBJECT -> object(parser);
             case START_ARRAY -> {
                 List<Object> list = new ArrayList<>();
-                while (in.nextToken() != JsonToken.END_ARRAY) {
-                    list.add(value(in));
+                while (parser.nextToken() != JsonToken.END_ARRAY) {
+                    list.add(value(parser));
                 }
                 yield list;
             }
-            case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> in.getDoubleValue();
+            case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> parser.getDoubleValue();
             case VALUE_TRUE -> true;
             case VALUE_FALSE -> false;
-            case VALUE_STRING -> in.getText();
+            case VALUE_STRING -> parser.getText();
             default -> null;
         };
     }
 
     /** The names of zones ({@code azs}) or {@code kinds}; the index of a name in the list is the number used elsewhere. */
-    public List<String> names(String list) {
+    public List<String> names(String listName) {
         List<String> names = new ArrayList<>();
-        list(root, list).forEach(name -> names.add(String.valueOf(name)));
+        list(root, listName).forEach(name -> names.add(String.valueOf(name)));
         return names;
     }
 
@@ -136,7 +136,7 @@
                     default -> throw new IllegalArgumentException(
                             "settings: " + name + ": unknown dedupScope " + fields.get("dedupScope"));
                 };
-        long onTimeUs = (long) number(fields, "onTimeUs", number(fields, "deadlineUs", 1_000_000));
+        long targetUs = (long) number(fields, "onTimeUs", number(fields, "deadlineUs", 1_000_000));
         return new RequestClass(
                 name,
                 effect,
@@ -144,9 +144,9 @@
                 (long) number(fields, "dedupWindowUs", 0),
                 number(fields, "worth", 1),
                 number(fields, "lateWorth", 0),
-                onTimeUs,
+                targetUs,
                 number(fields, "aimStretch", 0),
-                (long) number(fields, "deadlineUs", (double) onTimeUs));
+                (long) number(fields, "deadlineUs", (double) targetUs));
     }
 
     private static double number(Map<String, Object> map, String name, double defaultValue) {
--- a/src/test/java/quartzspan/clientproxy/ClientProxyFixture.java
+++ b/src/test/java/quartzspan/clientproxy/ClientProxyFixture.java
@@ -79,7 +79,7 @@
         }
 
         @Override
-        public void onProbeEnded(long now, String endpointId, Outcome outcome, long lagUs) {
+        public void onProbeEnded(long now, String endpointId, Outcome outcome, long latencyUs) {
             probeOutcomes.add(outcome);
         }
 
