--- a/src/main/java/quartzspan/clientproxy/ClientProxy.java
+++ b/src/main/java/quartzspan/clientproxy/ClientProxy.java
@@ -64,7 +64,7 @@
     private static final int MAX_BIND_RETRIES = 40;
 
     private static final long BIND_RETRY_DELAY_MS = 50;
-    /** In automatic mode an agent pushes the lists; it answers at once and at no cost, unlike the discovery service. */
+    /** In automatic mode an agent pushes the lists; it responds at once and at no cost, unlike the discovery service. */
     private static final long AGENT_RETRY_DELAY_MS = 500;
     /**
      * A connection without an open request is closed after this time. The protocol allows that after 2 s and
@@ -474,6 +474,7 @@
         exchange.timeout.cancel(false);
     }
 
+    /** Reports that no final answer is needed: the client disconnected, or the response timeout has answered it. */
     private void reportRequestGone(Exchange exchange) {
         execute(() -> {
             try {
--- a/src/main/java/quartzspan/simulator/EventReader.java
+++ b/src/main/java/quartzspan/simulator/EventReader.java
@@ -71,6 +71,7 @@
         return groups[3 * group + 1];
     }
 
+    /** Index after the last event of a group. */
     int endEvent(int group) {
         return groups[3 * group + 2];
     }
@@ -98,17 +99,17 @@
                 number = parser.getIntValue();
                 hasNumber = true;
             } else if (name.equals("in")) {
-                expect(JsonToken.START_ARRAY, "in must be an array");
+                expect(JsonToken.START_ARRAY, "field in of an instance must be an array");
                 while (parser.nextToken() == JsonToken.START_OBJECT) {
                     readEvent();
                 }
-                expect(JsonToken.END_ARRAY, "in must contain only objects");
+                expect(JsonToken.END_ARRAY, "field in of an instance must contain only objects");
             } else {
                 parser.skipChildren();
             }
         }
         if (!hasNumber) {
-            throw new SimulatorInputException("instance has no field i");
+            throw new SimulatorInputException("proxys: instance has no field i");
         }
         if (3 * groupCount + 3 > groups.length) {
             groups = java.util.Arrays.copyOf(groups, 2 * groups.length);
@@ -155,7 +156,7 @@
     }
 
     private List<Endpoint> readRows() throws IOException {
-        expect(JsonToken.START_ARRAY, "rowsIn must be an array");
+        expect(JsonToken.START_ARRAY, "CATALOG: rowsIn must be an array");
         List<Endpoint> rows = new ArrayList<>();
         while (parser.nextToken() == JsonToken.START_OBJECT) {
             String host = null;
@@ -186,7 +187,7 @@
             }
             rows.add(new Endpoint(host, zone, cell, kind, availability, weight, startedAtUs));
         }
-        expect(JsonToken.END_ARRAY, "rowsIn must contain only objects");
+        expect(JsonToken.END_ARRAY, "CATALOG: rowsIn must contain only objects");
         return List.copyOf(rows);
     }
 
