--- a/src/test/java/quartzspan/clientproxy/ClientDisconnectTest.java
+++ b/src/test/java/quartzspan/clientproxy/ClientDisconnectTest.java
@@ -24,8 +24,8 @@
 
     /** Starts a server and a proxy that forwards every request to it, except those whose id starts with "held". */
     private Server startWithServer() throws Exception {
-        Server host = startServer(s -> s.served("x"));
-        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        Server server = startServer(s -> s.served("x"));
+        start("", LoopbackPeers.endpoint("s", server.address(), "in_service"));
         balancer.onRequest = r -> {
             if (r.id().startsWith("held")) {
                 heldRequests.add(r.id());
@@ -33,26 +33,28 @@
                 balancer.actions.send(r.id(), "s", 0);
             }
         };
-        return host;
+        return server;
     }
 
-    private void assertOnlyNextRequestArrives(Server host) throws Exception {
+    private void assertOnlyNextRequestArrives(Server server) throws Exception {
         assertEquals(200, connectClient().unsafe("last", 20_000).read().status());
         assertEquals(
                 "last",
-                LoopbackPeers.next(host.received, "the last request").message().header("x-request-id"));
-        assertTrue(host.received.isEmpty());
+                LoopbackPeers.next(server.received, "the last request")
+                        .message()
+                        .header("x-request-id"));
+        assertTrue(server.received.isEmpty());
     }
 
     @Test
     void whileTheEventLoopIsBlocked() throws Exception {
         // When the event loop continues, it finds both the request and the disconnect of each client.
-        Server host = startWithServer();
+        Server server = startWithServer();
         Client reused = connectClient();
         Client reset = connectClient();
         assertEquals(200, reused.unsafe("first", 20_000).read().status());
         assertEquals(200, reset.unsafe("second", 20_000).read().status());
-        host.received.clear();
+        server.received.clear();
         Client blocking = connectClient();
         CountDownLatch release =
                 blockEventLoop(blocking, () -> balancer.onRequest = next -> balancer.actions.send(next.id(), "s", 0));
@@ -63,13 +65,13 @@
         connectClient().unsafe("one", 20_000).unsafe("behind another", 20_000).close();
         release.countDown();
         assertEquals(503, blocking.read().status());
-        assertOnlyNextRequestArrives(host);
+        assertOnlyNextRequestArrives(server);
         assertTrue(balancer.disconnects.isEmpty(), "no request must reach the load balancer");
     }
 
     @Test
     void whileTheBalancerHoldsTheRequest() throws Exception {
-        Server host = startWithServer();
+        Server server = startWithServer();
         Client client = connectClient().unsafe("held", 20_000);
         LoopbackPeers.next(heldRequests, "the request");
         client.close();
@@ -78,26 +80,26 @@
             balancer.actions.send("held", "s", 0);
             balancer.actions.send(r.id(), "s", 0);
         };
-        assertOnlyNextRequestArrives(host);
+        assertOnlyNextRequestArrives(server);
     }
 
     @Test
     void whileQueuedBehindAnotherRequest() throws Exception {
-        Server host = startWithServer();
+        Server server = startWithServer();
         Client client = connectClient().unsafe("held", 20_000).unsafe("behind", 20_000);
         LoopbackPeers.next(heldRequests, "the first request");
         client.close();
         assertEquals("held", LoopbackPeers.next(balancer.disconnects, "the disconnect"));
-        assertOnlyNextRequestArrives(host);
+        assertOnlyNextRequestArrives(server);
     }
 
     @Test
     void whileTheServerConnectionIsBeingEstablished() throws Exception {
         // Also with settings that forbid the cancellation of attempts.
         for (boolean cancelOnDisconnect : new boolean[] {true, false}) {
-            try (FullBacklogServer deaf = new FullBacklogServer()) {
+            try (FullBacklogServer fullBacklog = new FullBacklogServer()) {
                 balancer.cancelOnDisconnect = cancelOnDisconnect;
-                start("", LoopbackPeers.host("s", deaf.address(), "in_service"));
+                start("", LoopbackPeers.endpoint("s", fullBacklog.address(), "in_service"));
                 CountDownLatch sent = new CountDownLatch(1);
                 balancer.onRequest = r -> {
                     balancer.actions.send(r.id(), "s", 0);
@@ -113,8 +115,8 @@
                             LoopbackPeers.next(balancer.attemptEnds, "the end of the attempt")
                                     .outcome());
                 } else {
-                    deaf.acceptAll();
-                    assertTrue(deaf.closedWithoutInput(), "nothing must be sent");
+                    fullBacklog.acceptAll();
+                    assertTrue(fullBacklog.closedWithoutInput(), "nothing must be sent");
                     assertEquals(
                             Outcome.IGNORED,
                             LoopbackPeers.next(balancer.attemptEnds, "the end of the attempt")
@@ -127,7 +129,7 @@
 
     @Test
     void betweenTwoAttempts() throws Exception {
-        Server host = startWithServer();
+        Server server = startWithServer();
         BlockingQueue<ReceivedRequest> attempts = new LinkedBlockingQueue<>();
         Server rejecting = startServer(attempts::add);
         ReceivedRequest watch = discovery.awaitWatch();
@@ -136,8 +138,8 @@
                 LoopbackPeers.list(
                         2,
                         true,
-                        LoopbackPeers.host("s", host.address(), "in_service"),
-                        LoopbackPeers.host("t", rejecting.address(), "in_service")));
+                        LoopbackPeers.endpoint("s", server.address(), "in_service"),
+                        LoopbackPeers.endpoint("t", rejecting.address(), "in_service")));
         LoopbackPeers.next(balancer.discoveryEvents, "the list");
         balancer.onRequest = r -> balancer.actions.send(r.id(), "t", 0);
         Client client = connectClient().unsafe("twice", 20_000);
@@ -150,7 +152,7 @@
             balancer.actions.send("twice", "s", 0);
             balancer.actions.send(r.id(), "s", 0);
         };
-        assertOnlyNextRequestArrives(host);
+        assertOnlyNextRequestArrives(server);
     }
 
     @Test
--- a/src/test/java/quartzspan/clientproxy/ClientProxyFixture.java
+++ b/src/test/java/quartzspan/clientproxy/ClientProxyFixture.java
@@ -87,13 +87,13 @@
         public void onTimer(long now) {}
     }
 
-    void start(String limits, String... hosts) throws Exception {
-        start(starting -> {}, limits, hosts);
+    void start(String limits, String... endpoints) throws Exception {
+        start(starting -> {}, limits, endpoints);
     }
 
-    void start(Consumer<ClientProxy> beforeListening, String limits, String... hosts) throws Exception {
+    void start(Consumer<ClientProxy> beforeListening, String limits, String... endpoints) throws Exception {
         discovery = closeAfterTest(new Discovery());
-        String known = LoopbackPeers.list(1, true, hosts);
+        String known = LoopbackPeers.list(1, true, endpoints);
         ClientProxyConfig config =
                 ClientProxyConfig.parse(LoopbackPeers.config(0, discovery.server.address(), limits, known)
                         .getBytes(StandardCharsets.UTF_8));
@@ -153,8 +153,8 @@
 
     /** Sends one request to a server with this script, in one attempt; returns the end of the attempt. */
     AttemptEnd attemptOnce(Consumer<ReceivedRequest> script, long timeoutUs) throws Exception {
-        Server host = startServer(script);
-        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        Server server = startServer(script);
+        start("", LoopbackPeers.endpoint("s", server.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", timeoutUs);
         balancer.onAttemptEnd = e -> balancer.actions.fail(e.requestId());
         Client client = connectClient().unsafe("id1", 20_000);
@@ -162,7 +162,7 @@
         int status = client.read().status();
         assertEquals(end.outcome() == Outcome.OK ? 200 : 502, status);
         assertEquals(end.outcome() == Outcome.OK, end.requestDone());
-        assertEquals(1, host.received.size(), "the request must be sent exactly once");
+        assertEquals(1, server.received.size(), "the request must be sent exactly once");
         return end;
     }
 }
--- a/src/test/java/quartzspan/clientproxy/ClientProxyProcessTest.java
+++ b/src/test/java/quartzspan/clientproxy/ClientProxyProcessTest.java
@@ -37,11 +37,11 @@
     private Process process;
     private Discovery discovery;
 
-    private int start(Server... hosts) throws Exception {
+    private int start(Server... servers) throws Exception {
         discovery = closeAfterTest(new Discovery());
         List<String> known = new ArrayList<>();
-        for (Server host : hosts) {
-            known.add(LoopbackPeers.host("s" + known.size(), host.address(), "in_service"));
+        for (Server server : servers) {
+            known.add(LoopbackPeers.endpoint("s" + known.size(), server.address(), "in_service"));
         }
         int port = freePort();
         startProcess(
@@ -149,22 +149,22 @@
 
     @Test
     void afterSigtermRequestsAreServedUntilTheProcessExits() throws Exception {
-        Server host = startServer(s -> {
+        Server server = startServer(s -> {
             if (!s.message().header("x-request-id").equals("pending")) {
                 s.served("x");
             }
         });
-        int port = start(host);
+        int port = start(server);
         try (Client reused = new Client(port);
                 Client pending = new Client(port);
                 Client idle = new Client(port)) {
             // Enough requests for the load balancer to measure that a response takes less than the time until SIGKILL.
             for (int i = 0; i < 200; i++) {
                 assertEquals(200, reused.unsafe("before" + i, 20_000).read().status());
-                LoopbackPeers.next(host.received, "a request before the signal");
+                LoopbackPeers.next(server.received, "a request before the signal");
             }
             pending.unsafe("pending", 20_000);
-            ReceivedRequest waiting = LoopbackPeers.next(host.received, "the pending request");
+            ReceivedRequest waiting = LoopbackPeers.next(server.received, "the pending request");
             long signalledNs = System.nanoTime();
             process.destroy();
             try {
@@ -198,8 +198,8 @@
 
     @Test
     void sighupChangesTheDiscoveryAddressAndAnInvalidFileIsIgnored() throws Exception {
-        Server host = startServer(s -> s.served("x"));
-        int port = start(host);
+        Server server = startServer(s -> s.served("x"));
+        int port = start(server);
         Discovery other = closeAfterTest(new Discovery());
         Path file = folder.resolve("config.json");
         String good = Files.readString(file);
@@ -210,7 +210,7 @@
         sendSighup();
         Discovery.push(
                 other.awaitWatch(),
-                LoopbackPeers.list(1, true, LoopbackPeers.host("s0", host.address(), "in_service")));
+                LoopbackPeers.list(1, true, LoopbackPeers.endpoint("s0", server.address(), "in_service")));
         try (Client client = new Client(port)) {
             assertEquals(200, client.unsafe("after", 20_000).read().status());
         }
--- a/src/test/java/quartzspan/clientproxy/DiscoveryTest.java
+++ b/src/test/java/quartzspan/clientproxy/DiscoveryTest.java
@@ -27,7 +27,7 @@
 class DiscoveryTest extends ClientProxyFixture {
     @Test
     void fullAndDeltaListsAreAppliedAndABrokenWatchIsReportedOnce() throws Exception {
-        start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
+        start("", LoopbackPeers.endpoint("s", "127.0.0.1:1", "in_service"));
         assertEquals(
                 200,
                 connectClient()
@@ -37,10 +37,10 @@
         ReceivedRequest watch = discovery.awaitWatch();
         String requestLine = watch.message().first();
         assertTrue(requestLine.startsWith("GET /api/targets?watch=1&after=1 "), requestLine);
-        Discovery.push(watch, LoopbackPeers.list(2, true, LoopbackPeers.host("t", "127.0.0.1:2", "in_service")));
+        Discovery.push(watch, LoopbackPeers.list(2, true, LoopbackPeers.endpoint("t", "127.0.0.1:2", "in_service")));
         assertEquals("FULL [t 1 READY]", LoopbackPeers.next(balancer.discoveryEvents, "the full list"));
         Discovery.push(watch, "");
-        Discovery.push(watch, LoopbackPeers.list(3, false, LoopbackPeers.host("t", "127.0.0.1:2", "terminated")));
+        Discovery.push(watch, LoopbackPeers.list(3, false, LoopbackPeers.endpoint("t", "127.0.0.1:2", "terminated")));
         assertEquals("DELTA [t 1 GONE]", LoopbackPeers.next(balancer.discoveryEvents, "the delta list"));
         assertEquals(
                 503,
@@ -97,13 +97,13 @@
                 throw new AssertionError(e);
             }
             s.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            Discovery.push(s, LoopbackPeers.list(2, true, LoopbackPeers.host("s", "127.0.0.1:1", "terminating")));
+            Discovery.push(s, LoopbackPeers.list(2, true, LoopbackPeers.endpoint("s", "127.0.0.1:1", "terminating")));
         });
         String config = LoopbackPeers.config(
                         0,
                         agent.address(),
                         "",
-                        LoopbackPeers.list(1, true, LoopbackPeers.host("s", "127.0.0.1:1", "in_service")))
+                        LoopbackPeers.list(1, true, LoopbackPeers.endpoint("s", "127.0.0.1:1", "in_service")))
                 .replace("subscribe", "automatic");
         List<String> eventsBeforeListening = new ArrayList<>();
         proxy = ClientProxy.start(
@@ -117,21 +117,22 @@
     void idleConnectionsCloseWhenAnEndpointChangesAddressOrDrains() throws Exception {
         Server before = startServer(s -> s.served("x"));
         Server after = startServer(s -> s.served("x"));
-        start("", LoopbackPeers.host("s", before.address(), "in_service"));
+        start("", LoopbackPeers.endpoint("s", before.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         ReceivedRequest watch = discovery.awaitWatch();
         Client client = connectClient();
         assertEquals(200, client.unsafe("id1", 20_000).read().status());
-        Discovery.push(watch, LoopbackPeers.list(2, false, LoopbackPeers.host("s", after.address(), "in_service")));
+        Discovery.push(watch, LoopbackPeers.list(2, false, LoopbackPeers.endpoint("s", after.address(), "in_service")));
         LoopbackPeers.next(before.received, "the first request").awaitEnd();
         assertEquals(200, client.unsafe("id2", 20_000).read().status());
-        Discovery.push(watch, LoopbackPeers.list(3, false, LoopbackPeers.host("s", after.address(), "terminating")));
+        Discovery.push(
+                watch, LoopbackPeers.list(3, false, LoopbackPeers.endpoint("s", after.address(), "terminating")));
         LoopbackPeers.next(after.received, "the second request").awaitEnd();
     }
 
     @Test
     void watchWithoutDataFailsAfterTheReadTimeout() throws Exception {
-        start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
+        start("", LoopbackPeers.endpoint("s", "127.0.0.1:1", "in_service"));
         ReceivedRequest watch = discovery.awaitWatch();
         assertEquals("failed", LoopbackPeers.next(balancer.discoveryEvents, "the failure after the read timeout"));
         watch.awaitEnd();
@@ -146,9 +147,9 @@
     void changingTheDiscoveryAddressRequestsAFullListWithoutReportingAFailure() throws Exception {
         // Another discovery service has its own version numbers, so a delta since the old version would be wrong.
         Discovery other = closeAfterTest(new Discovery());
-        start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
+        start("", LoopbackPeers.endpoint("s", "127.0.0.1:1", "in_service"));
         ReceivedRequest watch = discovery.awaitWatch();
-        Discovery.push(watch, LoopbackPeers.list(7, true, LoopbackPeers.host("s", "127.0.0.1:1", "in_service")));
+        Discovery.push(watch, LoopbackPeers.list(7, true, LoopbackPeers.endpoint("s", "127.0.0.1:1", "in_service")));
         assertEquals("FULL [s 1 READY]", LoopbackPeers.next(balancer.discoveryEvents, "the first list"));
         changeDiscovery(other.server.address());
         watch.awaitEnd();
@@ -164,7 +165,7 @@
                         .status(),
                 "the old list must stay in use");
         changeDiscovery(other.server.address());
-        Discovery.push(newWatch, LoopbackPeers.list(2, true, LoopbackPeers.host("t", "127.0.0.1:1", "in_service")));
+        Discovery.push(newWatch, LoopbackPeers.list(2, true, LoopbackPeers.endpoint("t", "127.0.0.1:1", "in_service")));
         assertEquals(
                 "FULL [t 1 READY]",
                 LoopbackPeers.next(
@@ -175,7 +176,7 @@
     @Test
     void unresponsiveNewDiscoveryAddressFailsTheWatch() throws Exception {
         Discovery unresponsive = closeAfterTest(new Discovery());
-        start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
+        start("", LoopbackPeers.endpoint("s", "127.0.0.1:1", "in_service"));
         discovery.awaitWatch();
         changeDiscovery(unresponsive.server.address());
         LoopbackPeers.next(unresponsive.server.received, "the unanswered watch").awaitEnd();
@@ -188,21 +189,21 @@
     @Test
     void invalidListFailsTheWatchAndTheCurrentListStays() throws Exception {
         Server server = startServer(s -> s.served("x"));
-        start("", LoopbackPeers.host("s", server.address(), "in_service"));
+        start("", LoopbackPeers.endpoint("s", server.address(), "in_service"));
         balancer.onRequest = r -> {
             balancer.actions.subscribe();
             balancer.actions.send(r.id(), "s", 0);
         };
-        String host = LoopbackPeers.host("s", server.address(), "in_service");
+        String endpoint = LoopbackPeers.endpoint("s", server.address(), "in_service");
         int ids = 0;
         for (String invalid : new String[] {
             "nonsense",
             "[]",
             "{\"version\":9}",
             "{\"full\":true,\"servers\":[]}",
-            LoopbackPeers.list(9, true, host).replace("in_service", "asleep"),
-            LoopbackPeers.list(9, true, host, "7"),
-            LoopbackPeers.list(9, true, host).substring(0, 60)
+            LoopbackPeers.list(9, true, endpoint).replace("in_service", "asleep"),
+            LoopbackPeers.list(9, true, endpoint, "7"),
+            LoopbackPeers.list(9, true, endpoint).substring(0, 60)
         }) {
             ReceivedRequest watch = discovery.awaitWatch();
             Discovery.push(watch, invalid);
@@ -211,7 +212,7 @@
             assertEquals(
                     200, connectClient().unsafe("id" + ids++, 20_000).read().status(), invalid);
         }
-        Discovery.push(discovery.awaitWatch(), LoopbackPeers.list(9, true, host, host));
+        Discovery.push(discovery.awaitWatch(), LoopbackPeers.list(9, true, endpoint, endpoint));
         assertEquals(
                 "FULL [s 1 READY, s 1 READY]",
                 LoopbackPeers.next(balancer.discoveryEvents, "the list with a duplicate server"));
@@ -227,17 +228,17 @@
 
     @Test
     void listsAreDecodedWhenIndentedConcatenatedOrSplitAtAnyByte() throws Exception {
-        start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
+        start("", LoopbackPeers.endpoint("s", "127.0.0.1:1", "in_service"));
         ReceivedRequest watch = discovery.awaitWatch();
-        String idWithBraces = LoopbackPeers.host("t}{\\\"]", "127.0.0.1:2", "in_service");
+        String idWithBraces = LoopbackPeers.endpoint("t}{\\\"]", "127.0.0.1:2", "in_service");
         Discovery.push(
-                watch, indented(LoopbackPeers.list(2, true, LoopbackPeers.host("s", "127.0.0.1:1", "in_service"))));
+                watch, indented(LoopbackPeers.list(2, true, LoopbackPeers.endpoint("s", "127.0.0.1:1", "in_service"))));
         assertEquals("FULL [s 1 READY]", LoopbackPeers.next(balancer.discoveryEvents, "the list over several lines"));
         Discovery.push(
                 watch,
                 LoopbackPeers.list(3, false, idWithBraces) + "  "
-                        + indented(
-                                LoopbackPeers.list(4, false, LoopbackPeers.host("s", "127.0.0.1:1", "terminating"))));
+                        + indented(LoopbackPeers.list(
+                                4, false, LoopbackPeers.endpoint("s", "127.0.0.1:1", "terminating"))));
         assertEquals(
                 "DELTA [t}{\"] 1 READY]",
                 LoopbackPeers.next(balancer.discoveryEvents, "the first of two lists in one line"));
@@ -257,7 +258,7 @@
 
     @Test
     void watchFailsWhenAListIsSentByteByByteAndNeverCompleted() throws Exception {
-        start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
+        start("", LoopbackPeers.endpoint("s", "127.0.0.1:1", "in_service"));
         ReceivedRequest watch = discovery.awaitWatch();
         watch.write("1\r\n{\r\n");
         Thread slowSender = new Thread(() -> {
@@ -282,7 +283,7 @@
     @Test
     void emptyLinesKeepAnIdleWatchOpen() throws Exception {
         // The empty lines continue for longer than the read timeout; the list arrives on the same watch.
-        start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
+        start("", LoopbackPeers.endpoint("s", "127.0.0.1:1", "in_service"));
         ReceivedRequest watch = discovery.awaitWatch();
         for (int i = 0; i < 12; i++) {
             assertNull(balancer.discoveryEvents.poll(500, TimeUnit.MILLISECONDS));
--- a/src/test/java/quartzspan/clientproxy/EventOrderingTest.java
+++ b/src/test/java/quartzspan/clientproxy/EventOrderingTest.java
@@ -25,8 +25,8 @@
     void responseConcurrentWithACancellationEndsTheAttemptOnce() throws Exception {
         // The response has arrived when the event loop, which was blocked, carries out the cancellation.
         BlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
-        Server host = startServer(received::add);
-        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        Server server = startServer(received::add);
+        start("", LoopbackPeers.endpoint("s", server.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         Client client = connectClient().unsafe("racing", 20_000);
         ReceivedRequest attempt = LoopbackPeers.next(received, "the attempt");
@@ -41,14 +41,14 @@
         assertEquals(Outcome.CANCELED, end.outcome());
         attempt.awaitEnd();
         assertTrue(balancer.attemptEnds.isEmpty(), "the attempt must end once");
-        assertEquals(1, host.received.size(), "the request must be sent once");
+        assertEquals(1, server.received.size(), "the request must be sent once");
     }
 
     @Test
     void responseConcurrentWithATimeoutEndsTheAttemptOnce() throws Exception {
         BlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
-        Server host = startServer(received::add);
-        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        Server server = startServer(received::add);
+        start("", LoopbackPeers.endpoint("s", server.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 300_000);
         balancer.onAttemptEnd = e -> {
             if (!e.requestDone()) {
@@ -68,26 +68,27 @@
         assertTrue(end.outcome() == Outcome.OK || end.outcome() == Outcome.TIMED_OUT, end.toString());
         assertEquals(503, other.read().status());
         assertTrue(balancer.attemptEnds.isEmpty(), "the attempt must end once");
-        assertEquals(1, host.received.size());
+        assertEquals(1, server.received.size());
     }
 
     @Test
     void endpointDrainedBetweenSelectionAndSendingReceivesNoRequest() throws Exception {
         // The load balancer selects the endpoint before the drain is listed; the request is sent afterwards.
-        Server host = startServer(s -> s.served("x"));
-        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        Server server = startServer(s -> s.served("x"));
+        start("", LoopbackPeers.endpoint("s", server.address(), "in_service"));
         ReceivedRequest watch = discovery.awaitWatch();
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         Client client = connectClient();
         assertEquals(200, client.unsafe("first", 20_000).read().status());
         balancer.onAttemptEnd = e -> balancer.actions.refuse(e.requestId(), 0);
         balancer.onRequest = r -> {
-            Discovery.push(watch, LoopbackPeers.list(2, false, LoopbackPeers.host("s", host.address(), "terminating")));
+            Discovery.push(
+                    watch, LoopbackPeers.list(2, false, LoopbackPeers.endpoint("s", server.address(), "terminating")));
             chosenRequestId = r.id();
         };
         client.unsafe("second", 20_000);
         assertEquals("DELTA [s 1 DRAINING]", LoopbackPeers.next(balancer.discoveryEvents, "the draining endpoint"));
-        LoopbackPeers.next(host.received, "the first request").awaitEnd();
+        LoopbackPeers.next(server.received, "the first request").awaitEnd();
         balancer.onRequest = r -> {
             balancer.actions.send(chosenRequestId, "s", 0);
             balancer.actions.refuse(r.id(), 0);
@@ -100,14 +101,14 @@
         assertEquals(
                 Outcome.IGNORED,
                 LoopbackPeers.next(balancer.attemptEnds, "the second").outcome());
-        assertTrue(host.received.isEmpty(), "no further request must arrive");
+        assertTrue(server.received.isEmpty(), "no further request must arrive");
     }
 
     @Test
     void requestIdIsAcceptedAgainAfterItsIncompleteFirstCopyTimedOut() throws Exception {
         // The first copy was never read completely: the proxy closed its connection after the request timeout.
-        Server host = startServer(s -> s.served("x"));
-        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        Server server = startServer(s -> s.served("x"));
+        start("", LoopbackPeers.endpoint("s", server.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         Client incomplete = connectClient()
                 .write("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: same\r\n"
@@ -115,15 +116,15 @@
         assertEquals(408, incomplete.read().status());
         assertTrue(incomplete.closed());
         assertEquals(200, connectClient().unsafe("same", 20_000).read().status());
-        assertEquals(1, host.received.size());
+        assertEquals(1, server.received.size());
     }
 
     @Test
     void requestResentAfterADisconnectIsSentOnlyAfterTheFirstAttemptIsClosed() throws Exception {
         // The client disconnects during the first attempt; the second copy is sent on another connection, afterwards.
         BlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
-        Server host = startServer(received::add);
-        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        Server server = startServer(received::add);
+        start("", LoopbackPeers.endpoint("s", server.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         Client first = connectClient().safe("same", 20_000);
         ReceivedRequest firstAttempt = LoopbackPeers.next(received, "the first copy");
@@ -144,8 +145,8 @@
     @Test
     void pipelinedRequestsAreAnsweredInADrain() throws Exception {
         BlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
-        Server host = startServer(received::add);
-        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        Server server = startServer(received::add);
+        start("", LoopbackPeers.endpoint("s", server.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         Client client = connectClient().unsafe("a", 20_000).unsafe("b", 20_000);
         ReceivedRequest first = LoopbackPeers.next(received, "the first");
@@ -160,14 +161,15 @@
 
     @Test
     void changingTheAddressTwiceWhileConnectingClosesThePreviousWatches() throws Exception {
-        start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
+        start("", LoopbackPeers.endpoint("s", "127.0.0.1:1", "in_service"));
         ReceivedRequest watch = discovery.awaitWatch();
-        try (LoopbackPeers.FullBacklogServer deaf = new LoopbackPeers.FullBacklogServer()) {
-            changeDiscovery(deaf.address());
+        try (LoopbackPeers.FullBacklogServer fullBacklog = new LoopbackPeers.FullBacklogServer()) {
+            changeDiscovery(fullBacklog.address());
             watch.awaitEnd();
             changeDiscovery(discovery.server.address());
             ReceivedRequest newWatch = discovery.awaitWatch();
-            Discovery.push(newWatch, LoopbackPeers.list(7, true, LoopbackPeers.host("t", "127.0.0.1:1", "in_service")));
+            Discovery.push(
+                    newWatch, LoopbackPeers.list(7, true, LoopbackPeers.endpoint("t", "127.0.0.1:1", "in_service")));
             assertEquals(
                     "FULL [t 1 READY]",
                     LoopbackPeers.next(balancer.discoveryEvents, "the list, with no failure before it"));
@@ -177,14 +179,15 @@
     @Test
     void addressChangeInADrainTakesEffect() throws Exception {
         Discovery other = closeAfterTest(new Discovery());
-        start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
+        start("", LoopbackPeers.endpoint("s", "127.0.0.1:1", "in_service"));
         discovery.awaitWatch();
         balancer.onRequest = r -> {};
         connectClient().unsafe("open", 20_000);
         proxy.drain();
         changeDiscovery(other.server.address());
         Discovery.push(
-                other.awaitWatch(), LoopbackPeers.list(2, true, LoopbackPeers.host("t", "127.0.0.1:1", "in_service")));
+                other.awaitWatch(),
+                LoopbackPeers.list(2, true, LoopbackPeers.endpoint("t", "127.0.0.1:1", "in_service")));
         assertEquals(
                 "FULL [t 1 READY]",
                 LoopbackPeers.next(balancer.discoveryEvents, "the list of the new discovery service"));
@@ -193,9 +196,9 @@
     @Test
     void watchResetWithinAListFailsAndTheListIsDiscarded() throws Exception {
         Server server = startServer(s -> s.served("x"));
-        start("", LoopbackPeers.host("s", server.address(), "in_service"));
+        start("", LoopbackPeers.endpoint("s", server.address(), "in_service"));
         ReceivedRequest watch = discovery.awaitWatch();
-        String list = LoopbackPeers.list(9, true, LoopbackPeers.host("t", "127.0.0.1:1", "in_service"));
+        String list = LoopbackPeers.list(9, true, LoopbackPeers.endpoint("t", "127.0.0.1:1", "in_service"));
         watch.write("f00\r\n" + list.substring(0, list.length() - 1));
         watch.reset();
         assertEquals("failed", LoopbackPeers.next(balancer.discoveryEvents, "the failure after the reset"));
@@ -211,9 +214,9 @@
     @Test
     void repeatedListKeepsConnectionsOpen() throws Exception {
         Server server = startServer(s -> s.served("x"));
-        start("", LoopbackPeers.host("s", server.address(), "in_service"));
+        start("", LoopbackPeers.endpoint("s", server.address(), "in_service"));
         ReceivedRequest watch = discovery.awaitWatch();
-        String same = LoopbackPeers.list(2, true, LoopbackPeers.host("s", server.address(), "in_service"));
+        String same = LoopbackPeers.list(2, true, LoopbackPeers.endpoint("s", server.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         Client client = connectClient();
         Discovery.push(watch, same);
@@ -229,8 +232,8 @@
     @Test
     void requestIsNotSentAfterItsTimeoutExpiredInAPause() throws Exception {
         // As after a pause of the process: the connection is established before the expired timeout is processed.
-        try (LoopbackPeers.FullBacklogServer deaf = new LoopbackPeers.FullBacklogServer()) {
-            start("", LoopbackPeers.host("s", deaf.address(), "in_service"));
+        try (LoopbackPeers.FullBacklogServer fullBacklog = new LoopbackPeers.FullBacklogServer()) {
+            start("", LoopbackPeers.endpoint("s", fullBacklog.address(), "in_service"));
             balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 700_000);
             balancer.onAttemptEnd = e -> balancer.actions.refuse(e.requestId(), 0);
             Client client = connectClient().unsafe("id1", 20_000);
@@ -238,13 +241,13 @@
             connectClient().write(READY).read();
             CountDownLatch release = blockEventLoop(connectClient(), () -> {});
             // The connection is established when the SYN is retransmitted, after 1 s.
-            deaf.acceptAll();
+            fullBacklog.acceptAll();
             release.countDown();
             assertTrue(LoopbackPeers.next(balancer.attemptEnds, "the attempt's end")
                     .outcome()
                     .neverRan());
             assertEquals(503, client.read().status());
-            assertTrue(deaf.closedWithoutInput(), "nothing must be sent");
+            assertTrue(fullBacklog.closedWithoutInput(), "nothing must be sent");
         }
     }
 
--- a/src/test/java/quartzspan/clientproxy/FaultyClientsTest.java
+++ b/src/test/java/quartzspan/clientproxy/FaultyClientsTest.java
@@ -140,8 +140,8 @@
     void errorResponseIsSentAfterTheResponsesBeforeIt() throws Exception {
         // An error sent before the response to an open request would be taken for that response.
         BlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
-        Server host = startServer(received::add);
-        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        Server server = startServer(received::add);
+        start("", LoopbackPeers.endpoint("s", server.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         Client client = connectClient()
                 .unsafe("a", 20_000)
@@ -155,8 +155,8 @@
     @Test
     void continueResponseIsSentAfterTheResponsesBeforeIt() throws Exception {
         BlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
-        Server host = startServer(received::add);
-        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        Server server = startServer(received::add);
+        start("", LoopbackPeers.endpoint("s", server.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         Client client = connectClient()
                 .unsafe("a", 20_000)
@@ -177,8 +177,8 @@
     void manyPipelinedRequestsAreAllAnsweredInOrder() throws Exception {
         // To limit memory, the proxy stops reading and resumes later; no request may be lost meanwhile.
         BlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
-        Server host = startServer(received::add);
-        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        Server server = startServer(received::add);
+        start("", LoopbackPeers.endpoint("s", server.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         Client client = connectClient();
         for (int i = 0; i < 300; i++) {
@@ -194,14 +194,14 @@
 
     @Test
     void disconnectIsDetectedBehindManyPipelinedRequests() throws Exception {
-        Server host = startServer(s -> {});
-        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        Server server = startServer(s -> {});
+        start("", LoopbackPeers.endpoint("s", server.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         Client client = connectClient();
         for (int i = 0; i < 40; i++) {
             client.unsafe("id" + i, 20_000);
         }
-        ReceivedRequest first = LoopbackPeers.next(host.received, "the first request");
+        ReceivedRequest first = LoopbackPeers.next(server.received, "the first request");
         client.close();
         assertEquals("id0", LoopbackPeers.next(balancer.disconnects, "the disconnect"));
         first.awaitEnd();
@@ -224,11 +224,11 @@
 
     @Test
     void disconnectCancelsTheAttempt() throws Exception {
-        Server host = startServer(s -> {});
-        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        Server server = startServer(s -> {});
+        start("", LoopbackPeers.endpoint("s", server.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         Client client = connectClient().unsafe("id1", 20_000);
-        ReceivedRequest seen = LoopbackPeers.next(host.received, "the request");
+        ReceivedRequest seen = LoopbackPeers.next(server.received, "the request");
         client.close();
         assertEquals("id1", LoopbackPeers.next(balancer.disconnects, "the disconnect"));
         AttemptEnd end = LoopbackPeers.next(balancer.attemptEnds, "the end of the attempt");
@@ -299,8 +299,8 @@
 
     @Test
     void pipelinedRequestsAreAnsweredInOrder() throws Exception {
-        Server host = startServer(s -> s.served(s.message().header("x-request-id")));
-        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        Server server = startServer(s -> s.served(s.message().header("x-request-id")));
+        start("", LoopbackPeers.endpoint("s", server.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         Client client = connectClient().unsafe("a", 20_000).unsafe("b", 20_000).unsafe("c", 20_000);
         for (String id : List.of("a", "b", "c")) {
--- a/src/test/java/quartzspan/clientproxy/FaultyEndpointsTest.java
+++ b/src/test/java/quartzspan/clientproxy/FaultyEndpointsTest.java
@@ -100,9 +100,9 @@
                 "HTTP/1.1 101 Switching\r\n\r\n",
                 "HTTP/1.1 102 Processing\r\n\r\n".repeat(30) + ok + "Content-Length: 1\r\n\r\na",
                 "HTTP/1.1 503 x\r\nX-Not-Run: 1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\na");
-        Server host = startServer(
+        Server server = startServer(
                 s -> s.write(invalidResponses.get(Integer.parseInt(s.message().header("x-request-id")))));
-        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        start("", LoopbackPeers.endpoint("s", server.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         balancer.onAttemptEnd = e -> {
             if (!e.requestDone()) {
@@ -120,7 +120,7 @@
                     LoopbackPeers.next(balancer.attemptEnds, "the end of the attempt")
                             .outcome(),
                     description);
-            LoopbackPeers.next(host.received, "the request").awaitEnd();
+            LoopbackPeers.next(server.received, "the request").awaitEnd();
         }
     }
 
@@ -134,9 +134,9 @@
                 a + "noise\r\n\r\n",
                 "HTTP/1.1 200 OK\r\nX-Load: %%%\r\nContent-Length: 1\r\nX-Load: {\"\r\n\r\na",
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\n\r\n1\r\na\r\n0\r\nX-T: 1\r\n\r\n");
-        Server host = startServer(
+        Server server = startServer(
                 s -> s.write(validResponses.get(Integer.parseInt(s.message().header("x-request-id")))));
-        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        start("", LoopbackPeers.endpoint("s", server.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         Client client = connectClient();
         for (int i = 0; i < validResponses.size(); i++) {
@@ -149,14 +149,14 @@
     @Test
     void bytesOnAnIdleConnectionCloseIt() throws Exception {
         // A stray response would be passed on as that of a later request, and other bytes would corrupt it.
-        Server host = startServer(s -> s.served(s.message().header("x-request-id")));
-        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        Server server = startServer(s -> s.served(s.message().header("x-request-id")));
+        start("", LoopbackPeers.endpoint("s", server.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         Client client = connectClient();
         for (String late : List.of("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray", "no", "\r\n")) {
             String id = "id" + late.length();
             assertEquals(id, client.unsafe(id, 20_000).read().text());
-            ReceivedRequest seen = LoopbackPeers.next(host.received, "the request");
+            ReceivedRequest seen = LoopbackPeers.next(server.received, "the request");
             seen.write(late);
             seen.awaitEnd();
         }
@@ -175,7 +175,7 @@
         // Guards against repeated resets: after a stale connection, idle connections are reused for a shorter time
         // only.
         Map<Socket, Long> served = new ConcurrentHashMap<>();
-        Server host = startServer(s -> {
+        Server server = startServer(s -> {
             Long last = served.put(s.socket(), System.nanoTime());
             if (last != null && System.nanoTime() - last > TimeUnit.MILLISECONDS.toNanos(200)) {
                 s.reset();
@@ -183,7 +183,7 @@
                 s.served("x");
             }
         });
-        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        start("", LoopbackPeers.endpoint("s", server.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         balancer.onAttemptEnd = e -> {
             if (!e.requestDone()) {
@@ -218,7 +218,7 @@
             });
             resetting.setDaemon(true);
             resetting.start();
-            start("", LoopbackPeers.host("s", "127.0.0.1:" + listening.getLocalPort(), "in_service"));
+            start("", LoopbackPeers.endpoint("s", "127.0.0.1:" + listening.getLocalPort(), "in_service"));
             balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
             balancer.onAttemptEnd = e -> balancer.actions.fail(e.requestId());
             Client client = connectClient();
--- a/src/test/java/quartzspan/clientproxy/RequestForwardingTest.java
+++ b/src/test/java/quartzspan/clientproxy/RequestForwardingTest.java
@@ -37,8 +37,8 @@
     @Test
     void bodiesOfTheMaximumSizeAreForwarded() throws Exception {
         String largestBody = "x".repeat(64 * 1024);
-        Server host = startServer(s -> s.served(s.message().text()));
-        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        Server server = startServer(s -> s.served(s.message().text()));
+        start("", LoopbackPeers.endpoint("s", server.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         Message answer = connectClient()
                 .write("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: a\r\n"
@@ -52,7 +52,7 @@
     void refusedConnectionIsAConnectError() throws Exception {
         ServerSocket closedPort = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         closedPort.close();
-        start("", LoopbackPeers.host("s", "127.0.0.1:" + closedPort.getLocalPort(), "in_service"));
+        start("", LoopbackPeers.endpoint("s", "127.0.0.1:" + closedPort.getLocalPort(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         balancer.onAttemptEnd = e -> balancer.actions.refuse(e.requestId(), 250_000);
         Message answer = connectClient().unsafe("id1", 20_000).read();
@@ -67,8 +67,8 @@
     @Test
     void openConnectionsAreServedAfterADrainBegan() throws Exception {
         // Until SIGKILL, connections must stay open: a client whose connection is closed has no other proxy to use.
-        Server host = startServer(s -> s.served("x"));
-        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        Server server = startServer(s -> s.served("x"));
+        start("", LoopbackPeers.endpoint("s", server.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         Client client = connectClient();
         assertEquals(200, client.unsafe("before", 20_000).read().status());
@@ -82,7 +82,7 @@
 
     @Test
     void requestsReceivedInADrainAreAnsweredBeforeSigkill() throws Exception {
-        start("", LoopbackPeers.host("s", "127.0.0.1:1", "in_service"));
+        start("", LoopbackPeers.endpoint("s", "127.0.0.1:1", "in_service"));
         AtomicLong budgetUs = new AtomicLong();
         balancer.onRequest = r -> {
             budgetUs.set(r.budgetUs());
@@ -96,8 +96,8 @@
     @Test
     void requestsOpenAtTheStartOfADrainAreAnsweredBeforeSigkill() throws Exception {
         // Guards classes whose deadline is longer than the time until SIGKILL: 20 s here, against 3.7 s.
-        Server host = startServer(s -> {});
-        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        Server server = startServer(s -> {});
+        start("", LoopbackPeers.endpoint("s", server.address(), "in_service"));
         BlockingQueue<String> receivedRequests = new LinkedBlockingQueue<>();
         balancer.onRequest = r -> {
             if (r.id().equals("out")) {
@@ -120,12 +120,12 @@
     @Test
     void drainStartedBeforeListeningServesRequestsAndCompletes() throws Exception {
         // A signal may come between listening and the end of the startup; clients that connect then must be served.
-        Server host = startServer(s -> s.served("x"));
+        Server server = startServer(s -> s.served("x"));
         List<Future<?>> drainFutures = new ArrayList<>();
         start(
                 starting -> drainFutures.add(starting.drain()),
                 "",
-                LoopbackPeers.host("s", host.address(), "in_service"));
+                LoopbackPeers.endpoint("s", server.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         assertEquals(200, connectClient().unsafe("id1", 20_000).read().status());
         assertTrue(drainFutures.get(0).await(LoopbackPeers.TIMEOUT_S, TimeUnit.SECONDS), "the drain must complete");
@@ -139,7 +139,7 @@
                         occupied.getLocalPort(),
                         discovery.server.address(),
                         "",
-                        LoopbackPeers.list(1, true, LoopbackPeers.host("s", "127.0.0.1:1", "in_service")))
+                        LoopbackPeers.list(1, true, LoopbackPeers.endpoint("s", "127.0.0.1:1", "in_service")))
                 .getBytes(StandardCharsets.UTF_8));
         Thread releasing = new Thread(() -> {
             try {
@@ -164,8 +164,8 @@
     @Test
     void attemptTimeoutIncludesConnecting() throws Exception {
         // Guards against an attempt that hangs because its connection is never established: it has not run.
-        try (FullBacklogServer deaf = new FullBacklogServer()) {
-            start("", LoopbackPeers.host("s", deaf.address(), "in_service"));
+        try (FullBacklogServer fullBacklog = new FullBacklogServer()) {
+            start("", LoopbackPeers.endpoint("s", fullBacklog.address(), "in_service"));
             balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 100_000);
             balancer.onAttemptEnd = e -> balancer.actions.refuse(e.requestId(), 0);
             assertEquals(503, connectClient().unsafe("id1", 20_000).read().status());
@@ -179,8 +179,8 @@
     @Test
     void nothingIsSentToAnEndpointDrainedWhileConnecting() throws Exception {
         // A draining endpoint gets no new requests: here the decision precedes the drain and the connection follows it.
-        try (FullBacklogServer deaf = new FullBacklogServer()) {
-            start("", LoopbackPeers.host("s", deaf.address(), "in_service"));
+        try (FullBacklogServer fullBacklog = new FullBacklogServer()) {
+            start("", LoopbackPeers.endpoint("s", fullBacklog.address(), "in_service"));
             ReceivedRequest watch = discovery.awaitWatch();
             BlockingQueue<String> sent = new LinkedBlockingQueue<>();
             balancer.onRequest = r -> {
@@ -190,24 +190,26 @@
             balancer.onAttemptEnd = e -> balancer.actions.refuse(e.requestId(), 0);
             Client client = connectClient().unsafe("id1", 20_000);
             LoopbackPeers.next(sent, "the decision");
-            Discovery.push(watch, LoopbackPeers.list(2, false, LoopbackPeers.host("s", deaf.address(), "terminating")));
+            Discovery.push(
+                    watch,
+                    LoopbackPeers.list(2, false, LoopbackPeers.endpoint("s", fullBacklog.address(), "terminating")));
             assertEquals("DELTA [s 1 DRAINING]", LoopbackPeers.next(balancer.discoveryEvents, "the draining endpoint"));
-            deaf.acceptAll();
+            fullBacklog.acceptAll();
             assertEquals(
                     Outcome.IGNORED,
                     LoopbackPeers.next(balancer.attemptEnds, "the end of the attempt")
                             .outcome());
             assertEquals(503, client.read().status());
-            assertTrue(deaf.closedWithoutInput(), "nothing must be sent");
+            assertTrue(fullBacklog.closedWithoutInput(), "nothing must be sent");
         }
     }
 
     @Test
     void requestAndResponseAreForwardedUnchanged() throws Exception {
         String body = "\0\r\n\u00ff binary";
-        Server host = startServer(
+        Server server = startServer(
                 s -> s.answer(200, "Content-Type: a/b\r\n", s.message().text() + "!"));
-        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        start("", LoopbackPeers.endpoint("s", server.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         Message answer = connectClient()
                 .write("POST /api/x?q=%20a&b HTTP/1.1\r\nHost: origin.svc\r\n"
@@ -216,7 +218,7 @@
                         + "Idempotency-Key: i-k\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 1\r\n"
                         + "Content-Length: " + body.length() + "\r\n\r\n" + body)
                 .read();
-        Message seen = LoopbackPeers.next(host.received, "the request").message();
+        Message seen = LoopbackPeers.next(server.received, "the request").message();
         assertEquals("POST /api/x?q=%20a&b HTTP/1.1", seen.first());
         assertEquals("id1", seen.header("x-request-id"));
         assertEquals("i-k", seen.header("idempotency-key"));
@@ -231,14 +233,14 @@
 
     @Test
     void connectionsAreReusedAndAStaleOneIsAReset() throws Exception {
-        Server host = startServer(s -> {
+        Server server = startServer(s -> {
             if (s.message().header("x-request-id").equals("id2")) {
                 s.reset();
             } else {
                 s.served("x");
             }
         });
-        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        start("", LoopbackPeers.endpoint("s", server.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         balancer.onAttemptEnd = e -> balancer.actions.fail(e.requestId());
         Client client = connectClient();
@@ -251,17 +253,17 @@
         assertEquals(
                 Outcome.RESET,
                 LoopbackPeers.next(balancer.attemptEnds, "the second end").outcome());
-        assertEquals(1, host.connections.size());
-        assertEquals(2, host.received.size(), "each request must be sent exactly once");
+        assertEquals(1, server.connections.size());
+        assertEquals(2, server.received.size(), "each request must be sent exactly once");
     }
 
     @Test
     void idleConnectionsCloseAfterTheConfiguredTime() throws Exception {
-        Server host = startServer(s -> s.served("x"));
-        start(",\"connIdleUs\":400000", LoopbackPeers.host("s", host.address(), "in_service"));
+        Server server = startServer(s -> s.served("x"));
+        start(",\"connIdleUs\":400000", LoopbackPeers.endpoint("s", server.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 0);
         assertEquals(200, connectClient().unsafe("id1", 20_000).read().status());
-        LoopbackPeers.next(host.received, "the request").awaitEnd();
+        LoopbackPeers.next(server.received, "the request").awaitEnd();
     }
 
     @Test
@@ -271,8 +273,8 @@
         Server other = startServer(s -> s.served("x"));
         start(
                 "",
-                LoopbackPeers.host("s", unresponsive.address(), "in_service"),
-                LoopbackPeers.host("t", other.address(), "in_service"));
+                LoopbackPeers.endpoint("s", unresponsive.address(), "in_service"),
+                LoopbackPeers.endpoint("t", other.address(), "in_service"));
         balancer.onRequest = r -> balancer.actions.send(r.id(), "s", 50_000);
         balancer.onAttemptEnd = e -> {
             if (e.attempt() == 0) {
@@ -290,8 +292,8 @@
         Server other = startServer(s -> s.served("x"));
         start(
                 "",
-                LoopbackPeers.host("s", unresponsive.address(), "in_service"),
-                LoopbackPeers.host("t", other.address(), "in_service"));
+                LoopbackPeers.endpoint("s", unresponsive.address(), "in_service"),
+                LoopbackPeers.endpoint("t", other.address(), "in_service"));
         balancer.onRequest = r -> {
             balancer.actions.send(r.id(), "s", 0);
             balancer.actions.send(r.id(), "t", 0);
@@ -306,8 +308,8 @@
     @Test
     void cancelClosesOnlyTheAttemptWithThatNumber() throws Exception {
         // An attempt that was not sent still has a number, which must not refer to the attempt in progress.
-        Server host = startServer(s -> {});
-        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        Server server = startServer(s -> {});
+        start("", LoopbackPeers.endpoint("s", server.address(), "in_service"));
         balancer.onRequest = r -> {
             balancer.actions.send(r.id(), "s", 0);
             balancer.actions.send(r.id(), "s", 0);
@@ -334,8 +336,8 @@
 
     @Test
     void clientIsAnsweredByItsDeadlineWithoutABalancerDecision() throws Exception {
-        Server host = startServer(s -> {});
-        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        Server server = startServer(s -> {});
+        start("", LoopbackPeers.endpoint("s", server.address(), "in_service"));
         // Without an attempt a 503 is correct. With one in progress it is correct only for requests that are safe to
         // repeat.
         Message held = connectClient().unsafe("held", 300).read();
@@ -348,8 +350,8 @@
 
     @Test
     void sendAfterTheResponseIsIgnored() throws Exception {
-        Server host = startServer(s -> s.served("x"));
-        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        Server server = startServer(s -> s.served("x"));
+        start("", LoopbackPeers.endpoint("s", server.address(), "in_service"));
         balancer.onRequest = r -> {
             balancer.actions.refuse(r.id(), 0);
             balancer.actions.send(r.id(), "s", 0);
@@ -358,7 +360,7 @@
         AttemptEnd end = LoopbackPeers.next(balancer.attemptEnds, "the end of the attempt");
         assertEquals(Outcome.IGNORED, end.outcome());
         assertTrue(end.requestDone());
-        assertEquals(0, host.received.size());
+        assertEquals(0, server.received.size());
     }
 
     @Test
@@ -374,8 +376,9 @@
 
     @Test
     void probeOutcomeIsReported() throws Exception {
-        Server host = startServer(s -> s.answer(s.message().first().startsWith("GET /-/healthy ") ? 200 : 404, "", ""));
-        start("", LoopbackPeers.host("s", host.address(), "in_service"));
+        Server server =
+                startServer(s -> s.answer(s.message().first().startsWith("GET /-/healthy ") ? 200 : 404, "", ""));
+        start("", LoopbackPeers.endpoint("s", server.address(), "in_service"));
         balancer.onRequest = r -> {
             balancer.actions.probe("s");
             balancer.actions.fail(r.id());
--- a/src/test/java/quartzspan/frontend/FleetFixture.java
+++ b/src/test/java/quartzspan/frontend/FleetFixture.java
@@ -83,15 +83,20 @@
         }
     }
 
-    private static String settings(String name, String listenAddresses, int internal, String dataDirectory) {
-        return settings(name, "127.0.0.1", listenAddresses, internal, dataDirectory, 1);
+    private static String settings(String name, String listenAddresses, int internalPort, String dataDirectory) {
+        return settings(name, "127.0.0.1", listenAddresses, internalPort, dataDirectory, 1);
     }
 
     private static String settings(
-            String name, String address, String listenAddresses, int internal, String dataDirectory, int gracePeriodS) {
+            String name,
+            String address,
+            String listenAddresses,
+            int internalPort,
+            String dataDirectory,
+            int gracePeriodS) {
         return "node_name: \"" + name
                 + "\"\nip_address: \"" + address + "\"\nzone: \"z\"\nzones:\n  z: \"r\"\nlisten_addresses:\n  "
-                + listenAddresses + "\ninternal_ports:\n  - " + internal + "\n  - " + internal
+                + listenAddresses + "\ninternal_ports:\n  - " + internalPort + "\n  - " + internalPort
                 + "\nseed_nodes:\n  - \"127.0.0.1:"
                 + controlPort
                 + "\"\nbootstrap: true\nlimits:\n  memory_mb: 256\n  file_descriptors: 1024\ndata_directory: "
--- a/src/test/java/quartzspan/http/LoopbackPeers.java
+++ b/src/test/java/quartzspan/http/LoopbackPeers.java
@@ -31,11 +31,11 @@
 
     /** Takes the next element of a queue; fails if none arrives within {@link #TIMEOUT_S}. */
     public static <T> T next(BlockingQueue<T> queue, String what) throws InterruptedException {
-        T got = queue.poll(TIMEOUT_S, TimeUnit.SECONDS);
-        if (got == null) {
+        T element = queue.poll(TIMEOUT_S, TimeUnit.SECONDS);
+        if (element == null) {
             throw new AssertionError("not received within " + TIMEOUT_S + " s: " + what);
         }
-        return got;
+        return element;
     }
 
     /** A received message: its first line, its headers as sent, and its body. */
@@ -318,14 +318,14 @@
     }
 
     /** An endpoint as discovery lists it. */
-    public static String host(String id, String address, String state) {
+    public static String endpoint(String id, String address, String state) {
         return "{\"id\":\"" + id + "\",\"addr\":\"" + address + "\",\"zone\":\"east\","
                 + "\"kind\":\"m\",\"cell\":1,\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":0}";
     }
 
     /** An endpoint list of discovery. */
-    public static String list(int version, boolean full, String... hosts) {
-        return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + String.join(",", hosts) + "]}";
+    public static String list(int version, boolean full, String... endpoints) {
+        return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + String.join(",", endpoints) + "]}";
     }
 
     /** A client proxy configuration; {@code limits} are additional limits, each preceded by a comma. */
--- a/src/test/java/quartzspan/loadbalancing/BalancerFixture.java
+++ b/src/test/java/quartzspan/loadbalancing/BalancerFixture.java
@@ -32,7 +32,7 @@
     final Map<String, List<String>> sentTo = new HashMap<>();
     final Map<String, String> finalAnswers = new HashMap<>();
     final List<String> probes = new ArrayList<>();
-    int subscribes;
+    int subscribeCount;
     long wakeUpAt = Long.MAX_VALUE;
     long lastTimeoutUs;
     LoadBalancer balancer;
@@ -167,7 +167,7 @@
 
     @Override
     public void subscribe() {
-        subscribes++;
+        subscribeCount++;
         log.add("subscribe");
     }
 
--- a/src/test/java/quartzspan/loadbalancing/LargeFleetBalancingTest.java
+++ b/src/test/java/quartzspan/loadbalancing/LargeFleetBalancingTest.java
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void coldEndpointThatWasEjectedGetsNoTrialBeyondItsCredit() {
+    void coldEndpointBesideOneWarmEndpointStaysWithinItsCredit() {
         int sent = 0;
         for (int i = 0; i < 200; i++) {
             BalancerFixture fixture =
@@ -354,9 +354,9 @@
                         fixture.endpointOf(fixture.request(0, "k" + k, 1_000_000)) != null,
                         "the current list was discarded");
                 fixture.endAttempt("r" + k, Outcome.OK, 0);
-                int before = fixture.subscribes;
+                int before = fixture.subscribeCount;
                 long failedAt = fixture.now;
-                while (fixture.subscribes == before) {
+                while (fixture.subscribeCount == before) {
                     fixture.advance(5_000);
                 }
                 if (k == 3) {
--- a/src/test/java/quartzspan/loadbalancing/PrefixAwarePlacementTest.java
+++ b/src/test/java/quartzspan/loadbalancing/PrefixAwarePlacementTest.java
@@ -67,10 +67,10 @@
         int movedAmongOthers = 0;
         int keysTakenOver = 0;
         for (int k = 0; k < 100; k++) {
-            String now = placement.pick(0, request("k" + k), Set.of());
+            String owner = placement.pick(0, request("k" + k), Set.of());
             String before = owners.get("k" + k);
-            movedAmongOthers += !before.equals("i-0") && !now.equals(before) && !now.equals("i-0-again") ? 1 : 0;
-            keysTakenOver += before.equals("i-0") && now.equals("i-0-again") ? 1 : 0;
+            movedAmongOthers += !before.equals("i-0") && !owner.equals(before) && !owner.equals("i-0-again") ? 1 : 0;
+            keysTakenOver += before.equals("i-0") && owner.equals("i-0-again") ? 1 : 0;
         }
         assertEquals(0, movedAmongOthers);
         assertTrue(keysTakenOver < 12, "ring points come from the id");
--- a/src/test/java/quartzspan/loadbalancing/RingHashLoadBalancerTest.java
+++ b/src/test/java/quartzspan/loadbalancing/RingHashLoadBalancerTest.java
@@ -369,13 +369,14 @@
     }
 
     /** Serves requests, starts the endpoint, and counts the requests that it serves after its start. */
-    private static int requestsServedAfterStart(BalancerFixture fixture, int before, String endpoint, int after) {
-        for (int k = 0; k < before; k++) {
+    private static int requestsServedAfterStart(
+            BalancerFixture fixture, int requestsBefore, String endpoint, int requestsAfter) {
+        for (int k = 0; k < requestsBefore; k++) {
             fixture.serve(0, "k" + k);
         }
         fixture.startEndpoint(endpoint);
         int served = 0;
-        for (int k = 0; k < after; k++) {
+        for (int k = 0; k < requestsAfter; k++) {
             served += fixture.serve(0, "k" + k).equals(endpoint) ? 1 : 0;
         }
         return served;
@@ -398,15 +399,15 @@
     @Test
     void resubscribesAfterEachDiscoveryFailure() {
         BalancerFixture fixture = new BalancerFixture(BalancerFixture.settings(true, BalancerFixture.RETRYABLE));
-        assertEquals(1, fixture.subscribes);
+        assertEquals(1, fixture.subscribeCount);
         for (int i = 0; i < 5; i++) {
             fixture.balancer.onDiscoveryFailed(fixture.now);
             fixture.advance(4_000_000);
-            assertEquals(i + 2, fixture.subscribes);
+            assertEquals(i + 2, fixture.subscribeCount);
         }
         fixture.balancer.onEndpoints(fixture.now, Source.FULL, List.of(BalancerFixture.readyEndpoint(1)));
         fixture.advance(20_000_000);
-        assertEquals(6, fixture.subscribes);
+        assertEquals(6, fixture.subscribeCount);
     }
 
     @Test
