--- a/src/test/java/quartzspan/frontend/ResponseMatchingTest.java
+++ b/src/test/java/quartzspan/frontend/ResponseMatchingTest.java
@@ -81,7 +81,7 @@
     @Test
     void rejectionWithoutTheHeaderDoesNotImplyNonExecution() throws Exception {
         // Clients take 429, 503 and 408 to mean that the request is never executed; without X-Not-Executed no server
-        // said so.
+        // has stated that.
         for (int status : new int[] {503, 429, 408}) {
             Server server = startServer(
                     "unmarked" + status,
--- a/src/test/java/quartzspan/http/LoopbackPeers.java
+++ b/src/test/java/quartzspan/http/LoopbackPeers.java
@@ -154,14 +154,17 @@
             }
         }
 
+        /** Sends a response; each of the additional headers ends with a line break. */
         public void answer(int status, String headers, String body) {
             write("HTTP/1.1 " + status + " x\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body);
         }
 
+        /** Sends a successful response. */
         public void served(String body) {
             answer(200, "", body);
         }
 
+        /** Rejects the request, and states that it did not run. */
         public void notRun() {
             answer(503, "X-Not-Run: 1\r\n", "");
         }
@@ -210,12 +213,14 @@
             return this;
         }
 
+        /** Sends a request that must not run twice. */
         public Client unsafe(String id, long deadlineMs) throws IOException {
             return write("POST /api HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: " + id
                     + "\r\nX-Class: unsafe\r\nX-Deadline-Ms: " + deadlineMs
                     + "\r\nContent-Length: 4\r\n\r\nbody");
         }
 
+        /** Sends a request that may run any number of times. */
         public Client safe(String id, long deadlineMs) throws IOException {
             return write("GET /api HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: " + id
                     + "\r\nX-Class: safe\r\nX-Deadline-Ms: " + deadlineMs + "\r\n\r\n");
@@ -230,7 +235,7 @@
             return LoopbackPeers.readHead(in);
         }
 
-        /** Waits for the next byte or the close; whether the proxy closed the connection without sending more. */
+        /** Waits for the next byte or the close; returns whether the proxy closed the connection without sending more. */
         public boolean closed() throws IOException {
             try {
                 return in.read() < 0;
