--- a/src/test/java/quartzspan/http/LoopbackPeers.java
+++ b/src/test/java/quartzspan/http/LoopbackPeers.java
@@ -31,11 +31,11 @@
 
     /** Takes the next element of a queue; fails if none arrives within {@link #TIMEOUT_S}. */
     public static <T> T next(BlockingQueue<T> queue, String what) throws InterruptedException {
-        T got = queue.poll(TIMEOUT_S, TimeUnit.SECONDS);
-        if (got == null) {
+        T element = queue.poll(TIMEOUT_S, TimeUnit.SECONDS);
+        if (element == null) {
             throw new AssertionError("not received within " + TIMEOUT_S + " s: " + what);
         }
-        return got;
+        return element;
     }
 
     /** A received message: its first line, its headers as sent, and its body. */
@@ -154,14 +154,17 @@
             }
         }
 
+        /** Sends a response; each of the additional headers ends with a line break. */
         public void answer(int status, String headers, String body) {
             write("HTTP/1.1 " + status + " x\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body);
         }
 
+        /** Sends a successful response. */
         public void served(String body) {
             answer(200, "", body);
         }
 
+        /** Rejects the request, and states that it did not run. */
         public void notRun() {
             answer(503, "X-Not-Run: 1\r\n", "");
         }
@@ -210,12 +213,14 @@
             return this;
         }
 
+        /** Sends a request that must not run twice. */
         public Client unsafe(String id, long deadlineMs) throws IOException {
             return write("POST /api HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: " + id
                     + "\r\nX-Class: unsafe\r\nX-Deadline-Ms: " + deadlineMs
                     + "\r\nContent-Length: 4\r\n\r\nbody");
         }
 
+        /** Sends a request that may run any number of times. */
         public Client safe(String id, long deadlineMs) throws IOException {
             return write("GET /api HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: " + id
                     + "\r\nX-Class: safe\r\nX-Deadline-Ms: " + deadlineMs + "\r\n\r\n");
@@ -230,7 +235,7 @@
             return LoopbackPeers.readHead(in);
         }
 
-        /** Waits for the next byte or the close; whether the proxy closed the connection without sending more. */
+        /** Waits for the next byte or the close; returns whether the proxy closed the connection without sending more. */
         public boolean closed() throws IOException {
             try {
                 return in.read() < 0;
@@ -318,14 +323,14 @@
     }
 
     /** An endpoint as discovery lists it. */
-    public static String host(String id, String address, String state) {
+    public static String endpoint(String id, String address, String state) {
         return "{\"id\":\"" + id + "\",\"addr\":\"" + address + "\",\"zone\":\"east\","
                 + "\"kind\":\"m\",\"cell\":1,\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":0}";
     }
 
     /** An endpoint list of discovery. */
-    public static String list(int version, boolean full, String... hosts) {
-        return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + String.join(",", hosts) + "]}";
+    public static String list(int version, boolean full, String... endpoints) {
+        return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + String.join(",", endpoints) + "]}";
     }
 
     /** A client proxy configuration; {@code limits} are additional limits, each preceded by a comma. */
