--- a/src/main/java/quartzspan/controlplane/DrainAcknowledger.java
+++ b/src/main/java/quartzspan/controlplane/DrainAcknowledger.java
@@ -13,18 +13,18 @@
  * Acknowledges the requests by which servers announce that they drain ({@code draining}, {@code Deregister}). After the
  * acknowledgement all proxies must be informed even if as many core machines as may be lost at once are lost immediately,
  * including the acknowledging one. A request is therefore acknowledged only when that many other core machines have the
- * entry; otherwise it is refused early enough for the server to call another machine. No clock, no I/O; times are
+ * entry; otherwise it is rejected early enough for the server to call another machine. No clock, no I/O; times are
  * milliseconds of a steady clock.
  */
 final class DrainAcknowledger {
-    /** A server waits one second for the response; a refusal must reach it before that. */
+    /** A server waits one second for the response; a rejection must reach it before that. */
     static final long ACKNOWLEDGEMENT_TIMEOUT_MS = 800;
 
     /** The server that waits for the response. */
     interface Caller {
         void acknowledge();
 
-        void refuse(FleetException refusal);
+        void reject(FleetException rejection);
     }
 
     /** A request that waits for acknowledgements; {@link #cancel} ends it without a response. */
@@ -79,14 +79,14 @@
         return request;
     }
 
-    /** Refuses requests that have timed out; to be called about every 50 ms. */
+    /** Rejects requests that have timed out; to be called about every 50 ms. */
     void onTick(long now) {
         for (Iterator<PendingRequest> requests = pending.iterator(); requests.hasNext(); ) {
             PendingRequest request = requests.next();
             if (now >= request.deadlineMs) {
                 requests.remove();
                 gossip.cancelBroadcast(request.broadcastId);
-                request.caller.refuse(new FleetException(
+                request.caller.reject(new FleetException(
                         FleetException.Code.NOT_PRIMARY,
                         "too few other core machines have acknowledged the server's entry in time",
                         "call another core machine"));
--- a/src/main/java/quartzspan/controlplane/HeartbeatHandler.java
+++ b/src/main/java/quartzspan/controlplane/HeartbeatHandler.java
@@ -14,7 +14,7 @@
 /** Applies the heartbeats and deregistrations of servers to the registry. No clock, no I/O; times are milliseconds of a steady clock. */
 final class HeartbeatHandler {
     /**
-     * After being disconnected from the rest of the core for longer than this, a machine applies heartbeats but refuses them:
+     * After being disconnected from the rest of the core for longer than this, a machine applies heartbeats but rejects them:
      * the other machines would declare a server lost that sends its heartbeats only to this one. This time plus two heartbeat
      * intervals must be shorter than the timeout after which they do.
      */
--- a/src/main/java/quartzspan/controlplane/LoadTracker.java
+++ b/src/main/java/quartzspan/controlplane/LoadTracker.java
@@ -11,7 +11,7 @@
     /** An order counts as lost if its load is not confirmed for this long. */
     static final long RETRY_INTERVAL_MS = 2_500;
 
-    private static final long REFUSED_RETRY_INTERVAL_MS = 400;
+    private static final long REJECTED_RETRY_INTERVAL_MS = 400;
     /** A report may predate an order that the server has accepted since, if it arrives within this time of the order. */
     private static final long REPORT_LAG_MS = 1_200;
 
@@ -20,9 +20,9 @@
      *
      * @param orderedAtMs when it was last ordered
      * @param retryAtMs when the order counts as lost, unless the load is confirmed before
-     * @param refused whether the server did not accept the order, and so keeps serving
+     * @param rejected whether the server did not accept the order, and so keeps serving
      */
-    private record Load(long version, long firstOrderedAtMs, long orderedAtMs, long retryAtMs, boolean refused) {}
+    private record Load(long version, long firstOrderedAtMs, long orderedAtMs, long retryAtMs, boolean rejected) {}
 
     /** A load that has finished, {@code durationMs} after its first order. */
     record FinishedLoad(Server server, long durationMs) {}
@@ -45,14 +45,14 @@
     }
 
     /** The server did not accept the order. */
-    void onRefused(long now, String server) {
+    void onRejected(long now, String server) {
         loads.computeIfPresent(
                 server,
                 (id, load) -> new Load(
                         load.version(),
                         load.firstOrderedAtMs(),
                         load.orderedAtMs(),
-                        now + REFUSED_RETRY_INTERVAL_MS,
+                        now + REJECTED_RETRY_INTERVAL_MS,
                         true));
     }
 
@@ -78,7 +78,7 @@
     /** Whether a server is loading, or may be. */
     boolean isLoading(long now, String server) {
         Load load = loads.get(server);
-        return load != null && !load.refused() && now < load.retryAtMs();
+        return load != null && !load.rejected() && now < load.retryAtMs();
     }
 
     /** Whether a server may be sent an order. */
--- a/src/main/java/quartzspan/controlplane/OperatorApi.java
+++ b/src/main/java/quartzspan/controlplane/OperatorApi.java
@@ -17,7 +17,7 @@
 
 /**
  * Handles the requests of operators. Only the primary answers them, and only with what a quorum has confirmed; that includes
- * refusals that depend on the state. Any other machine redirects the caller to the primary, or refuses with a remedy.
+ * rejections that depend on the state. Any other machine redirects the caller to the primary, or rejects with a remedy.
  */
 final class OperatorApi {
     private final LongSupplier clockMs;
@@ -74,14 +74,14 @@
             ClientConnection client, Consumer<ControlState> onGranted) {
         AtomicBoolean disconnected = new AtomicBoolean();
         client.onDisconnect(() -> disconnected.set(true));
-        return (refusal, state) -> {
+        return (rejection, state) -> {
             if (disconnected.get()) {
                 return;
             }
-            if (refusal == null) {
+            if (rejection == null) {
                 onGranted.accept(state);
             } else {
-                RequestRouter.refuse(client, refusal);
+                RequestRouter.reject(client, rejection);
             }
         };
     }
--- a/src/main/java/quartzspan/controlplane/PendingReplicaRequests.java
+++ b/src/main/java/quartzspan/controlplane/PendingReplicaRequests.java
@@ -7,9 +7,9 @@
 
 /** The requests to the replica that wait for its result, by ID. */
 final class PendingReplicaRequests {
-    /** Called once with the result; {@code refusal} is null if the request was granted. */
+    /** Called once with the result; {@code rejection} is null if the request was granted. */
     interface Callback {
-        void onComplete(FleetException refusal, ControlState state);
+        void onComplete(FleetException rejection, ControlState state);
     }
 
     private final Map<Long, Callback> callbacks = new HashMap<>();
@@ -22,10 +22,10 @@
     }
 
     /** The replica has completed a request. */
-    void complete(long requestId, FleetException refusal, ControlState state) {
+    void complete(long requestId, FleetException rejection, ControlState state) {
         Callback callback = callbacks.remove(requestId);
         if (callback != null) {
-            callback.onComplete(refusal, state);
+            callback.onComplete(rejection, state);
         }
     }
 
--- a/src/main/java/quartzspan/controlplane/ReplicaHost.java
+++ b/src/main/java/quartzspan/controlplane/ReplicaHost.java
@@ -78,11 +78,11 @@
     private static List<byte[]> openStore(ReplicaStore store) {
         try {
             return store.open();
-        } catch (FleetException refusal) {
-            if (refusal.code() != FleetException.Code.STORE_DAMAGED) {
-                throw refusal;
+        } catch (FleetException failure) {
+            if (failure.code() != FleetException.Code.STORE_DAMAGED) {
+                throw failure;
             }
-            LOG.error("store discarded, recovering from the other core machines: {}", refusal.toString());
+            LOG.error("store discarded, recovering from the other core machines: {}", failure.toString());
             store.discard();
             return List.of();
         }
@@ -138,16 +138,16 @@
         }
 
         @Override
-        public void persist(long recordId, byte[] record) {
+        public void persist(long recordNumber, byte[] record) {
             diskThread.execute(() -> {
                 boolean durable = store.persist(record);
-                loop.execute(() -> replica.onPersisted(clockMs.getAsLong(), recordId, durable));
+                loop.execute(() -> replica.onPersisted(clockMs.getAsLong(), recordNumber, durable));
             });
         }
 
         @Override
-        public void completed(long requestId, FleetException refusal, ControlState state) {
-            pending.complete(requestId, refusal, state);
+        public void completed(long requestId, FleetException rejection, ControlState state) {
+            pending.complete(requestId, rejection, state);
         }
 
         @Override
--- a/src/main/java/quartzspan/controlplane/RequestRouter.java
+++ b/src/main/java/quartzspan/controlplane/RequestRouter.java
@@ -57,8 +57,8 @@
                         "unknown method or path",
                         "see docs/operate for the API");
             }
-        } catch (FleetException refusal) {
-            refuse(client, refusal);
+        } catch (FleetException rejection) {
+            reject(client, rejection);
         } catch (RuntimeException failure) {
             // The caller retries at another machine; without a response it would have to wait for its own timeout.
             LOG.error("request {} {} failed", request.method(), path, failure);
@@ -71,14 +71,14 @@
         }
     }
 
-    /** Responds with a refusal and its remedy. */
-    static void refuse(ClientConnection client, FleetException refusal) {
+    /** Responds with a rejection and its remedy. */
+    static void reject(ClientConnection client, FleetException rejection) {
         respondError(
                 client,
-                HttpResponseStatus.valueOf(refusal.code().httpStatus()),
-                refusal.code().name(),
-                refusal.getMessage(),
-                refusal.remedy());
+                HttpResponseStatus.valueOf(rejection.code().httpStatus()),
+                rejection.code().name(),
+                rejection.getMessage(),
+                rejection.remedy());
     }
 
     private static void respondError(
--- a/src/main/java/quartzspan/controlplane/RolloutActions.java
+++ b/src/main/java/quartzspan/controlplane/RolloutActions.java
@@ -93,8 +93,8 @@
     @Override
     public void claim(Epoch epoch) {
         Change claim = new Change(Change.Kind.ROLLOUT_CLAIM, 0, self.getBytes(StandardCharsets.UTF_8));
-        replicaHost.submit(claim, (refusal, state) -> {
-            boolean granted = refusal == null && state.rolloutHolder().equals(self);
+        replicaHost.submit(claim, (rejection, state) -> {
+            boolean granted = rejection == null && state.rolloutHolder().equals(self);
             coordinator.onClaimResult(epoch, granted, granted ? state.fencingToken() : 0);
         });
     }
--- a/src/main/java/quartzspan/controlplane/RolloutCoordinator.java
+++ b/src/main/java/quartzspan/controlplane/RolloutCoordinator.java
@@ -44,7 +44,7 @@
     /**
      * This machine's leadership as primary.
      *
-     * @param epoch identifies the term; each term has one primary
+     * @param epoch the epoch of this machine's membership; each epoch has at most one primary
      * @param confirmedAtMs when the last heartbeat that a majority acknowledged was sent
      * @param holder the replica that last claimed the rollout; empty if none ever did
      * @param fencingToken fencing token of that claim
@@ -58,7 +58,7 @@
     /** The actions that the coordinator takes on the control state, proxies and servers. */
     interface Actions {
         /** Claims the rollout in the control state; {@link RolloutCoordinator#onClaimResult} reports the outcome. */
-        void claim(Epoch leadership);
+        void claim(Epoch epoch);
 
         /**
          * Announces to the proxies that a server is about to load weights, so that they send it no requests for other
@@ -177,9 +177,9 @@
         actions.claim(leadership.epoch());
     }
 
-    /** The claim made in a term has been granted or not; {@code claimToken} is its fencing token if it was granted. */
-    void onClaimResult(Epoch leadership, boolean granted, long claimToken) {
-        if (!leadership.equals(epoch) || !claiming) {
+    /** The claim made in an epoch has been granted or not; {@code claimToken} is its fencing token if it was granted. */
+    void onClaimResult(Epoch claimEpoch, boolean granted, long claimToken) {
+        if (!claimEpoch.equals(epoch) || !claiming) {
             return;
         }
         claiming = false;
@@ -258,7 +258,7 @@
             // A server in conflict is executing an earlier order.
             planner.onConfirmed(now, server);
         } else if (status == ServerClient.NOT_SENT || status >= FIRST_SERVER_ERROR) {
-            planner.onRefused(now, server);
+            planner.onRejected(now, server);
         }
         if (status == STATUS_PRECONDITION_FAILED && order.fencingToken() == fencingToken) {
             // The server knows a higher token, which only the token of a new claim exceeds.
--- a/src/main/java/quartzspan/controlplane/RolloutPlanner.java
+++ b/src/main/java/quartzspan/controlplane/RolloutPlanner.java
@@ -112,9 +112,9 @@
         loads.onConfirmed(now, id);
     }
 
-    /** The server refused the order, which is retried soon. */
-    void onRefused(long now, String id) {
-        loads.onRefused(now, id);
+    /** The server rejected the order, which is retried soon. */
+    void onRejected(long now, String id) {
+        loads.onRejected(now, id);
     }
 
     /** The server reports that it is not loading. */
--- a/src/main/java/quartzspan/controlplane/ServerApi.java
+++ b/src/main/java/quartzspan/controlplane/ServerApi.java
@@ -47,8 +47,8 @@
             }
 
             @Override
-            public void refuse(FleetException refusal) {
-                RequestRouter.refuse(client, refusal);
+            public void reject(FleetException rejection) {
+                RequestRouter.reject(client, rejection);
             }
         };
         DrainAcknowledger.PendingRequest pending =
--- a/src/main/java/quartzspan/controlplane/WeightsDeadlines.java
+++ b/src/main/java/quartzspan/controlplane/WeightsDeadlines.java
@@ -66,9 +66,9 @@
         return Collections.unmodifiableNavigableMap(deadlines.getOrDefault(model, new TreeMap<>()));
     }
 
-    /** The time by which a server with these weights must have newer ones. */
-    long deadlineOf(String model, long weights) {
-        Map.Entry<Long, Long> earliestTarget = targetsOf(model).higherEntry(weights);
+    /** The time by which a server with this weights version must have a newer one. */
+    long deadlineOf(String model, long weightsVersion) {
+        Map.Entry<Long, Long> earliestTarget = targetsOf(model).higherEntry(weightsVersion);
         return earliestTarget == null ? NO_DEADLINE : earliestTarget.getValue();
     }
 
--- a/src/test/java/quartzspan/controlplane/CoreClusterTest.java
+++ b/src/test/java/quartzspan/controlplane/CoreClusterTest.java
@@ -94,7 +94,7 @@
     }
 
     /**
-     * The machine refuses requests within the second for which callers wait, so that they call another one: its
+     * The machine rejects requests within the second for which callers wait, so that they call another one: its
      * state may be stale.
      */
     private void assertAcknowledgesNothing(String host, String change) throws IOException {
--- a/src/test/java/quartzspan/controlplane/DrainAcknowledgerTest.java
+++ b/src/test/java/quartzspan/controlplane/DrainAcknowledgerTest.java
@@ -73,8 +73,8 @@
             }
 
             @Override
-            public void refuse(FleetException refusal) {
-                responses.add(refusal.code().name());
+            public void reject(FleetException rejection) {
+                responses.add(rejection.code().name());
             }
         };
     }
--- a/src/test/java/quartzspan/controlplane/HeartbeatHandlerTest.java
+++ b/src/test/java/quartzspan/controlplane/HeartbeatHandlerTest.java
@@ -16,7 +16,7 @@
 import quartzspan.registry.RegistryEntry;
 import quartzspan.registry.Server;
 
-/** Which heartbeats a core machine applies, and when it refuses them so that the server calls another machine. */
+/** Which heartbeats a core machine applies, and when it rejects them so that the server calls another machine. */
 class HeartbeatHandlerTest {
     private static final long APPLY_MS = 10_000;
 
@@ -40,15 +40,15 @@
     }
 
     @Test
-    void disconnectedMachineRefusesHeartbeatsButAppliesThem() {
+    void disconnectedMachineRejectsHeartbeatsButAppliesThem() {
         registry.confirmFresh(10_000);
         assertNull(handler.onHeartbeat(10_000 + HeartbeatHandler.MAX_STALENESS_MS, "i", body(1, "ready")));
         long disconnectedAtMs = 10_001 + HeartbeatHandler.MAX_STALENESS_MS;
-        FleetException refusal =
+        FleetException rejection =
                 assertThrows(FleetException.class, () -> handler.onHeartbeat(disconnectedAtMs, "i", body(2, "ready")));
-        assertEquals(503, refusal.code().httpStatus());
+        assertEquals(503, rejection.code().httpStatus());
         assertThrows(FleetException.class, () -> handler.onHeartbeat(disconnectedAtMs, "j", body(1, "ready")));
-        assertNotNull(registry.entry(RegistryEntry.Subject.SERVER, "j"), "applied although it was refused");
+        assertNotNull(registry.entry(RegistryEntry.Subject.SERVER, "j"), "applied although it was rejected");
         registry.confirmFresh(disconnectedAtMs);
         assertNull(handler.onHeartbeat(disconnectedAtMs, "i", body(3, "ready")));
     }
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void malformedHeartbeatIsRefused() {
+    void malformedHeartbeatIsRejected() {
         assertThrows(FleetException.class, () -> handler.onHeartbeat(0, "i", new byte[] {'{'}));
     }
 
--- a/src/test/java/quartzspan/controlplane/LoadTrackerTest.java
+++ b/src/test/java/quartzspan/controlplane/LoadTrackerTest.java
@@ -39,9 +39,9 @@
     }
 
     @Test
-    void refusedOrderLeavesTheServerServingUntilItIsRetried() {
+    void rejectedOrderLeavesTheServerServingUntilItIsRetried() {
         loads.onOrdered(0, ID, 2);
-        loads.onRefused(100, ID);
+        loads.onRejected(100, ID);
         assertFalse(loads.isLoading(100, ID));
         assertFalse(loads.mayOrder(100, ID), "not immediately");
         assertTrue(loads.mayOrder(600, ID));
--- a/src/test/java/quartzspan/controlplane/RolloutCoordinatorTest.java
+++ b/src/test/java/quartzspan/controlplane/RolloutCoordinatorTest.java
@@ -149,9 +149,9 @@
         long electedAtMs = now;
         List<RolloutCoordinator.Order> ordersBefore = new ArrayList<>(orders);
         for (int tick = 0; tick < 200; tick++) {
-            long at = now;
+            long tickStartMs = now;
             a.run(TICK_MS);
-            now = at;
+            now = tickStartMs;
             b.run(TICK_MS);
         }
         long lastOfA = orderedAtMs.get(lastIndex(1));
@@ -293,10 +293,10 @@
         a.becomePrimary(5);
         a.run(10_000);
         targets.put("m", 2L);
-        long at = now;
+        long targetSetAtMs = now;
         a.run(1_000);
         assertFalse(orders.isEmpty(), "all earlier holders stopped sending orders long ago");
-        assertTrue(orderedAtMs.get(0) - at < 500);
+        assertTrue(orderedAtMs.get(0) - targetSetAtMs < 500);
     }
 
     @Test
--- a/src/test/java/quartzspan/controlplane/SimulatedRollout.java
+++ b/src/test/java/quartzspan/controlplane/SimulatedRollout.java
@@ -39,7 +39,7 @@
             this.loadMs = loadMs;
         }
 
-        /** Receives an order; a server that is executing another one refuses it. */
+        /** Receives an order; a server that is executing another one rejects it. */
         private void order(long now, long version) {
             if (loadingVersion == 0) {
                 loadingVersion = version;
