--- a/src/main/java/quartzspan/transport/TcpTransport.java
+++ b/src/main/java/quartzspan/transport/TcpTransport.java
@@ -65,7 +65,7 @@
         final ArrayDeque<byte[]> queuedFrames = new ArrayDeque<>();
     }
 
-    /** Creates a transport without connections; it is to be called on the event loop. */
+    /** Creates a transport without connections. Must be called on the event loop. */
     public TcpTransport(EventLoop loop, Hello self, Receiver receiver) {
         this.loop = loop;
         this.self = self;
@@ -149,7 +149,7 @@
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!(cause instanceof java.io.IOException)) {
                 LOG.warn(
-                        "a connection of {} is closed",
+                        "closing the connection from {} after an error",
                         from == null ? ctx.channel().remoteAddress() : from.address(),
                         cause);
             }
