--- a/src/main/java/quartzspan/localrun/Main.java
+++ b/src/main/java/quartzspan/localrun/Main.java
@@ -150,11 +150,12 @@
         return response.substring(response.indexOf("\r\n\r\n") + 4).getBytes(StandardCharsets.UTF_8);
     }
 
-    private static String settings(String name, String address, String listen, int internal, int seed, String folder) {
+    private static String settings(
+            String name, String address, String listen, int internalPort, int seedPort, String folder) {
         return "node_name: \"" + name
                 + "\"\nip_address: \"" + address + "\"\nzone: \"z\"\nzones:\n  z: \"r\"\nlisten_addresses:\n  "
-                + listen + "\ninternal_ports:\n  - " + internal + "\n  - " + internal
-                + "\nseed_nodes:\n  - \"127.0.0.1:" + seed
+                + listen + "\ninternal_ports:\n  - " + internalPort + "\n  - " + internalPort
+                + "\nseed_nodes:\n  - \"127.0.0.1:" + seedPort
                 + "\"\nbootstrap: true\nlimits:\n  memory_mb: 256\n  file_descriptors: 1024\ndata_directory: " + folder
                 + "\nheartbeat_ms: 1200\nbounds:\n  strict_revocation: true\n  grace_period_s: 1\n";
     }
@@ -185,9 +186,12 @@
 
                             @Override
                             public void onRequest(
-                                    HttpServer.ClientConnection client, HttpRequest in, byte[] body, long at) {
+                                    HttpServer.ClientConnection client,
+                                    HttpRequest request,
+                                    byte[] body,
+                                    long receivedAtUs) {
                                 HttpHeaders headers = new DefaultHttpHeaders()
-                                        .set("X-Attempt-Id", in.headers().get("X-Attempt-Id", ""))
+                                        .set("X-Attempt-Id", request.headers().get("X-Attempt-Id", ""))
                                         .set("X-Server-Seal", "local");
                                 client.answer(
                                         HttpResponseStatus.OK,
--- a/src/main/java/quartzspan/registry/AcknowledgementTracker.java
+++ b/src/main/java/quartzspan/registry/AcknowledgementTracker.java
@@ -20,7 +20,7 @@
     static final int MAX_PENDING = 1_024;
 
     /** Entries to send again, and their recipients. */
-    record Retry(long nonce, List<RegistryEntry> entries, List<String> to) {}
+    record Retry(long nonce, List<RegistryEntry> entries, List<String> recipients) {}
 
     private static final class Pending {
         private final int required;
--- a/src/main/java/quartzspan/registry/Gossip.java
+++ b/src/main/java/quartzspan/registry/Gossip.java
@@ -40,7 +40,7 @@
         void send(String to, GossipMessage message);
     }
 
-    private record Query(String to, long sentAtMs, boolean full) {}
+    private record Query(String recipient, long sentAtMs, boolean full) {}
 
     private final String self;
     private final boolean isCoreMachine;
@@ -122,7 +122,7 @@
         rankedCoresVersion = -1;
     }
 
-    /** The known core machines in order of preference, with those that fail last. */
+    /** The known core machines, those with the fewest failures first, otherwise in order of preference. */
     public List<String> cores() {
         long version = registry.version(RegistryEntry.Subject.CORE);
         if (rankedCoresVersion != version) {
@@ -182,13 +182,13 @@
         openQueries.entrySet().removeIf(e -> {
             boolean late = now - e.getValue().sentAtMs() > QUERY_TIMEOUT_MS;
             if (late) {
-                failureCounts.merge(e.getValue().to(), 1, Integer::sum);
+                failureCounts.merge(e.getValue().recipient(), 1, Integer::sum);
             }
             return late;
         });
         acknowledgements
                 .takeDueRetries(now, cores())
-                .forEach(r -> sendForAcknowledgement(r.nonce(), r.entries(), r.to()));
+                .forEach(r -> sendForAcknowledgement(r.nonce(), r.entries(), r.recipients()));
         if (now >= nextCoreQueryAtMs) {
             nextCoreQueryAtMs = now + CORE_QUERY_INTERVAL_MS;
             List<String> cores = cores();
@@ -250,7 +250,7 @@
 
     private Registry.Update onReply(long now, String from, GossipMessage message) {
         Query query = openQueries.get(message.nonce());
-        if (query != null && query.to().equals(from)) {
+        if (query != null && query.recipient().equals(from)) {
             openQueries.remove(message.nonce());
         } else {
             query = null;
--- a/src/main/java/quartzspan/replication/ReplicaLog.java
+++ b/src/main/java/quartzspan/replication/ReplicaLog.java
@@ -10,10 +10,10 @@
  */
 final class ReplicaLog {
     /** First byte of a snapshot record on disk. */
-    static final byte SNAPSHOT_RECORD = 'C';
+    static final byte SNAPSHOT_RECORD_TAG = 'C';
 
     /** First byte of an entries record on disk. */
-    static final byte ENTRIES_RECORD = 'D';
+    static final byte ENTRIES_RECORD_TAG = 'D';
     /** A snapshot is written once the entries exceed this size and the size of the last snapshot. */
     private static final long MIN_ENTRIES_BYTES = 64 * 1024;
 
@@ -117,7 +117,7 @@
     private static byte[] encodeRecord(StateUpdate update) {
         byte[] body = update.bytes();
         byte[] record = new byte[1 + body.length];
-        record[0] = update.isSnapshot() ? SNAPSHOT_RECORD : ENTRIES_RECORD;
+        record[0] = update.isSnapshot() ? SNAPSHOT_RECORD_TAG : ENTRIES_RECORD_TAG;
         System.arraycopy(body, 0, record, 1, body.length);
         return record;
     }
--- a/src/main/java/quartzspan/replication/ReplicaStore.java
+++ b/src/main/java/quartzspan/replication/ReplicaStore.java
@@ -71,7 +71,7 @@
     private void track(byte[] record) {
         switch (record[0]) {
             case VoterState.RECORD_TAG -> voterRecord = record;
-            case ReplicaLog.SNAPSHOT_RECORD -> {
+            case ReplicaLog.SNAPSHOT_RECORD_TAG -> {
                 snapshotRecord = record;
                 entryRecords.clear();
             }
--- a/src/main/java/quartzspan/store/FileDisk.java
+++ b/src/main/java/quartzspan/store/FileDisk.java
@@ -32,7 +32,7 @@
             ByteBuffer remaining = ByteBuffer.wrap(bytes);
             long writePosition = position;
             while (remaining.hasRemaining()) {
-                writePosition += file(name).write(remaining, writePosition);
+                writePosition += channel(name).write(remaining, writePosition);
             }
             return null;
         });
@@ -40,13 +40,13 @@
 
     @Override
     public void truncate(String name, long length) {
-        runIo(() -> file(name).truncate(length));
+        runIo(() -> channel(name).truncate(length));
     }
 
     @Override
     public void sync(String name) {
         runIo(() -> {
-            file(name).force(true);
+            channel(name).force(true);
             return null;
         });
     }
@@ -61,7 +61,7 @@
         });
     }
 
-    private FileChannel file(String name) throws IOException {
+    private FileChannel channel(String name) throws IOException {
         FileChannel channel = channels.get(name);
         if (channel == null) {
             channel = FileChannel.open(directory.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
--- a/src/test/java/quartzspan/registry/RegistryTest.java
+++ b/src/test/java/quartzspan/registry/RegistryTest.java
@@ -116,8 +116,8 @@
     @Test
     void coreMachinesOfTheSameZoneArePreferredUnlessUnresponsive() {
         Registry registry = new Registry();
-        List<String> query = new ArrayList<>();
-        Gossip gossip = new Gossip("p:1", false, List.of("a:1"), registry, (to, m) -> query.add(to));
+        List<String> queried = new ArrayList<>();
+        Gossip gossip = new Gossip("p:1", false, List.of("a:1"), registry, (to, m) -> queried.add(to));
         gossip.preferZone("z2");
         for (String name : List.of("a", "b", "c", "d")) {
             String zone = name.equals("c") ? "z2" : "z1";
@@ -126,10 +126,10 @@
         assertEquals("c:1", gossip.cores().get(0));
         assertEquals(4, gossip.cores().size());
         gossip.onTick(0, null);
-        assertEquals(List.of("c:1"), query);
+        assertEquals(List.of("c:1"), queried);
         gossip.onTick(1_000, null);
-        assertEquals(2, query.size());
-        assertFalse(query.get(1).equals("c:1"), "c:1 did not reply");
+        assertEquals(2, queried.size());
+        assertFalse(queried.get(1).equals("c:1"), "c:1 did not reply");
         RegistryEntry entry = registry.entry(RegistryEntry.Subject.CORE, "c:1");
         assertEquals(new CoreMachine("c:1", "10.0.0.1:80", "z2"), CoreMachine.of(entry));
     }
--- a/src/test/java/quartzspan/replication/HandoverTest.java
+++ b/src/test/java/quartzspan/replication/HandoverTest.java
@@ -37,7 +37,7 @@
         cluster.machines.remove(machine.name);
     }
 
-    private static void assertTakesChanges(SimulatedCluster cluster) {
+    private static void assertAcceptsChanges(SimulatedCluster cluster) {
         int acknowledgedBefore = cluster.acknowledgedChanges.size();
         cluster.submitConcurrentChanges(1);
         cluster.run(cluster.nowMs + SETTLE_MS);
@@ -90,7 +90,7 @@
             cluster.run(cluster.nowMs + 500);
             wiped.start(false);
             cluster.run(cluster.nowMs + SETTLE_MS);
-            assertTakesChanges(cluster);
+            assertAcceptsChanges(cluster);
             Change first = cluster.acknowledgedChanges.firstEntry().getValue();
             ControlState state = cluster.primary().replica.state();
             assertEquals(state, state.with(first), "f = " + toleratedFailures);
@@ -150,7 +150,7 @@
         terminating.replica.beginHandover(cluster.nowMs);
         cluster.run(cluster.nowMs + HANDOVER_MS);
         assertNotEquals(null, cluster.primary(), "there is still a primary");
-        assertTakesChanges(cluster);
+        assertAcceptsChanges(cluster);
         assertEquals(2, others.size());
     }
 
@@ -165,6 +165,6 @@
         terminating.start(false);
         cluster.run(cluster.nowMs + SETTLE_MS);
         assertEquals(List.of(ReplicaRole.WITNESS), List.of(terminating.replica.role()));
-        assertTakesChanges(cluster);
+        assertAcceptsChanges(cluster);
     }
 }
--- a/src/test/java/quartzspan/soak/ModelServer.java
+++ b/src/test/java/quartzspan/soak/ModelServer.java
@@ -118,10 +118,10 @@
     }
 
     @Override
-    public void onRequest(HttpServer.ClientConnection client, HttpRequest in, byte[] body, long receivedAtUs) {
-        String path = in.uri().split("\\?", 2)[0];
+    public void onRequest(HttpServer.ClientConnection client, HttpRequest request, byte[] body, long receivedAtUs) {
+        String path = request.uri().split("\\?", 2)[0];
         switch (path) {
-            case "/quartzspan/order" -> onOrder(client, in, JsonFields.parse(body));
+            case "/quartzspan/order" -> onOrder(client, request, JsonFields.parse(body));
             case "/quartzspan/report" -> respond(client, HttpResponseStatus.OK, report());
             case "/quartzspan/kv-events" -> loop.schedule(
                     () -> respond(
@@ -132,7 +132,7 @@
                     TimeUnit.MILLISECONDS);
             case "/quartzspan/kv-list" -> respond(
                     client, HttpResponseStatus.OK, "{\"epoch\":1,\"next_token\":0,\"held\":[]}");
-            default -> onClientRequest(client, in);
+            default -> onClientRequest(client, request);
         }
     }
 
@@ -151,8 +151,8 @@
                 0);
     }
 
-    private void onOrder(HttpServer.ClientConnection client, HttpRequest in, JsonObject order) {
-        if (isMisdirected(in)) {
+    private void onOrder(HttpServer.ClientConnection client, HttpRequest request, JsonObject order) {
+        if (isMisdirected(request)) {
             respond(client, HttpResponseStatus.MISDIRECTED_REQUEST, "{}");
             return;
         }
@@ -192,14 +192,14 @@
         }
     }
 
-    private boolean isMisdirected(HttpRequest in) {
-        return !id.equals(in.headers().get("X-Expected-Instance", id));
+    private boolean isMisdirected(HttpRequest httpRequest) {
+        return !id.equals(httpRequest.headers().get("X-Expected-Instance", id));
     }
 
-    private void onClientRequest(HttpServer.ClientConnection client, HttpRequest in) {
-        InferenceRequest request = new InferenceRequest(client, in.headers());
-        String expected = in.headers().get("Expect-Version", "");
-        if (isMisdirected(in)) {
+    private void onClientRequest(HttpServer.ClientConnection client, HttpRequest httpRequest) {
+        InferenceRequest request = new InferenceRequest(client, httpRequest.headers());
+        String expected = httpRequest.headers().get("Expect-Version", "");
+        if (isMisdirected(httpRequest)) {
             respond(client, HttpResponseStatus.MISDIRECTED_REQUEST, "{}");
             return;
         }
