--- a/src/main/java/quartzspan/registry/Registry.java
+++ b/src/main/java/quartzspan/registry/Registry.java
@@ -224,7 +224,10 @@
                 SnapshotChunk.NONE);
     }
 
-    /** The reply to a query: the entries of the differing buckets if the query is full, and all bucket digests unless one digest matches. */
+    /**
+     * The reply to a query: the entries of the differing buckets if the query is full, and the digests of all buckets unless the
+     * query has a single digest and it equals the local one.
+     */
     GossipMessage reply(long now, GossipMessage query) {
         boolean same = query.digests().length == 1 && query.digests()[0] == digest;
         return new GossipMessage(
--- a/src/main/java/quartzspan/replication/Change.java
+++ b/src/main/java/quartzspan/replication/Change.java
@@ -12,7 +12,8 @@
  */
 public record Change(Kind kind, long baseVersion, byte[] body) {
     /**
-     * The changed part: the complete configuration, some items of it, a weights version, or the holder of the weights rollout.
+     * The changed part: the complete configuration, some items of it, the target version of a model's weights, or the holder of
+     * the weights rollout.
      * The ordinal is part of the encoding, so the order has to stay.
      */
     public enum Kind {
--- a/src/main/java/quartzspan/replication/ControlState.java
+++ b/src/main/java/quartzspan/replication/ControlState.java
@@ -18,7 +18,7 @@
 
 /**
  * The replicated control state, an immutable value: the configuration in effect, the digests of accepted changes by version, the
- * current weights version of each model, and the holder of the weights rollout.
+ * target version of the weights of each model, and the holder of the weights rollout.
  */
 public final class ControlState {
     /** Number of retained digests of accepted changes, which identify a change that is submitted again. */
@@ -56,7 +56,7 @@
         return configuration;
     }
 
-    /** Current weights version of each model. */
+    /** The target version of the weights, by model. */
     public Map<String, Long> weights() {
         return weights;
     }
@@ -84,7 +84,7 @@
         }
         JsonObject body = JsonFields.parse(change.body());
         if (change.kind() == Change.Kind.WEIGHTS) {
-            return withNamedWeights(body);
+            return withTargetVersion(body);
         }
         long version = JsonFields.wholeNumber(body, "version", -1);
         long digest = Hashing.xxh3_64()
@@ -127,7 +127,7 @@
         return new ControlState(next, digests, dropped, weights, rolloutHolder, fencingToken);
     }
 
-    private ControlState withNamedWeights(JsonObject body) {
+    private ControlState withTargetVersion(JsonObject body) {
         String model = body.getString("model", "");
         long version = JsonFields.wholeNumber(body, "version", 0);
         if (model.isEmpty() || version < 1) {
--- a/src/main/java/quartzspan/replication/FollowerState.java
+++ b/src/main/java/quartzspan/replication/FollowerState.java
@@ -45,8 +45,8 @@
         this.peers = peers;
         this.replies = replies;
         this.transitions = transitions;
-        // A running primary sends a heartbeat within this shorter timeout of two heartbeat intervals.
-        // After a power loss of all replicas there is no primary to wait for.
+        // Only two heartbeat intervals of the election timeout remain at the start: a running primary sends a heartbeat
+        // within them, and after a power loss of all replicas there is no primary to wait for.
         this.lastPrimaryContactAtMs = context.nowMs() - Timing.ELECTION_TIMEOUT_MS + 2 * Timing.HEARTBEAT_MS;
     }
 
--- a/src/main/java/quartzspan/replication/Timing.java
+++ b/src/main/java/quartzspan/replication/Timing.java
@@ -21,8 +21,8 @@
     /** A voter without contact for this time is permanently replaced by a standby. */
     static final long VOTER_TIMEOUT_MS = 2_000;
     /**
-     * The same if there is a spare voter, so that the voter can be removed without a replacement. Shorter, since an even number of
-     * voters leaves no slack.
+     * Used instead of {@link #VOTER_TIMEOUT_MS} if there is a spare voter, so that the voter can be removed without a replacement.
+     * Shorter, since an even number of voters tolerates no more failures than one voter less.
      */
     static final long SPARE_VOTER_TIMEOUT_MS = 1_000;
     /** A standby becomes a spare voter after this time, by when it would have replaced any unresponsive voter. */
--- a/src/main/java/quartzspan/store/SlotStore.java
+++ b/src/main/java/quartzspan/store/SlotStore.java
@@ -31,7 +31,7 @@
     private long generation;
     private long logEndOffset;
     private boolean hasTornTail;
-    /** Whether the log header may not have the current generation. */
+    /** Whether the log header may still have an earlier generation, because writing the header has failed. */
     private boolean logHeaderPending;
     /** Whether the directory entry of the log is durable. */
     private boolean logNameSynced;
