--- a/src/main/java/quartzspan/cli/Main.java
+++ b/src/main/java/quartzspan/cli/Main.java
@@ -26,14 +26,14 @@
     static final String USAGE = String.join(
             "\n",
             "usage: quartzspanctl VERB [FILE] [--core IP:PORT] [--base VERSION] [--json]",
-            "  status        the state of the core machine at --core: role, membership, rollout, servers, proxies",
+            "  status        the role and the knowledge of the core machine at --core: membership, rollout, servers, proxies",
             "  get           the configuration in effect, as it was sent",
             "  check FILE    whether a configuration is valid; works offline (the core uses the same code)",
-            "  apply FILE    replaces the configuration; --base: the version it is based on (default: the one in effect)",
+            "  apply FILE    replaces the configuration; --base: the version it builds on (default: the one in effect)",
             "examples:",
             "  quartzspanctl check new.json && quartzspanctl apply new.json --core 127.0.0.1:8169 --base 7",
             "  quartzspanctl status --core 127.0.0.1:8169 --json",
-            "exit status: 0 done, 2 wrong usage, 6 invalid, 7 based on another version, 8 no primary or no response");
+            "exit status: 0 done, 2 wrong usage, 6 invalid, 7 built on another version, 8 no primary or no answer");
 
     private static final int HTTP_OK = 200;
     private static final int WRONG_USAGE = 2;
@@ -81,7 +81,7 @@
             out.println(e);
             return e.code().exitStatus();
         } catch (IOException | IllegalArgumentException e) {
-            out.println("no response: " + e + "; use --core to give the address of a running core machine");
+            out.println("no answer: " + e + "; use --core to give the address of a running core machine");
             return NO_RESPONSE;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
